--- a/lab/auditor.cpp
+++ b/lab/auditor.cpp
@@ -84,10 +84,12 @@
   if (it == messages_.end() || it->second.over)
     return Report(BreachKind::kTwoAnswers, now, it == messages_.end() ? -1 : it->second.relay, message, 0);
   Message& m = it->second;
-  const MessageClass& c = classes_[static_cast<std::size_t>(m.message_class)];
+  const RequestClass& c = classes_[static_cast<std::size_t>(m.message_class)];
   const bool ran = std::any_of(m.attempts.begin(), m.attempts.end(),
                                [](const Attempt& a) { return a.out || a.may_have_run; });
-  const bool binds = c.effect == Effect::kUnsafe || (c.effect == Effect::kKeyed && c.group != KeyGroup::kAll);
+  const bool binds =
+      c.idempotency == Idempotency::kNonIdempotent ||
+      (c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope != DeduplicationScope::kAll);
   if (end == End::kRefused && ran && binds) Report(BreachKind::kUnsafeRefused, now, m.relay, message, 0);
   if (end == End::kWithdrawn) {
     const auto run = first_run_.find(m.origin);
@@ -116,12 +118,13 @@
 }
 
 void Auditor::CheckRepeat(Seconds now, int relay, std::uint64_t id, const Message& m, EndpointId endpoint) {
-  const MessageClass& c = classes_[static_cast<std::size_t>(m.message_class)];
-  if (c.effect == Effect::kSafe) return;
+  const RequestClass& c = classes_[static_cast<std::size_t>(m.message_class)];
+  if (c.idempotency == Idempotency::kIdempotent) return;
   for (const Attempt& a : m.attempts) {
     if (!a.out && !a.may_have_run) continue;
-    if (c.effect == Effect::kUnsafe) return Report(BreachKind::kUnsafeRepeat, now, relay, id, endpoint);
-    if (now > a.sent + c.key_window) Report(BreachKind::kKeyedRepeat, now, relay, id, endpoint);
+    if (c.idempotency == Idempotency::kNonIdempotent)
+      return Report(BreachKind::kUnsafeRepeat, now, relay, id, endpoint);
+    if (now > a.sent + c.deduplication_window) Report(BreachKind::kKeyedRepeat, now, relay, id, endpoint);
     return;
   }
 }
@@ -193,12 +196,13 @@
   const auto it = messages_.find(message);
   if (it == messages_.end()) return;
   const Message& m = it->second;
-  const MessageClass& c = classes_[static_cast<std::size_t>(m.message_class)];
-  if (c.effect == Effect::kSafe) return;
+  const RequestClass& c = classes_[static_cast<std::size_t>(m.message_class)];
+  if (c.idempotency == Idempotency::kIdempotent) return;
   const auto [first, fresh] = first_run_.try_emplace(m.origin, std::make_pair(now, message));
   if (fresh) return;
-  if (c.effect == Effect::kUnsafe) return Report(BreachKind::kRanTwice, now, m.relay, message, 0);
-  if (now <= first->second.first + c.key_window) return;  // the partner has dropped it
+  if (c.idempotency == Idempotency::kNonIdempotent)
+    return Report(BreachKind::kRanTwice, now, m.relay, message, 0);
+  if (now <= first->second.first + c.deduplication_window) return;  // the partner has dropped it
   // A keyed message of the widest group may be handed back though it may have run: what a client then hands
   // in again too late is its own doing, and counted apart.
   if (first->second.second != message) {
--- a/lab/auditor.h
+++ b/lab/auditor.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::lab {
 
@@ -53,7 +53,7 @@
     Seconds overload_for = 2;
     Seconds key_rest = 0;  // after an attempt that may still run, for the messages behind it
   };
-  Auditor(const Rules& rules, std::vector<MessageClass> classes)
+  Auditor(const Rules& rules, std::vector<RequestClass> classes)
       : rules_(rules), classes_(std::move(classes)) {}
 
   // `origin`: the same for all handings-in of one message of a client.
@@ -130,7 +130,7 @@
   std::string TraceOf(const Message& message) const;
 
   const Rules rules_;
-  const std::vector<MessageClass> classes_;
+  const std::vector<RequestClass> classes_;
   std::unordered_map<std::uint64_t, Message> messages_;
   std::set<std::pair<Seconds, std::uint64_t>> deadlines_;
   // By origin, of keyed and unsafe ones: when, and by which handing-in.
--- a/lab/call.h
+++ b/lab/call.h
@@ -3,10 +3,10 @@
 
 #include <algorithm>
 
+#include "decision/state.h"  // ProvesNeverRan
 #include "lab/auditor.h"
 #include "lab/tally.h"
 #include "lab/world.h"
-#include "parts.h"  // ProvesNeverRan
 
 namespace opalroute::lab {
 
--- a/lab/capacity/capacity.cpp
+++ b/lab/capacity/capacity.cpp
@@ -155,7 +155,7 @@
   ProcessSample Sample() const { return relay_->Sample().value_or(ProcessSample{}); }
 
  private:
-  void OnTold(int, EndpointId, Listing) override {}
+  void OnTold(int, EndpointId, EndpointStatus) override {}
   void OnNotice(const std::string&, bool, Seconds) override {}
   void OnReady(int) override {}
   void OnCrash(int, const std::string& how) override {
@@ -245,7 +245,7 @@
     std::filesystem::create_directories(folder);
     Journal journal(folder, 200'000'000);
     JournalEntry entry;
-    entry.message_class = "payment";
+    entry.request_class = "payment";
     entry.tenant = "lab";
     entry.body = std::string(200, 'x');
     entry.destination = 1;
@@ -253,9 +253,10 @@
     const double began = SampleOf(getpid()).value().cpu;
     for (int i = 0; i < kMessages + kOpen; ++i) {
       entry.id = "m-" + std::to_string(i);
-      if (i < kMessages && (!journal.TakeOn(entry) || !journal.Attempt(entry.id, {"e1", "z0", i, true})))
+      if (i < kMessages &&
+          (!journal.RecordAccepted(entry) || !journal.RecordAttempt(entry.id, {"e1", "z0", i, true})))
         throw std::runtime_error("the journal has no room");
-      if (i >= kOpen) journal.End("m-" + std::to_string(i - kOpen));
+      if (i >= kOpen) journal.RecordEnd("m-" + std::to_string(i - kOpen));
     }
     return (SampleOf(getpid()).value().cpu - began) / kMessages * 1e6;
   }
--- a/lab/evenness.h
+++ b/lab/evenness.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::lab {
 
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -166,7 +166,7 @@
     if (run_.carrier == Carrier::kTcp && relay == 0)
       settings.learn.listen = *net::ParseAddress("127.0.0.1:0");
     if (run_.carrier == Carrier::kTcp && relay == 1)
-      settings.learn.from = {*relays_[0]->learning()->donor_address()};
+      settings.learn.from = {*relays_[0]->state_transfer()->snapshot_address()};
     if (run_.carrier == Carrier::kState) settings.learn.state = true;
     configs_.push_back(std::make_unique<Config>(ConfigOf(relay)));
     if (run_.carrier == Carrier::kState && relay == 1 && fs::exists(folder_ + "/0/learned"))
--- a/lab/experiments/snapshot_table.cpp
+++ b/lab/experiments/snapshot_table.cpp
@@ -13,12 +13,12 @@
 #include <vector>
 
 #include "lab/experiments/experiments.h"
-#include "learning/donor.h"
-#include "learning/learner.h"
-#include "learning/notes.h"
-#include "learning/state_file.h"
 #include "net/address.h"
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
+#include "state_transfer/datagram_exchange.h"
+#include "state_transfer/snapshot_client.h"
+#include "state_transfer/snapshot_file.h"
+#include "state_transfer/snapshot_server.h"
 
 namespace {
 
@@ -27,20 +27,20 @@
 Settings ModuleSettings() {
   Settings s;
   s.classes.resize(1);
-  s.classes[0].aim = 1;
+  s.classes[0].latency_objective = 1;
   s.classes[0].deadline = 8;
-  s.classes[0].worth = 1;
+  s.classes[0].priority_weight = 1;
   s.kinds = {{false, 1}};
-  s.couriers = 2;
-  s.slots = 10;
-  s.room = 100;
-  s.most_tries = 3;
+  s.relay_count = 2;
+  s.concurrency_limit = 10;
+  s.request_capacity = 100;
+  s.max_attempts = 3;
   s.tick = 0.005;
-  s.ask_within = 10;
-  s.overload_for = 2;
+  s.max_poll_interval = 10;
+  s.overload_window = 2;
   s.overload_factor = 2;
-  s.cold_from = 0.22;
-  s.ramp_time = 13;
+  s.slow_start_initial_share = 0.22;
+  s.slow_start_duration = 13;
   return s;
 }
 
@@ -50,28 +50,29 @@
   Believer(int destinations, Seconds now) : courier_(ModuleSettings()) {
     std::vector<Action> actions;
     ListUpdate list;
-    list.scope = ListScope::kWhole;
+    list.scope = ListScope::kComplete;
     for (int i = 1; i <= destinations; ++i)
-      list.entries.push_back({static_cast<EndpointId>(i), 0, 0, i, Listing::kInService, 5});
+      list.entries.push_back({static_cast<EndpointId>(i), 0, 0, i, EndpointStatus::kInService, 5});
     courier_.Handle(now, list, actions);
-    Learned learned;
+    TransferredState learned;
     for (int i = 1; i <= destinations; ++i) {
-      Belief b;
+      RouteState b;
       b.destination = i;
-      b.wait = 20;
-      b.out = 1;
-      learned.beliefs.push_back(b);
+      b.retry_after = 20;
+      b.failure_age = 1;
+      learned.routes.push_back(b);
     }
     courier_.Handle(now, learned, actions);
   }
-  std::vector<learning::Heard> Export(Seconds now, std::optional<DestinationId>& from, int most) const {
-    std::vector<learning::Heard> lanes;
-    for (const Belief& b : courier_.Beliefs(now, from, most)) lanes.push_back({{}, b});
+  std::vector<state_transfer::NamedRouteState> Export(Seconds now, std::optional<DestinationId>& from,
+                                                      int most) const {
+    std::vector<state_transfer::NamedRouteState> lanes;
+    for (const RouteState& b : courier_.ExportRouteStates(now, from, most)) lanes.push_back({{}, b});
     return lanes;
   }
 
  private:
-  Courier courier_;
+  RequestRouter courier_;
 };
 
 // A donor's loop with a beat of its own: how late it comes is how long transactions would have been held up.
@@ -80,7 +81,7 @@
   net::EventLoop loop(clock);
   const Believer believer(destinations, loop.Now());
   const Limits limits;
-  learning::Donor donor(
+  state_transfer::SnapshotServer donor(
       loop, *net::ParseAddress("127.0.0.1:0"), "donor",
       [&](std::optional<DestinationId>& from, int most) { return believer.Export(loop.Now(), from, most); },
       limits);
@@ -107,16 +108,16 @@
   _exit(write(report_to, report, sizeof(report)) == sizeof(report) ? 0 : 1);
 }
 
-class Collector : public learning::Learner::Owner {
+class Collector : public state_transfer::SnapshotClient::Owner {
  public:
   explicit Collector(net::EventLoop& loop) : loop_(loop) {}
-  void OnHeard(int, const learning::Heard&, Seconds) override { ++lanes; }
-  void OnAllEnded(const std::vector<learning::Learner::Report>& reports) override {
+  void OnRouteState(int, const state_transfer::NamedRouteState&, Seconds) override { ++lanes; }
+  void OnSnapshotsEnded(const std::vector<state_transfer::SnapshotClient::Report>& reports) override {
     report = reports[0];
     loop_.Stop();
   }
   int lanes = 0;
-  learning::Learner::Report report;
+  state_transfer::SnapshotClient::Report report;
 
  private:
   net::EventLoop& loop_;
@@ -124,35 +125,35 @@
 
 // How much of what is urgent the two small carriers hold.
 void PrintCarriers() {
-  std::vector<learning::Heard> lanes;
+  std::vector<state_transfer::NamedRouteState> lanes;
   for (int i = 0; i < 5000; ++i) {
-    learning::Heard heard;
+    state_transfer::NamedRouteState heard;
     heard.endpoint = "s-5be2a0" + std::to_string(i % 100);
-    heard.belief.destination = i;
-    heard.belief.wait = 2.5;
-    heard.belief.out = 1.25;
-    heard.belief.served = 9.5;
+    heard.state.destination = i;
+    heard.state.retry_after = 2.5;
+    heard.state.failure_age = 1.25;
+    heard.state.success_age = 9.5;
     lanes.push_back(heard);
   }
   std::size_t apart = 0, whole = 0;
-  learning::Note note;
-  note.lanes = lanes;
-  learning::WriteNote(note, apart);
-  for (learning::Heard& heard : note.lanes) heard.endpoint.clear();
-  learning::WriteNote(note, whole);
+  state_transfer::Datagram note;
+  note.routes = lanes;
+  state_transfer::EncodeDatagram(note, apart);
+  for (state_transfer::NamedRouteState& heard : note.routes) heard.endpoint.clear();
+  state_transfer::EncodeDatagram(note, whole);
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid()))).string();
   std::filesystem::create_directories(folder);
-  const learning::StateFile file(folder, Limits().learn_file_bytes);
+  const state_transfer::SnapshotFile file(folder, Limits().learn_file_bytes);
   file.Save("n1", 0, lanes);
-  const std::size_t saved = file.Load().lanes.size();
+  const std::size_t saved = file.Load().routes.size();
   std::filesystem::remove_all(folder);
   std::printf(
       "\nlanes in a datagram of %zu bytes, each with a wait, an outage and the latest served call: %zu, or "
       "%zu "
       "where routes are apart and each is named; in the state folder's file, of half of %zu bytes: %zu named "
       "ones\n",
-      learning::kNoteBytes, whole, apart, Limits().learn_file_bytes, saved);
+      state_transfer::kMaxDatagramBytes, whole, apart, Limits().learn_file_bytes, saved);
 }
 
 }  // namespace
@@ -171,15 +172,15 @@
     net::EventLoop loop(clock);
     Limits limits;
     Collector got(loop);
-    learning::Learner learner(loop, {address}, "learner", 5, limits, got);
+    state_transfer::SnapshotClient learner(loop, {address}, "learner", 5, limits, got);
     loop.Run();
     double report[3];
     if (read(report_pipe[0], report, sizeof(report)) != sizeof(report)) return 1;
     int status = 0;
     waitpid(child, &status, 0);
     for (const int fd : {address_pipe[0], address_pipe[1], report_pipe[0], report_pipe[1]}) close(fd);
-    if (got.report.end != "whole" || got.lanes != destinations) {
-      std::printf("a run ended %s with %d lanes\n", got.report.end.c_str(), got.lanes);
+    if (got.report.result != "whole" || got.lanes != destinations) {
+      std::printf("a run ended %s with %d lanes\n", got.report.result.c_str(), got.lanes);
       return 1;
     }
     figures[0].push_back(got.report.took * 1000);
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -12,19 +12,19 @@
 #include <string>
 #include <vector>
 
+#include "discovery/merged_endpoint_source.h"
 #include "lab/clock.h"
 #include "lab/dns/name_server.h"
 #include "lab/draw.h"
 #include "lab/experiments/experiments.h"
 #include "lab/statistics.h"
 #include "net/address.h"
-#include "pool/joined_pool.h"
 
 namespace opalroute::lab {
 
 namespace {
 
-using State = PoolMember::State;
+using State = EndpointRecord::Status;
 
 constexpr long long kDestination = 7;
 constexpr int kEndpoints = 4;
@@ -36,7 +36,7 @@
 dns::Name NameOf(const std::string& text) { return *dns::Name::Parse(text); }
 
 // One destination whose machines are replaced one after the other: drained, gone, and another in its place.
-class Life : private PoolSource::Listener {
+class Life : private EndpointSource::Listener {
  public:
   // lifetime 0: the list alone.
   Life(std::uint32_t lifetime, std::uint64_t seed)
@@ -50,12 +50,12 @@
       settings_.srv_own.emplace_back(kDestination, AddressOf(machine));
     for (next_ = 0; next_ < kEndpoints; ++next_) serving_.push_back(next_);
     PublishZone();
-    pool_ =
-        std::make_unique<JoinedPool>(loop_, config_, settings_, static_cast<PoolSource::Listener&>(*this));
-    PoolNews list;
-    list.whole = true;
-    for (const int machine : serving_) list.members.push_back(MemberOf(machine, State::kReady));
-    OnPoolNews(pool_->Remembered(list));
+    pool_ = std::make_unique<MergedEndpointSource>(loop_, config_, settings_,
+                                                   static_cast<EndpointSource::Listener&>(*this));
+    EndpointListUpdate list;
+    list.complete = true;
+    for (const int machine : serving_) list.endpoints.push_back(MemberOf(machine, State::kInService));
+    OnEndpointList(pool_->ApplyCached(list));
   }
 
   void Play(int changes) {
@@ -74,7 +74,7 @@
   static sockaddr_in AddressOf(int machine) {
     return *net::ParseAddress("127.0.1." + std::to_string(machine) + ":80");
   }
-  static PoolMember MemberOf(int machine, State state) {
+  static EndpointRecord MemberOf(int machine, State state) {
     return {"m" + std::to_string(machine), "z0", "plain", AddressOf(machine), kDestination, state, 0};
   }
   void PublishZone() {
@@ -90,9 +90,9 @@
     server_.Set({NameOf("_api._tcp.example"), dns::Type::kSrv}, entry);
   }
   void ListSays(int machine, State state) {
-    PoolNews news;
-    news.members = {MemberOf(machine, state)};
-    loop_.At(clock_.Now() + DrawFrom(kListLate, random_), [this, news] { pool_->OnPoolNews(news); });
+    EndpointListUpdate news;
+    news.endpoints = {MemberOf(machine, state)};
+    loop_.At(clock_.Now() + DrawFrom(kListLate, random_), [this, news] { pool_->OnEndpointList(news); });
   }
   void Replace(std::size_t which) {
     const int old = serving_[which], fresh = next_++;
@@ -100,31 +100,31 @@
     PublishZone();
     left_at_[net::FormatAddress(AddressOf(old))] = came_at_[net::FormatAddress(AddressOf(fresh))] =
         clock_.Now();
-    ListSays(fresh, State::kReady);
+    ListSays(fresh, State::kInService);
     ListSays(old, State::kDraining);
     loop_.At(clock_.Now() + kDrainLasts, [this, old] {
       gone_[net::FormatAddress(AddressOf(old))] = true;
-      ListSays(old, State::kGone);
+      ListSays(old, State::kRemoved);
     });
   }
-  void OnPoolNews(const PoolNews& news) override {
-    if (news.whole) told_.clear();
-    for (const PoolMember& m : news.members) {
+  void OnEndpointList(const EndpointListUpdate& news) override {
+    if (news.complete) told_.clear();
+    for (const EndpointRecord& m : news.endpoints) {
       const std::string address = net::FormatAddress(m.address);
-      if (m.state == State::kReady) told_[m.id] = address;
-      if (m.state != State::kReady) told_.erase(m.id);
+      if (m.status == State::kInService) told_[m.id] = address;
+      if (m.status != State::kInService) told_.erase(m.id);
       const auto left = left_at_.find(address), came = came_at_.find(address);
-      if (m.state != State::kReady && left != left_at_.end()) {
+      if (m.status != State::kInService && left != left_at_.end()) {
         drains.push_back(clock_.Now() - left->second);
         left_at_.erase(left);
       }
-      if (m.state == State::kReady && came != came_at_.end()) {
+      if (m.status == State::kInService && came != came_at_.end()) {
         arrivals.push_back(clock_.Now() - came->second);
         came_at_.erase(came);
       }
     }
   }
-  void OnPoolFailed() override {}
+  void OnWatchFailed() override {}
   void Message() {
     if (!told_.empty()) {
       auto it = told_.begin();
@@ -147,16 +147,16 @@
   std::map<std::string, double> left_at_, came_at_;
   std::map<std::string, bool> gone_;
   std::map<std::string, std::string> told_;  // addresses in service, by id
-  std::unique_ptr<JoinedPool> pool_;
+  std::unique_ptr<MergedEndpointSource> pool_;
 };
 
 double WallSeconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-class Nobody : public PoolSource::Listener {
-  void OnPoolNews(const PoolNews&) override {}
-  void OnPoolFailed() override {}
+class Nobody : public EndpointSource::Listener {
+  void OnEndpointList(const EndpointListUpdate&) override {}
+  void OnWatchFailed() override {}
 };
 
 void PrintNames(int names, std::uint32_t lifetime) {
@@ -181,9 +181,9 @@
     settings.srv_names.emplace_back(name, i);
   }
   const std::size_t before = mallinfo2().uordblks;
-  JoinedPool pool(loop, config, settings, nobody);
+  MergedEndpointSource pool(loop, config, settings, nobody);
   const double from = clock.Now();
-  while (pool.unheard() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
+  while (pool.unanswered() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
   const std::size_t after = mallinfo2().uordblks;
   const double took = clock.Now() - from;
   long most = 0, all = 0;
@@ -206,9 +206,9 @@
   message.response = true;
   message.questions = {{NameOf("_api._tcp.example"), dns::Type::kSrv}};
   std::vector<SrvTarget> targets;
-  PoolMerge merge(MergeRules{});
-  PoolNews list;
-  list.whole = true;
+  EndpointMerge merge(MergeOptions{});
+  EndpointListUpdate list;
+  list.complete = true;
   for (int i = 0; dns::Encode(message).size() < 65'400; ++i) {
     const std::string host = "h" + std::to_string(i) + ".example";
     for (int port = 1; port <= 4; ++port) {
@@ -219,7 +219,8 @@
       message.answers.push_back({NameOf("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, 60,
                                  dns::Srv{1, 1, static_cast<std::uint16_t>(port), NameOf(host)}});
       targets.push_back({host, address, 1, 1});
-      list.members.push_back({host + std::to_string(port), "", "", address, kDestination, State::kReady, 1});
+      list.endpoints.push_back(
+          {host + std::to_string(port), "", "", address, kDestination, State::kInService, 1});
     }
   }
   merge.OnList(0, list);
--- a/lab/links.h
+++ b/lab/links.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lab/draw.h"
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::lab {
 
--- a/lab/result.h
+++ b/lab/result.h
@@ -97,7 +97,8 @@
   long client_doubles = 0;  // keyed effects doubled by clients that came again after the window
   long events = 0;
   long notes = 0, note_bytes = 0;  // between relays, by what was sent to each
-  // Of those: "lanes" of the decision module, and the tier's kinds (tier::NoteKind). In simulated time only.
+  // Of those: "lanes" of the decision module, and the tier's kinds (membership::NoteKind). In simulated time
+  // only.
   std::map<std::string, long> notes_by_kind;
   std::vector<long> endpoint_calls, relay_calls;  // by endpoint and by relay
   long handshakes = 0;                            // connections that came up
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -123,35 +123,35 @@
 
 Settings DefaultSettings() {
   Settings s;
-  s.slots = 0;  // 0: reckoned from the load
-  s.room = 0;
-  s.most_tries = 12;
-  s.may_cancel = s.may_copy = s.may_probe = s.may_advise_wait = true;
-  s.rating = RatingMeaning::kRough;
-  s.over_share_worth = 0.2;
-  s.longest_wait = 3;
+  s.concurrency_limit = 0;  // 0: reckoned from the load
+  s.request_capacity = 0;
+  s.max_attempts = 12;
+  s.may_cancel = s.may_hedge = s.may_health_check = s.may_send_retry_after = true;
+  s.listed_rate_accuracy = ListedRateAccuracy::kRough;
+  s.over_quota_weight = 0.2;
+  s.max_retry_after = 3;
   s.tick = 0.005;
-  s.ask_within = 10;
-  s.overload_for = 2;
+  s.max_poll_interval = 10;
+  s.overload_window = 2;
   s.overload_factor = 2;
-  s.cold_from = 0.22;
-  s.ramp_time = 13;
+  s.slow_start_initial_share = 0.22;
+  s.slow_start_duration = 13;
   return s;
 }
 
 // The operators' three classes, with their shares of the messages.
 std::vector<ClassPlan> DefaultClasses() {
-  const auto plan = [](const char* name, Effect effect, double window, double aim, double deadline,
+  const auto plan = [](const char* name, Idempotency effect, double window, double aim, double deadline,
                        double late, double worth, double share) {
     ClassPlan c;
     c.name = name;
-    c.rules = {effect, KeyGroup::kAll, window, aim, deadline, late, worth, false};
+    c.rules = {effect, DeduplicationScope::kAll, window, aim, deadline, late, worth, false};
     c.share = share;
     return c;
   };
-  return {plan("board-status", Effect::kSafe, 0, 0.8, 8, 0.1, 1, 0.55),
-          plan("notice-order", Effect::kKeyed, 12, 2, 20, 0.5, 1, 0.26),
-          plan("payment", Effect::kUnsafe, 0, 2, 16, 0.5, 3, 0.19)};
+  return {plan("board-status", Idempotency::kIdempotent, 0, 0.8, 8, 0.1, 1, 0.55),
+          plan("notice-order", Idempotency::kIdempotencyKey, 12, 2, 20, 0.5, 1, 0.26),
+          plan("payment", Idempotency::kNonIdempotent, 0, 2, 16, 0.5, 3, 0.19)};
 }
 
 void ReadClasses(Reader& root, Scenario& s) {
@@ -161,18 +161,19 @@
   }
   root.Each("classes", [&](Reader& r) {
     ClassPlan c;
-    c.rules = {Effect::kSafe, KeyGroup::kAll, 12, 1, 8, 0.5, 1, false};
+    c.rules = {Idempotency::kIdempotent, DeduplicationScope::kAll, 12, 1, 8, 0.5, 1, false};
     r.Text("name", c.name);
     r.Number("share", c.share, 0, 1);
-    r.Word<Effect>(
-        "effect", c.rules.effect,
-        {{"idempotent", Effect::kSafe}, {"deduplicated", Effect::kKeyed}, {"at_most_once", Effect::kUnsafe}});
-    r.Number("key_window_s", c.rules.key_window, 0, kDay);
-    r.Number("aim_s", c.rules.aim, 0.001, kDay);
+    r.Word<Idempotency>("effect", c.rules.idempotency,
+                        {{"idempotent", Idempotency::kIdempotent},
+                         {"deduplicated", Idempotency::kIdempotencyKey},
+                         {"at_most_once", Idempotency::kNonIdempotent}});
+    r.Number("key_window_s", c.rules.deduplication_window, 0, kDay);
+    r.Number("aim_s", c.rules.latency_objective, 0.001, kDay);
     r.Number("deadline_s", c.rules.deadline, 0.01, kDay);
-    r.Number("late_share", c.rules.late_share, 0, 1);
-    r.Number("worth", c.rules.worth, 0, 1000);
-    r.YesNo("keep_order", c.rules.in_order);
+    r.Number("late_share", c.rules.weight_at_deadline, 0, 1);
+    r.Number("worth", c.rules.priority_weight, 0, 1000);
+    r.YesNo("keep_order", c.rules.ordered_by_key);
     s.classes.push_back(c);
   });
   if (s.classes.empty()) root.Fault("classes", "must name one at least");
@@ -319,13 +320,14 @@
   });
   root.Each("zone_orders", [&](Reader& r) {
     HandGiven order;
-    r.Word<zones::ByHand>(
-        "order", order.what,
-        {{"leave", zones::ByHand::kLeave}, {"keep", zones::ByHand::kKeep}, {"none", zones::ByHand::kNone}});
+    r.Word<zone_failover::OverrideKind>("order", order.what,
+                                        {{"leave", zone_failover::OverrideKind::kEvacuate},
+                                         {"keep", zone_failover::OverrideKind::kKeepInService},
+                                         {"none", zone_failover::OverrideKind::kNone}});
     r.Whole("zone", order.zone, 0, static_cast<int>(s.zones.size()) - 1);
     r.Whole("relay", order.relay, 0, s.relays - 1);
     r.Number("at_s", order.at, 0, kDay);
-    r.Number("lasts_s", order.lasts, 0, zones::Orders::kMostLasts);
+    r.Number("lasts_s", order.lasts, 0, zone_failover::OperatorOverrides::kMaxDuration);
     s.zone_orders.push_back(order);
   });
 }
@@ -366,26 +368,26 @@
 void ReadSettings(Reader& root, Scenario& s) {
   root.Object("settings", [&](Reader& r) {
     Settings& m = s.settings;
-    r.Whole("slots", m.slots, 1, 1000000);
-    r.Whole("room", m.room, 1, 10000000);
-    r.Whole("most_tries", m.most_tries, 1, 100);
+    r.Whole("slots", m.concurrency_limit, 1, 1000000);
+    r.Whole("room", m.request_capacity, 1, 10000000);
+    r.Whole("most_tries", m.max_attempts, 1, 100);
     r.YesNo("may_cancel", m.may_cancel);
-    r.YesNo("may_copy", m.may_copy);
-    r.YesNo("may_probe", m.may_probe);
-    r.YesNo("may_advise_wait", m.may_advise_wait);
-    r.Number("longest_wait_s", m.longest_wait, 0, 3600);
+    r.YesNo("may_copy", m.may_hedge);
+    r.YesNo("may_probe", m.may_health_check);
+    r.YesNo("may_advise_wait", m.may_send_retry_after);
+    r.Number("longest_wait_s", m.max_retry_after, 0, 3600);
     r.Number("tick_s", m.tick, 0.0001, 1);
-    r.Number("overload_for_s", m.overload_for, 0.01, 600);
+    r.Number("overload_for_s", m.overload_window, 0.01, 600);
     r.Number("overload_factor", m.overload_factor, 1, 100);
-    r.Number("cold_from", m.cold_from, 0.001, 1);
-    r.Number("ramp_s", m.ramp_time, 0, 3600);
-    r.Number("over_share_worth", m.over_share_worth, 0, 1);
-    if (r.Has("key_rest_s")) r.Number("key_rest_s", m.key_rest.emplace(), 0, 3600);
+    r.Number("cold_from", m.slow_start_initial_share, 0.001, 1);
+    r.Number("ramp_s", m.slow_start_duration, 0, 3600);
+    r.Number("over_share_worth", m.over_quota_weight, 0, 1);
+    if (r.Has("key_rest_s")) r.Number("key_rest_s", m.ordered_key_pause.emplace(), 0, 3600);
     if (r.Has("rating"))
-      r.Word<RatingMeaning>("rating", m.rating,
-                            {{"none", RatingMeaning::kNone},
-                             {"exact", RatingMeaning::kExact},
-                             {"rough", RatingMeaning::kRough}});
+      r.Word<ListedRateAccuracy>("rating", m.listed_rate_accuracy,
+                                 {{"none", ListedRateAccuracy::kNone},
+                                  {"exact", ListedRateAccuracy::kExact},
+                                  {"rough", ListedRateAccuracy::kRough}});
   });
 }
 
@@ -419,17 +421,18 @@
     CheckShares(root, "tenants", s.tenants);
   }
   faults.Throw();
-  s.settings.couriers = s.relays;
-  s.settings.may_tell_peers = s.notes;
+  s.settings.relay_count = s.relays;
+  s.settings.may_gossip = s.notes;
   s.settings.kinds = {{false, 1}, {true, s.partners.bundle}};
   for (const ClassPlan& c : s.classes) s.settings.classes.push_back(c.rules);
   for (const TenantPlan& t : s.tenants) s.settings.tenants.push_back({t.allowance});
   // As the operators' settings: slots for 2.1 times what full load keeps busy, room for 9 s of it.
   const double part = s.load.rate / s.relays;
-  if (s.settings.slots == 0)
-    s.settings.slots = std::max(
+  if (s.settings.concurrency_limit == 0)
+    s.settings.concurrency_limit = std::max(
         3, static_cast<int>(2.1 * part * (s.partners.latency.least + s.partners.latency.most) / 2) + 1);
-  if (s.settings.room == 0) s.settings.room = std::max(16, static_cast<int>(9 * part));
+  if (s.settings.request_capacity == 0)
+    s.settings.request_capacity = std::max(16, static_cast<int>(9 * part));
   return s;
 }
 
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -10,8 +10,8 @@
 #include "lab/draw.h"
 #include "lab/lane_model.h"
 #include "lab/links.h"
-#include "opalroute/rules.h"
-#include "zones/orders.h"
+#include "opalroute/request_router.h"
+#include "zone_failover/operator_override.h"
 
 namespace opalroute::lab {
 
@@ -78,13 +78,13 @@
 
 struct HandGiven {  // an operator's order of a zone, to one relay
   int relay = 0, zone = 0;
-  zones::ByHand what{};
+  zone_failover::OverrideKind what{};
   Seconds at = 0, lasts = 0;
 };
 
 struct ClassPlan {
   std::string name;
-  MessageClass rules;
+  RequestClass rules;
   double share = 0;  // of the messages
 };
 
--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -25,7 +25,7 @@
     case LaneModel::Fate::kServed:
       return Outcome::kServed;
     case LaneModel::Fate::kFull:
-      return Outcome::kFull;
+      return Outcome::kRejected;
     case LaneModel::Fate::kError:
       return Outcome::kError;
     case LaneModel::Fate::kReset:
@@ -49,7 +49,7 @@
   std::uint32_t life = 0;
   bool up = false, takes_on = false, stopping = false;
   Seconds frozen_until = 0;
-  std::unique_ptr<Courier> module;
+  std::unique_ptr<RequestRouter> module;
   std::deque<opalroute::Event> line;
   std::deque<std::uint64_t> news;  // changes of the list that it has not heard of, by number
   bool pumping = false, turn_armed = false;
@@ -72,15 +72,15 @@
       auditor_(
           [&] {
             Auditor::Rules rules;
-            rules.overload_for = scenario.settings.overload_for;
-            rules.key_rest = scenario.settings.key_rest.value_or(0);
+            rules.overload_for = scenario.settings.overload_window;
+            rules.key_rest = scenario.settings.ordered_key_pause.value_or(0);
             return rules;
           }(),
           scenario.settings.classes),
       tally_(world_, seed),
       result_(tally_.result()),
       tier_(s_, seed, *this, auditor_, result_) {
-  listings_.assign(world_.endpoint_count(), Listing::kInService);
+  listings_.assign(world_.endpoint_count(), EndpointStatus::kInService);
   for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
     auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
   auditor_.Tier(tier_.on() ? s_.relays : 0);
@@ -162,7 +162,7 @@
     case Kind::kChange:
       return ChangeList(s_.pool_changes[event.a]);
     case Kind::kGone:
-      return Publish(static_cast<EndpointId>(event.a), Listing::kGone);
+      return Publish(static_cast<EndpointId>(event.a), EndpointStatus::kRemoved);
     case Kind::kFault:
       return Strike(s_.relay_faults[event.a], event.b != 0);
     case Kind::kOrder:
@@ -182,12 +182,12 @@
   if (event.kind == Kind::kUp) return BringUp(relay);
   if (!relay.up || relay.life != event.life) return;
   if (event.kind == Kind::kNews) return TellNews(relay);
-  if (event.kind == Kind::kWake) return Post(relay, Wake{event.a});
+  if (event.kind == Kind::kWake) return Post(relay, TimerFired{event.a});
   relay.turn_armed = false;
-  Post(relay, TurnEnd{});
+  Post(relay, BatchEnd{});
 }
 
-ListEntry Simulation::EntryOf(EndpointId id, Listing listing) const {
+ListedEndpoint Simulation::EntryOf(EndpointId id, EndpointStatus listing) const {
   const PartnerEndpoint& e = world_.endpoint(id);
   return {id, e.zone, e.kind, e.destination, listing, e.rating, id};
 }
@@ -204,7 +204,7 @@
 void Simulation::PlayTier(const Payload& event) {
   if (event.kind == Kind::kTruth) {
     tier_.TellTruth();
-    return At(now() + zones::Member::kTick, event);
+    return At(now() + zone_failover::ZoneFailover::kTick, event);
   }
   if (event.kind == Kind::kNote) return tier_.Arrive(event.a);
   if (event.kind == Kind::kRefusal) return tier_.Refused(event.relay, static_cast<int>(event.a));
@@ -212,7 +212,7 @@
   if (!relay.up || relay.life != event.life) return;
   tier_.Tick(event.relay);
   relay.takes_on = relay.takes_on || (!relay.stopping && tier_.Joined(event.relay));
-  At(now() + zones::Member::kTick, event);
+  At(now() + zone_failover::ZoneFailover::kTick, event);
 }
 
 bool Simulation::Reaches(int relay, const PartnerEndpoint& endpoint) const {
@@ -224,18 +224,18 @@
 void Simulation::StartRelay(Relay& relay) {
   Settings settings = s_.settings;
   settings.seed = (static_cast<std::uint64_t>(random_()) << 32) + random_();
-  relay.module = std::make_unique<Courier>(settings);
+  relay.module = std::make_unique<RequestRouter>(settings);
   relay.up = true;
   relay.stopping = false;
   tier_.Start(relay.number);
   relay.takes_on = tier_.Joined(relay.number) || now() <= 0;
   if (tier_.on())
-    At(now() + zones::Member::kTick * random_() / 4294967296.0,
+    At(now() + zone_failover::ZoneFailover::kTick * random_() / 4294967296.0,
        {Kind::kTick, relay.number, 0, 0, relay.life});
   ListUpdate list;
-  list.scope = ListScope::kWhole;
+  list.scope = ListScope::kComplete;
   for (EndpointId id = 1; id <= listings_.size(); ++id)
-    if (listings_[id - 1] != Listing::kGone) list.entries.push_back(EntryOf(id, listings_[id - 1]));
+    if (listings_[id - 1] != EndpointStatus::kRemoved) list.entries.push_back(EntryOf(id, listings_[id - 1]));
   Post(relay, std::move(list));
 }
 
@@ -248,7 +248,7 @@
     relay.line.pop_front();
     std::vector<Action> actions;
     relay.module->Handle(now(), next, actions);
-    if (!std::holds_alternative<TurnEnd>(next) && !std::exchange(relay.turn_armed, true)) {
+    if (!std::holds_alternative<BatchEnd>(next) && !std::exchange(relay.turn_armed, true)) {
       const Seconds tick = s_.settings.tick;
       At((std::floor(now() / tick + 1e-9) + 1) * tick, {Kind::kTurn, relay.number, 0, 0, relay.life});
     }
@@ -261,21 +261,21 @@
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       Gather(relay, *send);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      EndByRelay(refuse->message, true, refuse->wait);
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
+      EndByRelay(refuse->request_id, true, refuse->retry_after);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      EndByRelay(fail->message, false, 0);
-    } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-      GiveUp(cancel->message, cancel->attempt, Outcome::kCancelled);
-    } else if (const auto* probe = std::get_if<Probe>(&action)) {
+      EndByRelay(fail->request_id, false, 0);
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
+      GiveUp(cancel->request_id, cancel->attempt, Outcome::kCancelled);
+    } else if (const auto* probe = std::get_if<HealthCheck>(&action)) {
       ++result_.probes;
       StartCall(relay, probe->endpoint, {}, true);
-    } else if (const auto* wake = std::get_if<SetWake>(&action)) {
-      At(wake->at, {Kind::kWake, relay.number, wake->label, 0, relay.life});
-    } else if (const auto* close = std::get_if<CloseConnections>(&action)) {
+    } else if (const auto* wake = std::get_if<SetTimer>(&action)) {
+      At(wake->due, {Kind::kWake, relay.number, wake->timer_id, 0, relay.life});
+    } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
       relay.idle[close->endpoint].count = 0;
-    } else if (const auto* tell = std::get_if<TellPeers>(&action)) {
-      tier_.Tell(relay.number, tell->peer, tell->bytes);
+    } else if (const auto* tell = std::get_if<SendGossip>(&action)) {
+      tier_.Tell(relay.number, tell->peer, tell->payload);
     }
   }
   for (auto& [endpoint, batches] : std::exchange(relay.gathered, {}))
@@ -283,21 +283,21 @@
 }
 
 void Simulation::Gather(Relay& relay, const Send& send) {
-  const auto it = handings_.find(send.message);
-  auditor_.Sent(now(), relay.number, send.message, send.endpoint);
+  const auto it = handings_.find(send.request_id);
+  auditor_.Sent(now(), relay.number, send.request_id, send.endpoint);
   if (it == handings_.end()) return;
   Handing& h = it->second;
   const int attempt = static_cast<int>(h.attempts.size());
   h.attempts.push_back({send.endpoint, now()});
   ++h.out;
   ++result_.attempts;
-  const Seconds until = send.until > 0 ? std::min(send.until, h.deadline) : h.deadline;
-  At(until, {Kind::kUntil, relay.number, send.message, static_cast<std::uint32_t>(attempt), relay.life});
+  const Seconds until = send.timeout_at > 0 ? std::min(send.timeout_at, h.deadline) : h.deadline;
+  At(until, {Kind::kUntil, relay.number, send.request_id, static_cast<std::uint32_t>(attempt), relay.life});
   const int most =
-      std::max(1, s_.settings.kinds[static_cast<std::size_t>(world_.endpoint(send.endpoint).kind)].bundle);
+      std::max(1, s_.settings.kinds[static_cast<std::size_t>(world_.endpoint(send.endpoint).kind)].max_batch);
   auto& batches = relay.gathered[send.endpoint];
   if (batches.empty() || static_cast<int>(batches.back().size()) >= most) batches.emplace_back();
-  batches.back().emplace_back(send.message, attempt);
+  batches.back().emplace_back(send.request_id, attempt);
 }
 
 // ---- calls --------------------------------------------------------------------------------------------
@@ -307,7 +307,7 @@
   const std::uint64_t number = ++last_call_;
   tally_.Call(now(), relay.number, endpoint);
   for (std::size_t i = 0; i < std::max<std::size_t>(1, members.size()); ++i)
-    tier_.Sent(relay.number, EntryOf(endpoint, Listing::kInService));
+    tier_.Sent(relay.number, EntryOf(endpoint, EndpointStatus::kInService));
   Call& call = calls_[number];
   call.relay = relay.number;
   call.life = relay.life;
@@ -325,7 +325,7 @@
   if (kept) --idle.count;
   const LaneModel& lane = world_.lane(e.machine);
   const bool cut = !Reaches(relay.number, e);
-  const bool gone = listings_[endpoint - 1] == Listing::kGone;
+  const bool gone = listings_[endpoint - 1] == EndpointStatus::kRemoved;
   const bool crowded = !kept && e.connections > 0 && ConnectionsTo(endpoint) >= e.connections;
   call.connects =
       kept || !(gone || crowded || cut || lane.RefusesConnections(now()) || lane.VanishedAt(now()));
@@ -396,10 +396,10 @@
   EndConnection(call);
   const PartnerEndpoint& e = world_.endpoint(call.endpoint);
   Outcome outcome = call.connects ? OutcomeOf(call.verdict.fate) : Outcome::kConnectFailed;
-  if (call.crowded) outcome = call.probe ? Outcome::kFull : Outcome::kCrowded;
+  if (call.crowded) outcome = call.probe ? Outcome::kRejected : Outcome::kOutOfConnections;
   if (call.probe && call.verdict.fate == LaneModel::Fate::kHangs) outcome = Outcome::kTimeout;
   if (call.connects &&
-      (outcome == Outcome::kServed || outcome == Outcome::kFull || outcome == Outcome::kError)) {
+      (outcome == Outcome::kServed || outcome == Outcome::kRejected || outcome == Outcome::kError)) {
     Relay::Idle& idle = relay.idle[call.endpoint];
     ++idle.count;
     idle.last = now();
@@ -409,11 +409,11 @@
   if (outcome != Outcome::kServed && call.in_outage) auditor_.SawOutage(relay.number, e.machine);
   if (call.verdict.wait > 0) auditor_.ToldWait(now(), relay.number, e.lane, call.verdict.wait);
   if (call.probe) {
-    ProbeOutcome told;
+    HealthCheckOutcome told;
     told.endpoint = call.endpoint;
     told.outcome = outcome;
     told.duration = now() - call.sent;
-    tier_.Ended(relay.number, EntryOf(call.endpoint, Listing::kInService), outcome, told.duration);
+    tier_.Ended(relay.number, EntryOf(call.endpoint, EndpointStatus::kInService), outcome, told.duration);
     return Post(relay, told);
   }
   for (const auto& [id, attempt] : call.members) EndAttempt(id, attempt, outcome, call.verdict.wait);
@@ -463,14 +463,14 @@
     Deliver(clients_[h.client]);
   }
   AttemptOutcome told;
-  told.message = id;
+  told.request_id = id;
   told.attempt = attempt;
   told.endpoint = a.endpoint;
   told.outcome = outcome;
   told.duration = now() - a.sent;
-  told.wait = wait;
-  told.over = h.over;
-  tier_.Ended(relay.number, EntryOf(a.endpoint, Listing::kInService), outcome, told.duration);
+  told.retry_after = wait;
+  told.request_ended = h.over;
+  tier_.Ended(relay.number, EntryOf(a.endpoint, EndpointStatus::kInService), outcome, told.duration);
   ForgetIfDone(id);
   Post(relay, told);
 }
@@ -484,7 +484,7 @@
 
 void Simulation::HandIn(std::uint64_t client) {
   const Arrival arrival = clients_[client].arrival;
-  const MessageClass& c = s_.classes[static_cast<std::size_t>(arrival.message_class)].rules;
+  const RequestClass& c = s_.classes[static_cast<std::size_t>(arrival.message_class)].rules;
   const Seconds deadline = arrival.due + c.deadline;
   if (now() >= deadline) return;
   Relay* relay = nullptr;
@@ -495,7 +495,7 @@
   ++result_.handed_in;
   if (relay != nullptr && relay->frozen_until > now())  // no answer: its client comes elsewhere
     return At(now() + kAnswerTime, {Kind::kHandIn, 0, client});
-  if (relay == nullptr || static_cast<int>(relay->held.size()) >= s_.settings.room) {
+  if (relay == nullptr || static_cast<int>(relay->held.size()) >= s_.settings.request_capacity) {
     tally_.Refused(now());
     return ComeAgain(client, kFullAdvice);
   }
@@ -508,10 +508,10 @@
   const WorldPartner& partner = world_.partners()[arrival.partner];
   auditor_.Taken(now(), relay->number, id, client, arrival.message_class, partner.id, deadline);
   if (arrival.order_key >= 0) auditor_.InOrder(id, OrderKeyOf(arrival));
-  NewMessage message;
-  message.message = id;
-  message.message_class = arrival.message_class;
-  message.patience = deadline - now();
+  NewRequest message;
+  message.request_id = id;
+  message.request_class = arrival.message_class;
+  message.remaining_time = deadline - now();
   message.destination = partner.id;
   if (s_.tenants.size() > 1) message.tenant = arrival.tenant;
   if (arrival.order_key >= 0) message.key = std::to_string(OrderKeyOf(arrival));
@@ -533,7 +533,7 @@
 
 void Simulation::ComeAgain(std::uint64_t client, Seconds advice) {
   if (clients_[client].retries++ >= s_.clients.retries) return;
-  const Seconds wait = advice > 0 ? std::min(advice, s_.settings.longest_wait) : Draw(s_.clients.wait);
+  const Seconds wait = advice > 0 ? std::min(advice, s_.settings.max_retry_after) : Draw(s_.clients.wait);
   At(now() + wait, {Kind::kHandIn, 0, client});
 }
 
@@ -545,9 +545,9 @@
 // ---- the list and the relays' faults
 // ------------------------------------------------------------------------
 
-void Simulation::Publish(EndpointId endpoint, Listing listing) {
+void Simulation::Publish(EndpointId endpoint, EndpointStatus listing) {
   if (endpoint > listings_.size()) {
-    listings_.resize(endpoint, Listing::kInService);
+    listings_.resize(endpoint, EndpointStatus::kInService);
     auditor_.Listed(endpoint, world_.endpoint(endpoint).destination, world_.endpoint(endpoint).lane);
   }
   listings_[endpoint - 1] = listing;
@@ -565,7 +565,7 @@
     return At(now() + 0.25, {Kind::kNews, relay.number, 0, 0, relay.life});
   const World::ListChange change = changes_[relay.news.front()];
   relay.news.pop_front();
-  if (change.listing != Listing::kInService) auditor_.ToldDrain(now(), relay.number, change.endpoint);
+  if (change.listing != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay.number, change.endpoint);
   ListUpdate update;
   update.scope = ListScope::kChanges;
   update.entries = {EntryOf(change.endpoint, change.listing)};
@@ -580,7 +580,7 @@
       });
   for (const World::ListChange& c : changes) {
     Publish(c.endpoint, c.listing);
-    if (c.listing == Listing::kDraining) At(now() + World::kDrainLasts, {Kind::kGone, 0, c.endpoint});
+    if (c.listing == EndpointStatus::kDraining) At(now() + World::kDrainLasts, {Kind::kGone, 0, c.endpoint});
   }
 }
 
@@ -594,7 +594,7 @@
   if (fault.kind == RelayFault::Kind::kStop && !forced) {
     relay.takes_on = false;
     relay.stopping = true;
-    Post(relay, Stopping{kStopTime});
+    Post(relay, ShutdownStarted{kStopTime});
     const auto index = static_cast<std::uint64_t>(&fault - s_.relay_faults.data());
     return At(now() + kStopTime, {Kind::kFault, relay.number, index, 1});
   }
@@ -634,13 +634,13 @@
   for (const std::uint64_t id : ids) {
     const Handing& h = handings_.at(id);
     const Arrival& arrival = clients_[h.client].arrival;
-    Restored restored;
-    restored.message.message = id;
-    restored.message.message_class = arrival.message_class;
-    restored.message.destination = world_.partners()[arrival.partner].id;
-    restored.message.patience = std::max(0.0, h.deadline - now());
-    if (s_.tenants.size() > 1) restored.message.tenant = arrival.tenant;
-    if (arrival.order_key >= 0) restored.message.key = std::to_string(OrderKeyOf(arrival));
+    RecoveredRequest restored;
+    restored.request.request_id = id;
+    restored.request.request_class = arrival.message_class;
+    restored.request.destination = world_.partners()[arrival.partner].id;
+    restored.request.remaining_time = std::max(0.0, h.deadline - now());
+    if (s_.tenants.size() > 1) restored.request.tenant = arrival.tenant;
+    if (arrival.order_key >= 0) restored.request.key = std::to_string(OrderKeyOf(arrival));
     for (const Attempt& a : h.attempts)
       restored.attempts.push_back(
           {a.endpoint, world_.endpoint(a.endpoint).zone, now() - a.sent, a.may_have_run});
--- a/lab/simulation.h
+++ b/lab/simulation.h
@@ -15,7 +15,7 @@
 #include "lab/tier_play.h"
 #include "lab/traffic.h"
 #include "lab/world.h"
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::lab {
 
@@ -120,11 +120,11 @@
   void Deliver(Client& client);
   void ForgetIfDone(std::uint64_t id);
   void ChangeList(const PoolChange& change);
-  void Publish(EndpointId endpoint, Listing listing);
+  void Publish(EndpointId endpoint, EndpointStatus listing);
   void TellNews(Relay& relay);
   void Strike(const RelayFault& fault, bool forced);
   void BringUp(Relay& relay);
-  ListEntry EntryOf(EndpointId endpoint, Listing listing) const;
+  ListedEndpoint EntryOf(EndpointId endpoint, EndpointStatus listing) const;
   double Draw(const Range& range) { return DrawFrom(range, random_); }
 
   const Scenario s_;
@@ -142,7 +142,7 @@
   std::unordered_map<std::uint64_t, Handing> handings_;  // by id, until over with nothing out
   std::unordered_map<std::uint64_t, Call> calls_;
   std::vector<World::ListChange> changes_;
-  std::vector<Listing> listings_;  // by endpoint, as the list has them
+  std::vector<EndpointStatus> listings_;  // by endpoint, as the list has them
   std::uint64_t last_id_ = 0, last_call_ = 0, next_relay_ = 0;
 };
 
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -143,7 +143,7 @@
     if (crowded_) {
       for (const Member& member : std::exchange(awaited_, {}))
         if (member.attempt != Ledger::kVoid)
-          all_.ledger_.Over(now, member.id, member.attempt, Outcome::kCrowded);
+          all_.ledger_.Over(now, member.id, member.attempt, Outcome::kOutOfConnections);
       connection_->Write(net::WriteAnswer(503, {{"Connection", "close"}}, {}));
       return all_.sessions_.Drop(*this);
     }
@@ -183,7 +183,7 @@
     for (const Member& member : std::exchange(awaited_, {}))
       if (member.attempt != Ledger::kVoid)
         all_.ledger_.Over(now, member.id, member.attempt,
-                          full    ? Outcome::kFull
+                          full    ? Outcome::kRejected
                           : error ? Outcome::kError
                                   : Outcome::kServed);
     if (wait > 0) all_.auditor_.ToldWait(now, relay_, LaneNumber(), wait);
--- a/lab/sockets/front.cpp
+++ b/lab/sockets/front.cpp
@@ -143,7 +143,7 @@
                           {"X-Org", s_.tenants[static_cast<std::size_t>(arrival.tenant)].name},
                           {"X-Remaining-Ms", std::to_string(static_cast<long>(remaining * 1000))},
                           {"X-Addressing", "dest=" + std::to_string(arrival.partner + 1)}};
-  if (plan.rules.effect == Effect::kKeyed)
+  if (plan.rules.idempotency == Idempotency::kIdempotencyKey)
     headers.emplace_back("Idempotency-Key", "k" + std::to_string(client));
   if (resent != nullptr) headers.emplace_back("X-Resent", resent);
   auto call =
@@ -157,7 +157,7 @@
 void Front::ComeAgain(std::size_t client, Seconds advice) {
   if (tries_[client]++ >= s_.clients.retries) return;
   const Seconds own = DrawFrom(s_.clients.wait, random_);
-  Later(client, advice > 0 ? std::min(advice, s_.settings.longest_wait) : own, "1");
+  Later(client, advice > 0 ? std::min(advice, s_.settings.max_retry_after) : own, "1");
 }
 
 void Front::Later(std::size_t client, Seconds wait, const char* resent) {
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -71,10 +71,10 @@
 
 // A relay that was killed before it had read the 200 sends a delivered message anew, as its class allows.
 bool Ledger::MayComeAgain(Seconds now, const Handing& handing) const {
-  const MessageClass& c =
+  const RequestClass& c =
       s_.classes[static_cast<std::size_t>(clients_[handing.client].arrival.message_class)].rules;
-  if (!handing.served || c.effect == Effect::kUnsafe) return false;
-  return c.effect == Effect::kSafe || now <= handing.ended + c.key_window;
+  if (!handing.served || c.idempotency == Idempotency::kNonIdempotent) return false;
+  return c.idempotency == Idempotency::kIdempotent || now <= handing.ended + c.deduplication_window;
 }
 
 // Whether what comes after the end is the relay's right.
--- a/lab/sockets/loopback.h
+++ b/lab/sockets/loopback.h
@@ -3,7 +3,7 @@
 
 #include <netinet/in.h>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::lab {
 
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -42,7 +42,7 @@
   rules.answer_slack = 0.35;  // the platform's 0.3 s, and 50 ms for sockets
   rules.drain_grace = 2.05;
   rules.wait_grace = 0.1;
-  rules.overload_for = scenario.settings.overload_for;
+  rules.overload_for = scenario.settings.overload_window;
   return rules;
 }
 
@@ -199,8 +199,8 @@
       if (Of(relay).serves() && Of(relay).starts() == starts) auditor_.ClosedUnanswered(closed, relay, id);
     });
   }
-  void OnTold(int relay, EndpointId endpoint, Listing listing) override {
-    if (listing != Listing::kInService) auditor_.ToldDrain(now(), relay, endpoint);
+  void OnTold(int relay, EndpointId endpoint, EndpointStatus listing) override {
+    if (listing != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
   }
   void OnNotice(const std::string& message, bool handed_back, Seconds advice) override {
     ledger_.Noticed(now(), std::strtoull(message.c_str() + 1, nullptr, 10),
@@ -246,8 +246,8 @@
 
   void Give(const HandGiven& order) {
     nlohmann::json body = {{"zone", s_.zones[static_cast<std::size_t>(order.zone)]},
-                           {"order", zones::NameOf(order.what)}};
-    if (order.what != zones::ByHand::kNone) body["for_s"] = order.lasts;
+                           {"order", zone_failover::NameOf(order.what)}};
+    if (order.what != zone_failover::OverrideKind::kNone) body["for_s"] = order.lasts;
     Of(order.relay).Order("/zones", body.dump());
   }
 
@@ -256,13 +256,13 @@
         change, [this](EndpointId id) { return registry_.ListingOf(id); },
         [this] { return DrawUnit(random_); });
     for (const World::ListChange& c : changes) {
-      if (c.listing == Listing::kInService)
+      if (c.listing == EndpointStatus::kInService)
         auditor_.Listed(c.endpoint, world_.endpoint(c.endpoint).destination,
                         world_.endpoint(c.endpoint).lane);
       registry_.Publish(c.endpoint, c.listing);
-      if (c.listing != Listing::kDraining) continue;
+      if (c.listing != EndpointStatus::kDraining) continue;
       loop_.At(loop_.Now() + World::kDrainLasts, [this, id = c.endpoint] {
-        registry_.Publish(id, Listing::kGone);
+        registry_.Publish(id, EndpointStatus::kRemoved);
         endpoints_.Remove(id);
       });
     }
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -22,8 +22,10 @@
 constexpr net::Seconds kToldWithin = 6;     // of a change that can be had: it counts as told, heard of or not
 const net::HttpBounds kBounds{16 * 1024, 64, 1 << 20};
 
-const char* NameOf(Listing listing) {
-  return listing == Listing::kInService ? "ready" : listing == Listing::kDraining ? "draining" : "gone";
+const char* NameOf(EndpointStatus listing) {
+  return listing == EndpointStatus::kInService  ? "ready"
+         : listing == EndpointStatus::kDraining ? "draining"
+                                                : "gone";
 }
 
 std::string Chunk(const std::string& text) {
@@ -171,7 +173,7 @@
       address_of_(std::move(address_of)),
       owner_(owner),
       links_(world.scenario().links, seed),
-      listings_(world.endpoint_count(), Listing::kInService),
+      listings_(world.endpoint_count(), EndpointStatus::kInService),
       sessions_(loop) {
   for (int relay = 0; relay < world.scenario().relays; ++relay) {
     views_.push_back({0, 0, listings_});
@@ -256,7 +258,7 @@
   return start_ > 0 && links_.DiscoveryCut(loop_.Now() - start_, relay);
 }
 
-std::string Registry::Row(EndpointId id, Listing listing, int relay) const {
+std::string Registry::Row(EndpointId id, EndpointStatus listing, int relay) const {
   const PartnerEndpoint& e = world_.endpoint(id);
   const nlohmann::json row = {{"instanceId", "e" + std::to_string(id)},
                               {"hostPort", address_of_(id, relay)},
@@ -273,7 +275,7 @@
   const View& view = views_[static_cast<std::size_t>(relay)];
   std::string rows;
   for (EndpointId id = 1; id <= view.listings.size(); ++id)
-    if (view.listings[id - 1] != Listing::kGone)
+    if (view.listings[id - 1] != EndpointStatus::kRemoved)
       rows += (rows.empty() ? "" : ",") + Row(id, view.listings[id - 1], relay);
   return "{\"generation\":" + std::to_string(view.known + 1) + ",\"reset\":true,\"instances\":[" + rows +
          "]}";
@@ -284,18 +286,18 @@
   constexpr std::size_t kChangesBack = 3;
   const View& view = views_[static_cast<std::size_t>(relay)];
   const std::size_t known = view.known - std::min(view.known, kChangesBack);
-  std::vector<Listing> listings(view.listings.size(), Listing::kInService);
+  std::vector<EndpointStatus> listings(view.listings.size(), EndpointStatus::kInService);
   std::vector<bool> listed(view.listings.size(), true);
   for (std::size_t i = 0; i < view.known; ++i) {
     const Change& change = changes_[i];
     const std::size_t at = change.endpoint - 1;
     // New ones come in service; what is not there yet is left out.
-    if (i >= known && change.listing == Listing::kInService) listed[at] = false;
+    if (i >= known && change.listing == EndpointStatus::kInService) listed[at] = false;
     if (i < known) listings[at] = change.listing;
   }
   std::string rows;
   for (EndpointId id = 1; id <= listings.size(); ++id)
-    if (listed[id - 1] && listings[id - 1] != Listing::kGone)
+    if (listed[id - 1] && listings[id - 1] != EndpointStatus::kRemoved)
       rows += (rows.empty() ? "" : ",") + Row(id, listings[id - 1], relay);
   return "{\"generation\":" + std::to_string(known + 1) + ",\"reset\":true,\"instances\":[" + rows + "]}";
 }
@@ -309,8 +311,8 @@
          "]}";
 }
 
-void Registry::Publish(EndpointId endpoint, Listing listing) {
-  if (endpoint > listings_.size()) listings_.resize(endpoint, Listing::kGone);
+void Registry::Publish(EndpointId endpoint, EndpointStatus listing) {
+  if (endpoint > listings_.size()) listings_.resize(endpoint, EndpointStatus::kRemoved);
   listings_[endpoint - 1] = listing;
   changes_.push_back({endpoint, listing});
   const std::size_t number = changes_.size();
@@ -333,7 +335,7 @@
   view.known = change;
   for (std::size_t i = since; i < change; ++i) {
     if (changes_[i].endpoint > view.listings.size())
-      view.listings.resize(changes_[i].endpoint, Listing::kGone);
+      view.listings.resize(changes_[i].endpoint, EndpointStatus::kRemoved);
     view.listings[changes_[i].endpoint - 1] = changes_[i].listing;
   }
   for (std::size_t i = since; i < change; ++i) TellAtLatest(relay, i, loop_.Now());
--- a/lab/sockets/registry.h
+++ b/lab/sockets/registry.h
@@ -22,7 +22,7 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void OnTold(int relay, EndpointId endpoint, Listing listing) = 0;  // written to its watch
+    virtual void OnTold(int relay, EndpointId endpoint, EndpointStatus listing) = 0;  // written to its watch
     virtual void OnNotice(const std::string& message, bool handed_back, Seconds advice) = 0;
   };
   // `address_of`: where that relay finds an endpoint, as "1.2.3.4:80".
@@ -34,8 +34,8 @@
 
   sockaddr_in address(int relay) const { return addresses_[static_cast<std::size_t>(relay)]; }
   // A change; each relay's watch is told after a lateness of its own.
-  void Publish(EndpointId endpoint, Listing listing);
-  Listing ListingOf(EndpointId endpoint) const { return listings_[endpoint - 1]; }
+  void Publish(EndpointId endpoint, EndpointStatus listing);
+  EndpointStatus ListingOf(EndpointId endpoint) const { return listings_[endpoint - 1]; }
   // The whole list as that relay holds it by now.
   std::string WholeList(int relay) const;
 
@@ -43,12 +43,12 @@
   class Session;
   struct Change {
     EndpointId endpoint = 0;
-    Listing listing{};
+    EndpointStatus listing{};
   };
   struct View {  // one relay's: changes up to `known` have reached it
     std::size_t known = 0;
     net::Seconds last_due = 0;
-    std::vector<Listing> listings;
+    std::vector<EndpointStatus> listings;
   };
   void Advance(int relay, std::size_t change);
   bool IsCut(int relay) const;
@@ -58,7 +58,7 @@
   void Listen(int relay);
   void TellAtLatest(int relay, std::size_t change, net::Seconds reached_since);
   std::vector<Session*> WatchesOf(int relay) const;
-  std::string Row(EndpointId endpoint, Listing listing, int relay) const;
+  std::string Row(EndpointId endpoint, EndpointStatus listing, int relay) const;
   std::string ChangesSince(int relay, std::size_t since) const;
   std::string ListBefore(int relay) const;
 
@@ -69,7 +69,7 @@
   Owner& owner_;
   const Links links_;
   net::Seconds start_ = 0;                                 // 0: it has not begun
-  std::vector<Listing> listings_;                          // by endpoint
+  std::vector<EndpointStatus> listings_;                   // by endpoint
   std::vector<Change> changes_;                            // generation: their number, plus one
   std::vector<View> views_;                                // by relay
   std::vector<std::unique_ptr<net::Listener>> listeners_;  // by relay; none while it refuses
--- a/lab/sockets/relay_config.cpp
+++ b/lab/sockets/relay_config.cpp
@@ -6,14 +6,20 @@
 
 using nlohmann::json;
 
-const char* EffectName(Effect effect) {
-  return effect == Effect::kSafe ? "idempotent" : effect == Effect::kKeyed ? "deduplicated" : "at_most_once";
+const char* EffectName(Idempotency effect) {
+  return effect == Idempotency::kIdempotent       ? "idempotent"
+         : effect == Idempotency::kIdempotencyKey ? "deduplicated"
+                                                  : "at_most_once";
 }
-const char* GroupName(KeyGroup group) {
-  return group == KeyGroup::kAll ? "all" : group == KeyGroup::kDestination ? "cell" : "zone";
+const char* GroupName(DeduplicationScope group) {
+  return group == DeduplicationScope::kAll           ? "all"
+         : group == DeduplicationScope::kDestination ? "cell"
+                                                     : "zone";
 }
-const char* RatingName(RatingMeaning rating) {
-  return rating == RatingMeaning::kNone ? "none" : rating == RatingMeaning::kExact ? "nominal" : "rough";
+const char* RatingName(ListedRateAccuracy rating) {
+  return rating == ListedRateAccuracy::kNone    ? "none"
+         : rating == ListedRateAccuracy::kExact ? "nominal"
+                                                : "rough";
 }
 
 }  // namespace
@@ -22,11 +28,14 @@
   const Settings& m = s.settings;
   json classes = json::array();
   for (const ClassPlan& c : s.classes) {
-    json one = {
-        {"name", c.name},        {"effect", EffectName(c.rules.effect)}, {"group", GroupName(c.rules.group)},
-        {"aimS", c.rules.aim},   {"deadlineS", c.rules.deadline},        {"lateShare", c.rules.late_share},
-        {"worth", c.rules.worth}};
-    if (c.rules.effect == Effect::kKeyed) one["keyTtlS"] = c.rules.key_window;
+    json one = {{"name", c.name},
+                {"effect", EffectName(c.rules.idempotency)},
+                {"group", GroupName(c.rules.deduplication_scope)},
+                {"aimS", c.rules.latency_objective},
+                {"deadlineS", c.rules.deadline},
+                {"lateShare", c.rules.weight_at_deadline},
+                {"worth", c.rules.priority_weight}};
+    if (c.rules.idempotency == Idempotency::kIdempotencyKey) one["keyTtlS"] = c.rules.deduplication_window;
     classes.push_back(one);
   }
   json tenants = json::array();
@@ -34,8 +43,8 @@
     tenants.push_back({{"name", t.name}, {"share", t.share}, {"allowancePerS", t.allowance}});
   json bundles = json::array(), apart = json::array();
   for (const auto& kind : m.kinds) {
-    bundles.push_back(kind.bundle);
-    apart.push_back(kind.routes_apart);
+    bundles.push_back(kind.max_batch);
+    apart.push_back(kind.limits_per_endpoint);
   }
   return {{"balancers", s.relays},
           {"me", me},
@@ -45,31 +54,31 @@
           {"classes", classes},
           {"realms", tenants},
           {"familyInfo",
-           {{"callsOut", m.slots},
+           {{"callsOut", m.concurrency_limit},
             {"bundleMax", bundles},
             {"routesApart", apart},
-            {"late", m.late == LateWorth::kEven ? "even" : "by_half"}}},
+            {"late", m.late_decay == LateDecay::kLinear ? "even" : "by_half"}}},
           {"limits",
-           {{"openCap", m.room},
-            {"mostTries", m.most_tries},
+           {{"openCap", m.request_capacity},
+            {"mostTries", m.max_attempts},
             {"cancel", m.may_cancel},
-            {"secondCopies", m.may_copy},
-            {"probes", m.may_probe},
-            {"retryAfter", m.may_advise_wait},
-            {"peers", m.may_tell_peers},
-            {"maxRetryAfterS", m.longest_wait},
+            {"secondCopies", m.may_hedge},
+            {"probes", m.may_health_check},
+            {"retryAfter", m.may_send_retry_after},
+            {"peers", m.may_gossip},
+            {"maxRetryAfterS", m.max_retry_after},
             {"connIdleS", 15},
             {"dialTimeoutS", 1.5}}},
           {"rules",
-           {{"askWithinS", m.ask_within},
-            {"coldFrom", m.cold_from},
+           {{"askWithinS", m.max_poll_interval},
+            {"coldFrom", m.slow_start_initial_share},
             {"drainGraceS", 2},
             {"overloadFactor", m.overload_factor},
-            {"overloadForS", m.overload_for},
-            {"rampTimeS", m.ramp_time}}},
-          {"overShareWorth", m.over_share_worth},
+            {"overloadForS", m.overload_window},
+            {"rampTimeS", m.slow_start_duration}}},
+          {"overShareWorth", m.over_quota_weight},
           {"tickS", m.tick},
-          {"weightKind", RatingName(m.rating)}};
+          {"weightKind", RatingName(m.listed_rate_accuracy)}};
 }
 
 }  // namespace opalroute::lab
--- a/lab/tally.cpp
+++ b/lab/tally.cpp
@@ -31,7 +31,7 @@
 void Tally::Offered(const Arrival& arrival) {
   const auto index = static_cast<std::size_t>(arrival.message_class);
   ++result_.classes[index].asked;
-  result_.classes[index].worth_asked += s_.classes[index].rules.worth;
+  result_.classes[index].worth_asked += s_.classes[index].rules.priority_weight;
   ++result_.partners[arrival.partner].asked;
   ++SecondAt(arrival.due).offered;
 }
@@ -39,17 +39,19 @@
 void Tally::Delivered(const Arrival& arrival, Seconds now) {
   const auto index = static_cast<std::size_t>(arrival.message_class);
   ClassOutcome& c = result_.classes[index];
-  const MessageClass& rules = s_.classes[index].rules;
+  const RequestClass& rules = s_.classes[index].rules;
   const Seconds took = now - arrival.due;
   ++c.delivered;
   c.latency.Add(took);
   ++result_.partners[arrival.partner].delivered;
   ++SecondAt(arrival.due).delivered;
-  if (took <= rules.aim) {
+  if (took <= rules.latency_objective) {
     ++c.in_aim;
-    c.worth += rules.worth;
+    c.worth += rules.priority_weight;
   } else if (took < rules.deadline) {
-    c.worth += rules.worth * (1 - (1 - rules.late_share) * (took - rules.aim) / (rules.deadline - rules.aim));
+    c.worth +=
+        rules.priority_weight * (1 - (1 - rules.weight_at_deadline) * (took - rules.latency_objective) /
+                                         (rules.deadline - rules.latency_objective));
   }
 }
 
@@ -89,9 +91,9 @@
 
 void Tally::AttemptEnded(Outcome outcome) {
   if (outcome == Outcome::kError) ++result_.errors;
-  if (outcome == Outcome::kFull) ++result_.full;
+  if (outcome == Outcome::kRejected) ++result_.full;
   if (outcome == Outcome::kTimeout) ++result_.timeouts;
-  if (outcome == Outcome::kConnectFailed || outcome == Outcome::kCrowded) ++result_.unconnected;
+  if (outcome == Outcome::kConnectFailed || outcome == Outcome::kOutOfConnections) ++result_.unconnected;
   if (outcome == Outcome::kReset) ++result_.resets;
 }
 
--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -6,33 +6,33 @@
 
 namespace opalroute::lab {
 
-zones::MemberRules MemberRulesOf(const Scenario& s, int relay) {
-  zones::MemberRules rules;
-  rules.tier.size = s.relays;
-  rules.tier.own = relay;
+zone_failover::FailoverOptions MemberRulesOf(const Scenario& s, int relay) {
+  zone_failover::FailoverOptions rules;
+  rules.membership.fleet_size = s.relays;
+  rules.membership.own_peer = relay;
   rules.zones = static_cast<int>(s.zones.size());
-  rules.shares = s.tier;
-  rules.leave = s.leave;
-  rules.stages.cold_from = s.settings.cold_from;
-  rules.stages.ramp = s.settings.ramp_time;
+  rules.share_quotas = s.tier;
+  rules.evacuate_zones = s.leave;
+  rules.evacuation.slow_start_initial_share = s.settings.slow_start_initial_share;
+  rules.evacuation.slow_start_duration = s.settings.slow_start_duration;
   return rules;
 }
 
 namespace {
 
 const char* KindOf(const std::string& bytes) {
-  const auto note = tier::ReadNote(bytes);
+  const auto note = membership::DecodeMessage(bytes);
   if (!note) return "lanes";
   switch (note->kind) {
-    case tier::NoteKind::kAsk:
+    case membership::MessageKind::kPing:
       return "ask";
-    case tier::NoteKind::kHello:
+    case membership::MessageKind::kJoin:
       return "hello";
-    case tier::NoteKind::kAnswer:
+    case membership::MessageKind::kAck:
       return "answer";
-    case tier::NoteKind::kTold:
+    case membership::MessageKind::kGossip:
       return "told";
-    case tier::NoteKind::kLeaving:
+    case membership::MessageKind::kLeave:
       break;
   }
   return "leaving";
@@ -55,56 +55,56 @@
   if (!on()) return;
   const auto i = static_cast<std::size_t>(relay);
   const std::uint64_t life = ++last_life_;
-  members_[i] = std::make_unique<zones::Member>(MemberRulesOf(s_, relay), life, life * 7919 + i,
-                                                host_.TierNow(), kept_[i]);
+  members_[i] = std::make_unique<zone_failover::ZoneFailover>(MemberRulesOf(s_, relay), life, life * 7919 + i,
+                                                              host_.TierNow(), kept_[i]);
   Tick(relay);
 }
 
 void TierPlay::Stop(int relay, bool forgets) {
   const auto i = static_cast<std::size_t>(relay);
   if (!members_[i]) return;
-  kept_[i] = forgets ? zones::Member::Kept() : members_[i]->Keep(host_.TierNow());
+  kept_[i] = forgets ? zone_failover::ZoneFailover::SavedState() : members_[i]->Save(host_.TierNow());
   members_[i].reset();
   auditor_.LostParts(host_.TierNow(), relay);
 }
 
 void TierPlay::Leave(int relay) {
-  zones::Member::Do what;
+  zone_failover::ZoneFailover::Actions what;
   if (!members_[static_cast<std::size_t>(relay)]) return;
-  members_[static_cast<std::size_t>(relay)]->Leave(what);
+  members_[static_cast<std::size_t>(relay)]->AnnounceLeave(what);
   Do(relay, what);
 }
 
 void TierPlay::Tick(int relay) {
-  zones::Member::Do what;
+  zone_failover::ZoneFailover::Actions what;
   members_[static_cast<std::size_t>(relay)]->Tick(host_.TierNow(), what);
   Do(relay, what);
 }
 
 void TierPlay::Order(const HandGiven& order) {
   const auto& member = members_[static_cast<std::size_t>(order.relay)];
-  zones::Member::Do what;
+  zone_failover::ZoneFailover::Actions what;
   if (!member) return;
-  member->Order(host_.TierNow(), order.zone, order.what, order.lasts, what);
+  member->ApplyOverride(host_.TierNow(), order.zone, order.what, order.lasts, what);
   Do(order.relay, what);
 }
 
 bool TierPlay::Joined(int relay) const {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  return !member || member->Joined(host_.TierNow());
+  return !member || member->HasJoined(host_.TierNow());
 }
 
-void TierPlay::Do(int relay, zones::Member::Do& what) {
+void TierPlay::Do(int relay, zone_failover::ZoneFailover::Actions& what) {
   for (opalroute::Event& event : what.events) {
-    if (const auto* size = std::get_if<TierSize>(&event))
-      auditor_.ToldParts(host_.TierNow(), relay, size->parts);
+    if (const auto* size = std::get_if<FleetSize>(&event))
+      auditor_.ToldParts(host_.TierNow(), relay, size->share_count);
     host_.PostTo(relay, std::move(event));
   }
-  for (const auto& [to, bytes] : what.notes)
-    Tell(relay, to == zones::kAll ? std::nullopt : std::optional<int>(to), bytes);
-  for (const zones::Member::Change& c : what.changes)
+  for (const auto& [to, bytes] : what.messages)
+    Tell(relay, to == zone_failover::kAllPeers ? std::nullopt : std::optional<int>(to), bytes);
+  for (const zone_failover::ZoneFailover::Change& c : what.changes)
     result_.stage_changes.push_back(
-        {host_.TierNow(), relay, c.zone, c.now.round, zones::NameOf(c.now.step), c.heard});
+        {host_.TierNow(), relay, c.zone, c.now.round, zone_failover::NameOf(c.now.phase), c.from_peer});
 }
 
 void TierPlay::Tell(int from, std::optional<int> to, const std::string& bytes) {
@@ -133,24 +133,24 @@
     return;
   }
   const auto& member = members_[static_cast<std::size_t>(note.to)];
-  zones::Member::Do what;
-  if (member && member->Take(now, note.from, *note.bytes, what)) return Do(note.to, what);
-  host_.PostTo(note.to, PeerNote{note.from, *note.bytes});
+  zone_failover::ZoneFailover::Actions what;
+  if (member && member->HandleMessage(now, note.from, *note.bytes, what)) return Do(note.to, what);
+  host_.PostTo(note.to, GossipReceived{note.from, *note.bytes});
 }
 
 void TierPlay::Refused(int relay, int peer) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->Refused(host_.TierNow(), peer);
+  if (member) member->OnUnreachable(host_.TierNow(), peer);
 }
 
-void TierPlay::Sent(int relay, const ListEntry& e) {
+void TierPlay::Sent(int relay, const ListedEndpoint& e) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->Sent(host_.TierNow(), e.zone, e.destination, e.endpoint);
+  if (member) member->OnSent(host_.TierNow(), e.zone, e.destination, e.endpoint);
 }
 
-void TierPlay::Ended(int relay, const ListEntry& e, Outcome outcome, Seconds duration) {
+void TierPlay::Ended(int relay, const ListedEndpoint& e, Outcome outcome, Seconds duration) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->Ended(host_.TierNow(), e.zone, e.destination, e.endpoint, outcome, duration);
+  if (member) member->OnEnded(host_.TierNow(), e.zone, e.destination, e.endpoint, outcome, duration);
 }
 
 double TierPlay::TrueShare(Seconds now, int zone) const {
@@ -158,8 +158,9 @@
   constexpr double kSteps = 20;  // as the relays' own
   for (const Trouble& t : s_.troubles) {
     if (t.zone != zone || t.share < 0.6 || now < t.from) continue;
-    const double warm = s_.settings.ramp_time > 0 ? (now - t.from - t.lasts) / s_.settings.ramp_time : 1;
-    const double cold = s_.settings.cold_from;
+    const double warm =
+        s_.settings.slow_start_duration > 0 ? (now - t.from - t.lasts) / s_.settings.slow_start_duration : 1;
+    const double cold = s_.settings.slow_start_initial_share;
     share =
         std::min(share, warm < 0 ? 0 : std::floor(std::min(1.0, cold + (1 - cold) * warm) * kSteps) / kSteps);
   }
@@ -171,7 +172,7 @@
     const double share = TrueShare(host_.TierNow(), zone);
     if (std::exchange(truth_[static_cast<std::size_t>(zone)], share) == share) continue;
     for (int relay = 0; relay < s_.relays; ++relay)
-      if (host_.IsUp(relay)) host_.PostTo(relay, ZoneShare{zone, share, false});
+      if (host_.IsUp(relay)) host_.PostTo(relay, ZoneTrafficShare{zone, share, false});
   }
 }
 
--- a/lab/tier_play.h
+++ b/lab/tier_play.h
@@ -12,12 +12,12 @@
 #include "lab/links.h"
 #include "lab/result.h"
 #include "lab/scenario.h"
-#include "zones/member.h"
+#include "zone_failover/zone_failover.h"
 
 namespace opalroute::lab {
 
 // As the relay has them by default, for a scenario's deployment.
-zones::MemberRules MemberRulesOf(const Scenario& scenario, int relay);
+zone_failover::FailoverOptions MemberRulesOf(const Scenario& scenario, int relay);
 
 class TierPlay {
  public:
@@ -42,8 +42,8 @@
   void Tell(int from, std::optional<int> to, const std::string& bytes);
   void Arrive(std::uint64_t note);
   void Refused(int relay, int peer);
-  void Sent(int relay, const ListEntry& endpoint);
-  void Ended(int relay, const ListEntry& endpoint, Outcome outcome, Seconds duration);
+  void Sent(int relay, const ListedEndpoint& endpoint);
+  void Ended(int relay, const ListedEndpoint& endpoint, Outcome outcome, Seconds duration);
   // The oracle's word, as of now.
   void TellTruth();
   const Links& links() const { return links_; }
@@ -54,7 +54,7 @@
     int from = 0, to = 0;
     std::shared_ptr<const std::string> bytes;
   };
-  void Do(int relay, zones::Member::Do& what);
+  void Do(int relay, zone_failover::ZoneFailover::Actions& what);
   void Send(int from, int to, const std::shared_ptr<const std::string>& bytes);
   double TrueShare(Seconds now, int zone) const;
 
@@ -64,8 +64,8 @@
   RunResult& result_;
   Links links_;
   std::uint64_t last_life_ = 0, last_note_ = 0;
-  std::vector<std::unique_ptr<zones::Member>> members_;
-  std::vector<zones::Member::Kept> kept_;  // by relay, in its folder
+  std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;
+  std::vector<zone_failover::ZoneFailover::SavedState> kept_;  // by relay, in its folder
   std::unordered_map<std::uint64_t, Flying> flying_;
   std::vector<double> truth_;  // by zone, as told
 };
--- a/lab/traffic.cpp
+++ b/lab/traffic.cpp
@@ -52,7 +52,8 @@
     arrival.tenant =
         static_cast<int>(std::min(tenants_.size() - 1, static_cast<std::size_t>(it - tenants_.begin())));
   }
-  if (s_.load.order_keys > 0 && s_.classes[static_cast<std::size_t>(arrival.message_class)].rules.in_order)
+  if (s_.load.order_keys > 0 &&
+      s_.classes[static_cast<std::size_t>(arrival.message_class)].rules.ordered_by_key)
     arrival.order_key = static_cast<int>(random_senders_(static_cast<std::uint32_t>(s_.load.order_keys)));
   return arrival;
 }
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -65,7 +65,8 @@
         machine.queue = -1;
         endpoint.machine = AddLane(machine, std::move(own));
       }
-      const double rough = scenario.settings.rating == RatingMeaning::kRough ? 0.5 + Unit() : 1;
+      const double rough =
+          scenario.settings.listed_rate_accuracy == ListedRateAccuracy::kRough ? 0.5 + Unit() : 1;
       endpoint.rating = lane.limit * rough;
       if (plan.connections.most > 0)
         endpoint.connections = std::max(1, static_cast<int>(std::lround(Draw(plan.connections))));
@@ -87,10 +88,10 @@
   s.latency = Draw(plan.latency);
   s.latency_cv = plan.latency_cv;
   s.queue = plan.queue;
-  s.cold_from = rules.cold_from;
-  s.ramp = rules.ramp_time;
+  s.cold_from = rules.slow_start_initial_share;
+  s.ramp = rules.slow_start_duration;
   s.overload_factor = rules.overload_factor;
-  s.overload_for = rules.overload_for;
+  s.overload_for = rules.overload_window;
   return s;
 }
 
@@ -132,24 +133,24 @@
 }
 
 std::vector<World::ListChange> World::Change(const PoolChange& change,
-                                             const std::function<Listing(EndpointId)>& listing_of,
+                                             const std::function<EndpointStatus(EndpointId)>& listing_of,
                                              const std::function<double()>& draw) {
   std::vector<ListChange> changes;
   std::set<EndpointId> leaving;
   const std::size_t count = endpoints_.size();
   for (EndpointId id = 1; id <= count; ++id) {
-    if (listing_of(id) != Listing::kInService || draw() >= change.share) continue;
+    if (listing_of(id) != EndpointStatus::kInService || draw() >= change.share) continue;
     if (change.kind == PoolChange::Kind::kReplace) {
-      changes.push_back({Replace(id), Listing::kInService});
+      changes.push_back({Replace(id), EndpointStatus::kInService});
     } else {
       const WorldPartner& partner = partners_[static_cast<std::size_t>(endpoint(id).destination - 1)];
       const auto left = std::count_if(partner.endpoints.begin(), partner.endpoints.end(), [&](EndpointId e) {
-        return listing_of(e) == Listing::kInService && leaving.count(e) == 0;
+        return listing_of(e) == EndpointStatus::kInService && leaving.count(e) == 0;
       });
       if (left < 2) continue;  // a partner that drains its last endpoint has left
     }
     leaving.insert(id);
-    changes.push_back({id, Listing::kDraining});
+    changes.push_back({id, EndpointStatus::kDraining});
   }
   return changes;
 }
--- a/lab/world.h
+++ b/lab/world.h
@@ -52,10 +52,10 @@
   // What such a change does to the list as it stands. `draw`: from 0 to 1.
   struct ListChange {
     EndpointId endpoint = 0;
-    Listing listing{};
+    EndpointStatus listing{};
   };
   std::vector<ListChange> Change(const PoolChange& change,
-                                 const std::function<Listing(EndpointId)>& listing_of,
+                                 const std::function<EndpointStatus(EndpointId)>& listing_of,
                                  const std::function<double()>& draw);
 
   // Another machine takes the endpoint's place, under a new id; the lane of a shared limit stays.
--- a/src/relay/admin.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,8 +1,8 @@
-#include "relay/admin.h"
+#include "admin/admin_server.h"
 
 #include <utility>
 
-#include "relay/server_bounds.h"
+#include "ingress/server_bounds.h"
 
 namespace opalroute {
 
@@ -21,11 +21,11 @@
 
 }  // namespace
 
-Admin::Admin(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
-             Orders orders)
+AdminServer::AdminServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
+                         Commands orders)
     : pages_(std::move(pages)), orders_(std::move(orders)), http_(loop, listen, BoundsOf(limits), *this) {}
 
-net::HttpAnswer Admin::OnRequest(net::HttpMessage& request) {
+net::HttpAnswer AdminServer::OnRequest(net::HttpMessage& request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   const auto order = orders_.find(path);
   if (request.method == "POST" && order != orders_.end()) return order->second(request.body);
--- a/src/relay/admin.h
+++ b/src/admin/admin_server.h
@@ -11,14 +11,14 @@
 
 namespace opalroute {
 
-class Admin : private net::HttpServer::Handler {
+class AdminServer : private net::HttpServer::Handler {
  public:
   using Pages = std::map<std::string, std::function<std::string()>>;  // JSON, by path
-  using Orders = std::map<std::string, std::function<net::HttpAnswer(const std::string& body)>>;  // POST
+  using Commands = std::map<std::string, std::function<net::HttpAnswer(const std::string& body)>>;  // POST
 
   // Throws std::system_error if the address can't be had.
-  Admin(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
-        Orders orders = {});
+  AdminServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
+              Commands orders = {});
   sockaddr_in address() const { return http_.address(); }
 
  private:
@@ -26,7 +26,7 @@
   void OnAnswerLost(std::uint64_t) override {}
 
   const Pages pages_;
-  const Orders orders_;
+  const Commands orders_;
   net::HttpServer http_;
 };
 
--- a/src/operation/bans.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -1,4 +1,4 @@
-#include "operation/bans.h"
+#include "admin/suspended_endpoints.h"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -10,7 +10,7 @@
 
 #include "journal/durable_file.h"
 
-namespace opalroute::operation {
+namespace opalroute::admin {
 
 namespace {
 
@@ -19,12 +19,13 @@
 
 }  // namespace
 
-Bans::Bans(std::string folder, std::size_t most_bytes) : folder_(std::move(folder)), most_bytes_(most_bytes) {
-  WithPatience(Path(kFile), [this] { return Read(ids_); });
+SuspendedEndpoints::SuspendedEndpoints(std::string folder, std::size_t most_bytes)
+    : folder_(std::move(folder)), most_bytes_(most_bytes) {
+  RetryForASecond(Path(kFile), [this] { return Read(ids_); });
 }
 
 // Danger: a file that can't be opened just now, for want of descriptors, bans as it did before.
-bool Bans::Read(std::set<std::string>& ids) {
+bool SuspendedEndpoints::Read(std::set<std::string>& ids) {
   struct stat now {};
   if (stat(Path(kFile).c_str(), &now) != 0) {
     if (errno != ENOENT) return false;
@@ -45,14 +46,14 @@
   return true;
 }
 
-bool Bans::Refresh() {
+bool SuspendedEndpoints::Refresh() {
   std::set<std::string> ids = ids_;
   if (!Read(ids) || ids == ids_) return false;
   ids_ = std::move(ids);
   return true;
 }
 
-bool Bans::Set(const std::string& id, bool banned) {
+bool SuspendedEndpoints::SetSuspended(const std::string& id, bool banned) {
   const int lock = open(Path(kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   if (lock < 0) return false;
   bool kept = false;
@@ -69,7 +70,7 @@
   return kept;
 }
 
-bool Bans::Save(const std::set<std::string>& ids) {
+bool SuspendedEndpoints::Save(const std::set<std::string>& ids) {
   std::string text;
   for (const std::string& id : ids) text += id + "\n";
   if (text.size() > most_bytes_) return false;
@@ -78,4 +79,4 @@
   return true;
 }
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::admin
--- a/src/operation/bans.h
+++ b/src/admin/suspended_endpoints.h
@@ -7,20 +7,20 @@
 #include <set>
 #include <string>
 
-namespace opalroute::operation {
+namespace opalroute::admin {
 
-class Bans {
+class SuspendedEndpoints {
  public:
   // Reads what was kept; a file that can't be read for a second is a fault: std::system_error. `most_bytes`
   // bounds the file.
-  Bans(std::string folder, std::size_t most_bytes);
+  SuspendedEndpoints(std::string folder, std::size_t most_bytes);
 
   const std::set<std::string>& ids() const { return ids_; }
   bool Has(const std::string& id) const { return ids_.count(id) > 0; }
 
   // True once it is kept; false: it could not be, and nothing has changed. Repeating one changes nothing.
   // Under a lock: two processes may be told at once.
-  bool Set(const std::string& id, bool banned);
+  bool SetSuspended(const std::string& id, bool banned);
 
   // Takes over what another process has written since; true if anything differs.
   bool Refresh();
@@ -37,4 +37,4 @@
   struct stat read_ {};  // of the file as it was read
 };
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::admin
--- a/src/relay/zone_orders.cpp
+++ b/src/admin/zone_command.cpp
@@ -1,4 +1,4 @@
-#include "relay/zone_orders.h"
+#include "admin/zone_command.h"
 
 #include <nlohmann/json.hpp>
 
@@ -6,27 +6,28 @@
 
 namespace opalroute {
 
-ZoneOrder ReadZoneOrder(const std::string& body) {
+ZoneCommand ParseZoneCommand(const std::string& body) {
   const nlohmann::json json = nlohmann::json::parse(body, nullptr, false);
   if (json.is_discarded()) throw config::FieldError("the body is no JSON");
-  ZoneOrder order;
+  ZoneCommand order;
   order.zone = config::Get<std::string>(json, "zone");
-  const auto what = zones::ByHandOf(config::Get<std::string>(json, "order"));
+  const auto what = zone_failover::OverrideKindOf(config::Get<std::string>(json, "order"));
   if (!what) throw config::FieldError("field 'order' is none of leave, keep, none");
-  order.what = *what;
+  order.override_kind = *what;
   for (const auto& [key, value] : json.items())
     if (key != "zone" && key != "order" && key != "for_s")
       throw config::FieldError("unknown field '" + key + "'");
-  if (order.what == zones::ByHand::kNone) return order;
-  order.lasts = config::Get<double>(json, "for_s");
-  if (!(order.lasts > 0 && order.lasts <= zones::Orders::kMostLasts))
+  if (order.override_kind == zone_failover::OverrideKind::kNone) return order;
+  order.duration = config::Get<double>(json, "for_s");
+  if (!(order.duration > 0 && order.duration <= zone_failover::OperatorOverrides::kMaxDuration))
     throw config::FieldError("field 'for_s' is not above 0 and 86400 at most");
   return order;
 }
 
-net::HttpAnswer TakeZoneOrder(const std::string& body, const std::function<bool(const ZoneOrder&)>& give) {
+net::HttpAnswer HandleZoneCommand(const std::string& body,
+                                  const std::function<bool(const ZoneCommand&)>& give) {
   try {
-    const ZoneOrder order = ReadZoneOrder(body);
+    const ZoneCommand order = ParseZoneCommand(body);
     if (!give(order)) return net::PlainAnswer(404, "there is no zone '" + order.zone + "'");
   } catch (const config::FieldError& error) { return net::PlainAnswer(400, error.what()); }
   return net::PlainAnswer(200, "done");
--- a/src/relay/zone_orders.h
+++ b/src/admin/zone_command.h
@@ -6,19 +6,20 @@
 #include <string>
 
 #include "net/http_server.h"
-#include "zones/orders.h"
+#include "zone_failover/operator_override.h"
 
 namespace opalroute {
 
-struct ZoneOrder {
+struct ZoneCommand {
   std::string zone;
-  zones::ByHand what{};
-  Seconds lasts = 0;  // above 0 and a day at most; of kNone it says nothing
+  zone_failover::OverrideKind override_kind{};
+  Seconds duration = 0;  // above 0 and a day at most; of kNone it says nothing
 };
 // Throws config::FieldError, which names the key that is wrong.
-ZoneOrder ReadZoneOrder(const std::string& body);
+ZoneCommand ParseZoneCommand(const std::string& body);
 
 // 200, or 400 with what is wrong; 404 where `give` says that there is no such zone.
-net::HttpAnswer TakeZoneOrder(const std::string& body, const std::function<bool(const ZoneOrder&)>& give);
+net::HttpAnswer HandleZoneCommand(const std::string& body,
+                                  const std::function<bool(const ZoneCommand&)>& give);
 
 }  // namespace opalroute
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -3,8 +3,8 @@
 #include <iostream>
 #include <utility>
 
-#include "config/operator_options.h"
-#include "zones/orders.h"
+#include "cli/operator_options.h"
+#include "zone_failover/operator_override.h"
 
 namespace opalroute::cli {
 
@@ -39,7 +39,7 @@
   auto* by_hand = zones->add_option_group("by hand", "told to all relays of the tier by this one");
   by_hand->require_option(0, 1);
   auto* ends = zones->add_option("--for", order.zones.lasts, "seconds until the order ends, a day at most")
-                   ->check(CLI::Range(1.0, zones::Orders::kMostLasts));
+                   ->check(CLI::Range(1.0, zone_failover::OperatorOverrides::kMaxDuration));
   by_hand->add_option("--leave", leave, "this zone is left, whatever calls say")->needs(ends);
   by_hand->add_option("--keep", keep, "this zone is not left, whatever calls say")->needs(ends);
   by_hand->add_option("--revoke", revoke, "an order of this zone ends now")->excludes(ends);
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "cli/zones.h"
+#include "cli/zones_command.h"
 #include "config/config.h"
 #include "config/operator.h"
 
--- a/src/config/operator_options.cpp
+++ b/src/cli/operator_options.cpp
@@ -1,4 +1,4 @@
-#include "config/operator_options.h"
+#include "cli/operator_options.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/cli/pool.cpp
+++ b/src/cli/pool_command.cpp
@@ -1,4 +1,4 @@
-#include "cli/pool.h"
+#include "cli/pool_command.h"
 
 #include <cstdio>
 #include <iostream>
@@ -6,10 +6,10 @@
 #include <nlohmann/json.hpp>
 
 #include "cli/page.h"
+#include "discovery/endpoint_list_parser.h"
+#include "discovery/merged_endpoint_source.h"
 #include "net/address.h"
 #include "net/event_loop.h"
-#include "pool/joined_pool.h"
-#include "pool/list_reader.h"
 
 namespace opalroute::cli {
 
@@ -19,20 +19,20 @@
 
 constexpr net::Seconds kTime = 10;  // for all of it
 
-class Nobody : public PoolSource::Listener {
+class Nobody : public EndpointSource::Listener {
  public:
-  void OnPoolNews(const PoolNews&) override {}
-  void OnPoolFailed() override {}
+  void OnEndpointList(const EndpointListUpdate&) override {}
+  void OnWatchFailed() override {}
 };
 
 ordered_json ResolveOnce(const Config& config, const Operator& settings) {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
   Nobody nobody;
-  const auto known = config.known.is_null() ? std::nullopt : ReadPoolList(config.known);
-  JoinedPool pool(loop, config, settings, nobody);
-  pool.Remembered(known.value_or(PoolNews{true, true, {}}));
-  for (const net::Seconds ends = loop.Now() + kTime; pool.unheard() > 0 && loop.Now() < ends;)
+  const auto known = config.known.is_null() ? std::nullopt : ParseEndpointList(config.known);
+  MergedEndpointSource pool(loop, config, settings, nobody);
+  pool.ApplyCached(known.value_or(EndpointListUpdate{true, true, {}}));
+  for (const net::Seconds ends = loop.Now() + kTime; pool.unanswered() > 0 && loop.Now() < ends;)
     loop.RunOnce(0.1);
   return pool.Print();
 }
--- a/src/cli/snapshot.cpp
+++ b/src/cli/snapshot_command.cpp
@@ -1,4 +1,4 @@
-#include "cli/snapshot.h"
+#include "cli/snapshot_command.h"
 
 #include <cstdio>
 #include <iostream>
@@ -6,26 +6,26 @@
 #include <vector>
 
 #include "journal/persistent_clock.h"
-#include "learning/learner.h"
-#include "learning/state_file.h"
 #include "net/address.h"
+#include "state_transfer/snapshot_client.h"
+#include "state_transfer/snapshot_file.h"
 
 namespace opalroute::cli {
 
 namespace {
 
-using learning::Heard;
 using nlohmann::ordered_json;
+using state_transfer::NamedRouteState;
 
 constexpr Seconds kTime = 5;  // for all of it
 
 struct Result {
   std::string name, end;
   Seconds age = 0;  // of a saved one
-  std::vector<Heard> lanes;
+  std::vector<NamedRouteState> lanes;
 };
 
-class Fetch : private learning::Learner::Owner {
+class Fetch : private state_transfer::SnapshotClient::Owner {
  public:
   explicit Fetch(const sockaddr_in& from) : learner_(loop_, {from}, "snapshot", kTime, limits_, *this) {
     loop_.Run();
@@ -33,41 +33,42 @@
   Result result;
 
  private:
-  void OnHeard(int, const Heard& heard, Seconds made) override {
+  void OnRouteState(int, const NamedRouteState& heard, Seconds made) override {
     result.lanes.push_back(heard);
-    learning::Age(result.lanes.back().belief, loop_.Now() - made);
+    state_transfer::AgeBy(result.lanes.back().state, loop_.Now() - made);
   }
-  void OnAllEnded(const std::vector<learning::Learner::Report>& reports) override {
+  void OnSnapshotsEnded(const std::vector<state_transfer::SnapshotClient::Report>& reports) override {
     result.name = reports[0].name;
-    result.end = reports[0].end;
+    result.end = reports[0].result;
     loop_.Stop();
   }
   const Limits limits_;
   const net::SystemClock clock_;
   net::EventLoop loop_{clock_};
-  learning::Learner learner_;
+  state_transfer::SnapshotClient learner_;
 };
 
 Result Load(const std::string& folder) {
   const Limits limits;
-  const auto saved = learning::StateFile(folder, limits.learn_file_bytes).Load();
+  const auto saved = state_transfer::SnapshotFile(folder, limits.learn_file_bytes).Load();
   const net::SystemClock system_clock;
   const PersistentClock clock(system_clock, folder);
-  return {saved.name, saved.end, static_cast<double>(clock.Micros() - saved.written_at) / 1e6, saved.lanes};
+  return {saved.name, saved.result, static_cast<double>(clock.Micros() - saved.written_at) / 1e6,
+          saved.routes};
 }
 
-ordered_json LaneJson(const Heard& heard) {
-  const Belief& b = heard.belief;
+ordered_json LaneJson(const NamedRouteState& heard) {
+  const RouteState& b = heard.state;
   ordered_json row = {{"destination", b.destination}};
   if (!heard.endpoint.empty()) row["endpoint"] = heard.endpoint;
-  if (b.wait > 0) row["wait_s"] = b.wait;
-  if (b.out) row["out_since_s"] = *b.out;
-  if (b.back) row["back_since_s"] = *b.back;
-  if (b.served) row["served_before_s"] = *b.served;
-  if (b.refused) row["refused_before_s"] = *b.refused;
-  if (b.refused) row["pace_per_s"] = b.pace;
-  if (b.measured) row["latency_s"] = b.latency;
-  if (b.barred) row["copies_barred_before_s"] = *b.barred;
+  if (b.retry_after > 0) row["wait_s"] = b.retry_after;
+  if (b.failure_age) row["out_since_s"] = *b.failure_age;
+  if (b.recovery_age) row["back_since_s"] = *b.recovery_age;
+  if (b.success_age) row["served_before_s"] = *b.success_age;
+  if (b.rejection_age) row["refused_before_s"] = *b.rejection_age;
+  if (b.rejection_age) row["pace_per_s"] = b.send_rate;
+  if (b.latency_age) row["latency_s"] = b.latency;
+  if (b.hedging_disabled_age) row["copies_barred_before_s"] = *b.hedging_disabled_age;
   return row;
 }
 
@@ -80,19 +81,19 @@
     else
       std::printf(" %8s", "-");
   };
-  for (const Heard& heard : result.lanes) {
-    const Belief& b = heard.belief;
+  for (const NamedRouteState& heard : result.lanes) {
+    const RouteState& b = heard.state;
     const std::string name =
         heard.endpoint.empty()
             ? "(all)"
             : ordered_json(heard.endpoint).dump(-1, ' ', true, ordered_json::error_handler_t::replace);
     std::printf("%-12lld %-16s", static_cast<long long>(b.destination), name.c_str());
-    cell(b.wait > 0, b.wait);
-    cell(b.out.has_value(), b.out.value_or(0));
-    cell(b.back.has_value(), b.back.value_or(0));
-    cell(b.served.has_value(), b.served.value_or(0));
-    cell(b.refused.has_value(), b.pace);
-    cell(b.measured.has_value(), b.latency);
+    cell(b.retry_after > 0, b.retry_after);
+    cell(b.failure_age.has_value(), b.failure_age.value_or(0));
+    cell(b.recovery_age.has_value(), b.recovery_age.value_or(0));
+    cell(b.success_age.has_value(), b.success_age.value_or(0));
+    cell(b.rejection_age.has_value(), b.send_rate);
+    cell(b.latency_age.has_value(), b.latency);
     std::printf("\n");
   }
 }
@@ -104,7 +105,7 @@
   const Result result = address ? Fetch(*address).result : Load(from);
   if (as_json) {
     ordered_json rows = ordered_json::array();
-    for (const Heard& heard : result.lanes) rows.push_back(LaneJson(heard));
+    for (const NamedRouteState& heard : result.lanes) rows.push_back(LaneJson(heard));
     const ordered_json all = {
         {"name", result.name}, {"end", result.end}, {"saved_before_s", result.age}, {"lanes", rows}};
     std::cout << all.dump(-1, ' ', true, ordered_json::error_handler_t::replace) << '\n';
--- a/src/cli/zones.cpp
+++ b/src/cli/zones_command.cpp
@@ -1,4 +1,4 @@
-#include "cli/zones.h"
+#include "cli/zones_command.h"
 
 #include <cstdio>
 #include <iostream>
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -83,7 +83,7 @@
   const double idle = GetOr(site, "connIdleS", 15.0);
   if (idle <= 0) throw FieldError("key 'settings.limits.connIdleS' must be above 0");
   limits.upstream_idle = idle - std::min(1.0, idle / 4);  // never written to when it is about to be closed
-  limits.open_transactions = config.settings.room;
+  limits.open_transactions = config.settings.request_capacity;
   config.settings.list_heartbeat = limits.watch_heartbeat;
   limits.learn_file_bytes = std::min(limits.learn_file_bytes, limits.disk_bytes / 20);
   config.may_tell_peers = GetOr(site, "peers", false);
@@ -101,7 +101,7 @@
     if (!faults.clean()) return;  // the rest would only be told as missing
     if (config.classes.empty()) throw FieldError("field 'classes' names none");
     if (config.settings.tick <= 0) throw FieldError("field 'tickS' must be above 0");
-    if (config.settings.couriers < 1) throw FieldError("field 'balancers' must be 1 or more");
+    if (config.settings.relay_count < 1) throw FieldError("field 'balancers' must be 1 or more");
   });
   faults.Throw();
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -10,25 +10,29 @@
 
 namespace {
 
-const Words<Effect> kEffects = {
-    {"idempotent", Effect::kSafe}, {"deduplicated", Effect::kKeyed}, {"at_most_once", Effect::kUnsafe}};
-const Words<KeyGroup> kGroups = {
-    {"all", KeyGroup::kAll}, {"cell", KeyGroup::kDestination}, {"zone", KeyGroup::kZone}};
-const Words<LateWorth> kLate = {{"even", LateWorth::kEven}, {"by_half", LateWorth::kHalving}};
-const Words<RatingMeaning> kRatings = {
-    {"none", RatingMeaning::kNone}, {"nominal", RatingMeaning::kExact}, {"rough", RatingMeaning::kRough}};
+const Words<Idempotency> kEffects = {{"idempotent", Idempotency::kIdempotent},
+                                     {"deduplicated", Idempotency::kIdempotencyKey},
+                                     {"at_most_once", Idempotency::kNonIdempotent}};
+const Words<DeduplicationScope> kGroups = {{"all", DeduplicationScope::kAll},
+                                           {"cell", DeduplicationScope::kDestination},
+                                           {"zone", DeduplicationScope::kZone}};
+const Words<LateDecay> kLate = {{"even", LateDecay::kLinear}, {"by_half", LateDecay::kHalving}};
+const Words<ListedRateAccuracy> kRatings = {{"none", ListedRateAccuracy::kNone},
+                                            {"nominal", ListedRateAccuracy::kExact},
+                                            {"rough", ListedRateAccuracy::kRough}};
 const Words<bool> kDiscovery = {{"push", false}, {"ask", true}};
 
-MessageClass ParseClass(const json& item) {
-  MessageClass result;
-  result.effect = Word(kEffects, item, "effect");
-  result.group = Find(item, "group") != nullptr ? Word(kGroups, item, "group") : KeyGroup::kZone;
-  result.key_window = GetOr(item, "keyTtlS", 0.0);
-  result.aim = Get<double>(item, "aimS");
+RequestClass ParseClass(const json& item) {
+  RequestClass result;
+  result.idempotency = Word(kEffects, item, "effect");
+  result.deduplication_scope =
+      Find(item, "group") != nullptr ? Word(kGroups, item, "group") : DeduplicationScope::kZone;
+  result.deduplication_window = GetOr(item, "keyTtlS", 0.0);
+  result.latency_objective = Get<double>(item, "aimS");
   result.deadline = Get<double>(item, "deadlineS");
-  result.late_share = GetOr(item, "lateShare", 0.0);
-  result.worth = Get<double>(item, "worth");
-  result.in_order = GetOr(item, "keepOrder", false);
+  result.weight_at_deadline = GetOr(item, "lateShare", 0.0);
+  result.priority_weight = Get<double>(item, "worth");
+  result.ordered_by_key = GetOr(item, "keepOrder", false);
   return result;
 }
 
@@ -76,32 +80,34 @@
     for (std::size_t i = 0; i < NamesIn(options, "kinds", nullptr).size(); ++i)
       s.kinds.push_back({At(info, "routesApart", i, false), At(info, "bundleMax", i, 1)});
   });
-  number(nullptr, options, "balancers", s.couriers);
-  number("familyInfo", info, "callsOut", s.slots);
-  number("limits", limits, "openCap", s.room);
-  number("limits", limits, "mostTries", s.most_tries);
+  number(nullptr, options, "balancers", s.relay_count);
+  number("familyInfo", info, "callsOut", s.concurrency_limit);
+  number("limits", limits, "openCap", s.request_capacity);
+  number("limits", limits, "mostTries", s.max_attempts);
   perhaps("limits", limits, "cancel", s.may_cancel);
-  perhaps("limits", limits, "secondCopies", s.may_copy);
-  perhaps("limits", limits, "probes", s.may_probe);
-  perhaps("limits", limits, "peers", s.may_tell_peers);
-  perhaps("limits", limits, "retryAfter", s.may_advise_wait);
-  perhaps("limits", limits, "maxRetryAfterS", s.longest_wait);
-  faults.Try([&] { s.ask_for_list = Word(kDiscovery, options, "discovery"); });
-  faults.Try([&] { s.late = Find(info, "late") != nullptr ? Word(kLate, info, "late") : LateWorth::kEven; });
+  perhaps("limits", limits, "secondCopies", s.may_hedge);
+  perhaps("limits", limits, "probes", s.may_health_check);
+  perhaps("limits", limits, "peers", s.may_gossip);
+  perhaps("limits", limits, "retryAfter", s.may_send_retry_after);
+  perhaps("limits", limits, "maxRetryAfterS", s.max_retry_after);
+  faults.Try([&] { s.poll_endpoint_list = Word(kDiscovery, options, "discovery"); });
+  faults.Try(
+      [&] { s.late_decay = Find(info, "late") != nullptr ? Word(kLate, info, "late") : LateDecay::kLinear; });
   faults.Try([&] {
-    s.rating =
-        Find(options, "weightKind") != nullptr ? Word(kRatings, options, "weightKind") : RatingMeaning::kNone;
+    s.listed_rate_accuracy = Find(options, "weightKind") != nullptr ? Word(kRatings, options, "weightKind")
+                                                                    : ListedRateAccuracy::kNone;
   });
-  s.over_share_worth = 1;
-  perhaps(nullptr, options, "overShareWorth", s.over_share_worth);
+  s.over_quota_weight = 1;
+  perhaps(nullptr, options, "overShareWorth", s.over_quota_weight);
   number(nullptr, options, "tickS", s.tick);
-  perhaps("rules", rules, "askWithinS", s.ask_within);
+  perhaps("rules", rules, "askWithinS", s.max_poll_interval);
   perhaps("rules", rules, "drainGraceS", s.drain_grace);
-  number("rules", rules, "overloadForS", s.overload_for);
+  number("rules", rules, "overloadForS", s.overload_window);
   number("rules", rules, "overloadFactor", s.overload_factor);
-  number("rules", rules, "coldFrom", s.cold_from);
-  number("rules", rules, "rampTimeS", s.ramp_time);
-  if (Find(rules, "keyRestS") != nullptr) in("rules", [&] { s.key_rest = Get<double>(rules, "keyRestS"); });
+  number("rules", rules, "coldFrom", s.slow_start_initial_share);
+  number("rules", rules, "rampTimeS", s.slow_start_duration);
+  if (Find(rules, "keyRestS") != nullptr)
+    in("rules", [&] { s.ordered_key_pause = Get<double>(rules, "keyRestS"); });
   s.seed = seed;
   faults.Throw();
   return s;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute::config {
 
--- a/src/decisions/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -1,4 +1,4 @@
-#include "decisions/endpoint_list_lease.h"
+#include "decision/endpoint_list_lease.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,20 +17,21 @@
 // Danger: a drain binds whether it was told or not, so no spread may outlast its grace. A relay that has not
 // asked for `ask_within` counts as told, too.
 EndpointListLease::EndpointListLease(const Settings& settings)
-    : told_within_(settings.ask_within > 0 ? std::min(settings.list_told_within, settings.ask_within)
-                                           : settings.list_told_within),
-      told_after_move_(std::min(settings.list_told_after_move, told_within_)),
+    : told_within_(settings.max_poll_interval > 0
+                       ? std::min(settings.list_notification_time, settings.max_poll_interval)
+                       : settings.list_notification_time),
+      told_after_move_(std::min(settings.list_notification_time_after_move, told_within_)),
       heartbeat_(settings.list_heartbeat),
-      few_(settings.couriers <= kFewRelays),
-      pushed_(!settings.ask_for_list),
-      spread_(std::min(settings.drain_grace, kSpreadEach * settings.couriers)),
+      few_(settings.relay_count <= kFewRelays),
+      pushed_(!settings.poll_endpoint_list),
+      spread_(std::min(settings.drain_grace, kSpreadEach * settings.relay_count)),
       random_(settings.seed) {}
 
 void EndpointListLease::Heed(ListScope scope, Seconds now) {
   switch (scope) {
-    case ListScope::kRemembered:
+    case ListScope::kCached:
       return Begin(now);
-    case ListScope::kRefused:
+    case ListScope::kWatchFailed:
       return TryFailed(now);
     default:
       return Confirm(now);
--- a/src/decisions/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -10,7 +10,7 @@
 
 #include <optional>
 
-#include "parts.h"
+#include "decision/state.h"
 
 namespace opalroute {
 
--- a/src/rules.cpp
+++ b/src/decision/request_router.cpp
@@ -1,6 +1,6 @@
 // The decision module: every decision of a courier, its tables and its tuned values. Interface: rules.h
 // In the order of a message's life. An ordinary send is NetClone's rule (docs/design.md); else DEPARTURE.
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,9 +11,9 @@
 #include <tuple>
 #include <utility>
 
-#include "decisions/endpoint_list_lease.h"
-#include "lane_note.h"
-#include "parts.h"
+#include "decision/endpoint_list_lease.h"
+#include "decision/route_gossip.h"
+#include "decision/state.h"
 
 namespace opalroute {
 namespace {
@@ -63,7 +63,7 @@
 
 enum class Circuit { kClosed, kOpen, kHalfOpen };
 
-struct Endpoint : ListEntry {
+struct Endpoint : ListedEndpoint {
   Lane* lane = nullptr;
   Lane own_lane;
   std::multiset<Seconds> out;             // send times of the calls that are out
@@ -92,13 +92,13 @@
 
 }  // namespace
 
-class Courier::Impl {
+class RequestRouter::Impl {
  public:
   explicit Impl(const Settings& settings) : s_(settings), random_(settings.seed), list_lease_(settings) {
-    for (const MessageClass& c : s_.classes) longest_aim_ = std::max(longest_aim_, c.aim);
+    for (const RequestClass& c : s_.classes) longest_aim_ = std::max(longest_aim_, c.latency_objective);
     least_limit_.assign(s_.kinds.size(), kNever);
     for (const Tenant& tenant : s_.tenants)
-      tenant_buckets_.push_back({kTenantBurst * tenant.allowance / s_.couriers, 0});
+      tenant_buckets_.push_back({kTenantBurst * tenant.quota / s_.relay_count, 0});
   }
 
   void Handle(Seconds now, const Event& event, std::vector<Action>& actions) {
@@ -109,12 +109,12 @@
 
   bool MayLeave(Seconds now, EndpointId endpoint) const {
     const auto e = endpoints_.find(endpoint);
-    return e != endpoints_.end() && e->second.listing == Listing::kInService &&
+    return e != endpoints_.end() && e->second.status == EndpointStatus::kInService &&
            e->second.lane->held_until <= now;
   }
 
-  std::vector<Belief> Beliefs(Seconds now, std::optional<DestinationId>& from, int most) const {
-    std::vector<Belief> beliefs;
+  std::vector<RouteState> Beliefs(Seconds now, std::optional<DestinationId>& from, int most) const {
+    std::vector<RouteState> beliefs;
     auto it = from ? destinations_.lower_bound(*from) : destinations_.end();
     for (; it != destinations_.end() && most > 0; ++it, --most)
       for (const Endpoint* e : it->second.endpoints)
@@ -130,40 +130,40 @@
   // ---- the list of endpoints ---------------------------------------------------------------
 
   void On(const ListUpdate& update) {
-    if (update.of_discovery) list_lease_.Heed(update.scope, now_);
-    if (update.scope == ListScope::kRemembered) RenewList();
-    if (update.scope == ListScope::kRefused) return;
+    if (update.from_discovery) list_lease_.Heed(update.scope, now_);
+    if (update.scope == ListScope::kCached) RenewList();
+    if (update.scope == ListScope::kWatchFailed) return;
     for (auto& [id, endpoint] : endpoints_) {  // what a whole list does not name is gone
       if (update.scope == ListScope::kChanges) break;
-      endpoint.listing = Listing::kGone;
+      endpoint.status = EndpointStatus::kRemoved;
       tended_.insert(id);
     }
-    for (const ListEntry& entry : update.entries) Place(entry);
+    for (const ListedEndpoint& entry : update.entries) Place(entry);
   }
 
   void On(const ListConfirmed&) { list_lease_.Confirm(now_); }
-  void On(const ListMoved&) { list_lease_.Moved(now_), RenewList(); }
+  void On(const DiscoveryMoved&) { list_lease_.Moved(now_), RenewList(); }
 
   void RenewList() {
-    if (list_lease_.TakeDueTry(now_)) actions_->push_back(WatchList{true});
+    if (list_lease_.TakeDueTry(now_)) actions_->push_back(WatchEndpointList{true});
     if (const auto expired = list_lease_.TakeChange(now_))
       actions_->push_back(Log{*expired ? "endpoint list not confirmed in time, the one held serves on"
                                        : "endpoint list is current again"});
   }
 
-  void Place(const ListEntry& entry) {
+  void Place(const ListedEndpoint& entry) {
     auto [it, fresh] = endpoints_.try_emplace(entry.endpoint);
     Endpoint& e = it->second;
-    static_cast<ListEntry&>(e) = entry;
+    static_cast<ListedEndpoint&>(e) = entry;
     Destination& d = destinations_[entry.destination];
     d.id = entry.destination;
     if (fresh) {
       const auto by_id = [](const Endpoint* a, const Endpoint* b) { return a->endpoint < b->endpoint; };
       d.endpoints.insert(std::upper_bound(d.endpoints.begin(), d.endpoints.end(), &e, by_id), &e);
     }
-    if (e.listing == Listing::kGone) tended_.insert(entry.endpoint);
-    e.lane = s_.kinds[e.kind].routes_apart ? &e.own_lane : &d.lane;
-    if (s_.rating != RatingMeaning::kNone) LearnLimit(e, entry.rating);
+    if (e.status == EndpointStatus::kRemoved) tended_.insert(entry.endpoint);
+    e.lane = s_.kinds[e.kind].limits_per_endpoint ? &e.own_lane : &d.lane;
+    if (s_.listed_rate_accuracy != ListedRateAccuracy::kNone) LearnLimit(e, entry.listed_rate);
   }
 
   void LearnLimit(const Endpoint& e, double limit) {
@@ -172,25 +172,26 @@
     least_limit_[e.kind] = std::min(least_limit_[e.kind], limit);
     if (std::exchange(lane.limit, limit) <= 0) {
       const double start = limit / parts_;  // where that is no call in many seconds
-      if (limit * s_.overload_for > s_.couriers) lane.pace = std::min(lane.pace, start);
+      if (limit * s_.overload_window > s_.relay_count) lane.pace = std::min(lane.pace, start);
       lane.bucket = {1, std::max(lane.bucket.filled, now_)};
     }
     lane.pace = std::min(lane.pace, limit);
   }
 
   // Danger: an N-th of a limit is a call in many seconds. A share is never less than a call in overload_for.
-  double EvenShare(const Lane& l) const { return l.limit > 0 ? l.limit / parts_ : 1 / s_.overload_for; }
+  double EvenShare(const Lane& l) const { return l.limit > 0 ? l.limit / parts_ : 1 / s_.overload_window; }
 
   // ---- the tier ----------------------------------------------------------------------------
 
-  void On(const TierSize& told) { parts_ = std::max(1.0, told.parts); }
-  void On(const ZoneShare& told) {
-    const double before = std::exchange(zones_[told.zone], told).share;
+  void On(const FleetSize& told) { parts_ = std::max(1.0, told.share_count); }
+  void On(const ZoneTrafficShare& told) {
+    const double before = std::exchange(zones_[told.zone], told).traffic_share;
     for (auto& [id, e] : endpoints_) {
       if (e.zone != told.zone) continue;
-      if (told.scout) Open(e, false);           // it is tried, and no more
-      if (told.share <= 0) unused_.insert(id);  // what is kept may serve on while nothing new comes up
-      if (before > 0 || told.share <= 0 || !IsApart(e)) continue;
+      if (told.is_health_check_relay) Open(e, false);  // it is tried, and no more
+      if (told.traffic_share <= 0)
+        unused_.insert(id);  // what is kept may serve on while nothing new comes up
+      if (before > 0 || told.traffic_share <= 0 || !IsApart(e)) continue;
       e.lane->cold = true;  // Danger: nobody has called it since, and all come back at this moment
       StartSlowly(*e.lane);
       if (e.circuit == Circuit::kOpen) e.circuit = Circuit::kHalfOpen;
@@ -198,46 +199,49 @@
   }
   // Never the last zone of a destination: only where one that is left less seems to serve.
   bool IsLeft(const Destination& d, const Endpoint& e) {
-    const ZoneShare order = zones_[e.zone];
-    if (order.scout || order.share >= 1 || (order.share > 0 && random_.Unit() < order.share)) return false;
+    const ZoneTrafficShare order = zones_[e.zone];
+    if (order.is_health_check_relay || order.traffic_share >= 1 ||
+        (order.traffic_share > 0 && random_.Unit() < order.traffic_share))
+      return false;
     return std::any_of(d.endpoints.begin(), d.endpoints.end(), [&](const Endpoint* o) {
-      return o->listing == Listing::kInService && !IsTrial(*o) && zones_[o->zone].share > order.share;
+      return o->status == EndpointStatus::kInService && !IsTrial(*o) &&
+             zones_[o->zone].traffic_share > order.traffic_share;
     });
   }
 
   // ---- a message is taken ------------------------------------------------------------------
 
-  void On(const NewMessage& taken) {
+  void On(const NewRequest& taken) {
     Message& m = Admit(taken);
     m.over_share = taken.tenant && !TakeShare(*taken.tenant);
     LineUp(m);
   }
 
   // Danger: what was out when the process ended may have run. As attempts these bind the repeats (rule 2).
-  void On(const Restored& r) {
-    Message& m = Admit(r.message);
+  void On(const RecoveredRequest& r) {
+    Message& m = Admit(r.request);
     for (const EarlierAttempt& a : r.attempts)
       m.attempts.push_back({a.endpoint, a.zone, 0, now_ - a.age, false, a.may_have_run});
     LineUp(m);
   }
 
-  Message& Admit(const NewMessage& taken) {
-    const MessageClass& c = s_.classes[taken.message_class];
-    Message& m = messages_[taken.message];
-    static_cast<NewMessage&>(m) = taken;
-    m.deadline = now_ + taken.patience;
+  Message& Admit(const NewRequest& taken) {
+    const RequestClass& c = s_.classes[taken.request_class];
+    Message& m = messages_[taken.request_id];
+    static_cast<NewRequest&>(m) = taken;
+    m.deadline = now_ + taken.remaining_time;
     m.handed_in = m.deadline - c.deadline;
     Destination& d = destinations_[m.destination];
     d.id = m.destination;
     ++d.held;
     ++held_;
-    if (!c.in_order) m.key.clear();
+    if (!c.ordered_by_key) m.key.clear();
     return m;
   }
 
   void LineUp(Message& m) {
     if (m.key.empty()) return Enqueue(m);
-    keys_[m.key].line.push_back(m.message);
+    keys_[m.key].line.push_back(m.request_id);
     m.where = Message::Where::kQueuedByKey;
     SetExpiry(m);
     AdvanceKey(std::string(m.key));
@@ -245,7 +249,7 @@
 
   bool TakeShare(int tenant) {  // an even part of the allowance; what comes above it has little worth
     TokenBucket& bucket = tenant_buckets_[tenant];
-    const double rate = s_.tenants[tenant].allowance / parts_;
+    const double rate = s_.tenants[tenant].quota / parts_;
     bucket.Fill(now_, rate, kTenantBurst * rate);
     return bucket.Take();
   }
@@ -278,47 +282,49 @@
     Seconds until = kNever;
   };
   std::optional<Bounds> BoundsOf(const Message& m) const {
-    const MessageClass& c = s_.classes[m.message_class];
-    if (c.effect == Effect::kSafe) return Bounds{};
+    const RequestClass& c = s_.classes[m.request_class];
+    if (c.idempotency == Idempotency::kIdempotent) return Bounds{};
     for (const Attempt& a : m.attempts) {
       if (!a.out && !a.may_have_run) continue;
-      if (c.effect == Effect::kUnsafe) return std::nullopt;
-      const Seconds usual = Usual(destinations_.at(m.destination)), most = kWayKept * c.key_window;
+      if (c.idempotency == Idempotency::kNonIdempotent) return std::nullopt;
+      const Seconds usual = Usual(destinations_.at(m.destination)), most = kWayKept * c.deduplication_window;
       const Seconds way = usual > 0 ? std::min(usual, most) : most;
-      return Bounds{c.group == KeyGroup::kZone ? a.zone : -1, a.sent + c.key_window - s_.tick - way};
+      return Bounds{c.deduplication_scope == DeduplicationScope::kZone ? a.zone : -1,
+                    a.sent + c.deduplication_window - s_.tick - way};
     }
     return Bounds{};
   }
 
   bool MayRefuse(const Message& m) const {
-    const MessageClass& c = s_.classes[m.message_class];
-    const bool keyed_everywhere = c.effect == Effect::kKeyed && c.group == KeyGroup::kAll;
-    return c.effect == Effect::kSafe || keyed_everywhere ||
+    const RequestClass& c = s_.classes[m.request_class];
+    const bool keyed_everywhere =
+        c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope == DeduplicationScope::kAll;
+    return c.idempotency == Idempotency::kIdempotent || keyed_everywhere ||
            std::none_of(m.attempts.begin(), m.attempts.end(),
                         [](const Attempt& a) { return a.out || a.may_have_run; });
   }
 
   void Enqueue(Message& m) {
     const auto bounds = BoundsOf(m);
-    if (!bounds || bounds->until <= now_ || m.TriesUsed() >= s_.most_tries) {
+    if (!bounds || bounds->until <= now_ || m.TriesUsed() >= s_.max_attempts) {
       End(m);  // nothing more can be tried: the answer goes out at once
       return;
     }
     Destination& d = destinations_[m.destination];
     m.where = Message::Where::kWaiting;
-    m.bucket = {m.message_class, m.over_share, bounds->zone};
-    d.waiting[m.bucket].insert({m.handed_in, m.message});
+    m.bucket = {m.request_class, m.over_share, bounds->zone};
+    d.waiting[m.bucket].insert({m.handed_in, m.request_id});
     ++d.waiting_count;
     active_[d.id] = &d;
     SetExpiry(m);
   }
 
   void LeaveWaiting(Message& m) {
-    if (m.where == Message::Where::kDelayed) delayed_.erase({m.not_before, m.message});
+    if (m.where == Message::Where::kDelayed) delayed_.erase({m.not_before, m.request_id});
     if (m.where != Message::Where::kWaiting) return;
     Destination& d = destinations_[m.destination];
     const auto bucket = d.waiting.find(m.bucket);
-    bucket->second.erase({m.handed_in, m.message});
+    bucket->second.erase({m.handed_in, m.request_id});
     if (bucket->second.empty()) d.waiting.erase(bucket);
     if (--d.waiting_count == 0) active_.erase(d.id);
   }
@@ -329,36 +335,38 @@
     if (m.out == 0) {
       const auto bounds = BoundsOf(m);
       at -= std::max(2 * s_.tick, std::min(Usual(destinations_[m.destination]),
-                                           0.1 * s_.classes[m.message_class].deadline));
+                                           0.1 * s_.classes[m.request_class].deadline));
       if (bounds) at = std::min(at, bounds->until);
     }
-    if (m.expiry < kNever) expiries_.erase({m.expiry, m.message});
+    if (m.expiry < kNever) expiries_.erase({m.expiry, m.request_id});
     m.expiry = at;
-    expiries_.insert({at, m.message});
+    expiries_.insert({at, m.request_id});
   }
 
   Seconds Usual(const Destination& d) const { return (d.latency.mean > 0 ? d.latency : all_latency_).mean; }
 
   double WorthAt(const BucketKey& bucket, Seconds age) const {
-    const MessageClass& c = s_.classes[std::get<0>(bucket)];
-    const double worth = c.worth * (std::get<1>(bucket) ? s_.over_share_worth : 1);
-    if (age <= c.aim) return worth;
+    const RequestClass& c = s_.classes[std::get<0>(bucket)];
+    const double worth = c.priority_weight * (std::get<1>(bucket) ? s_.over_quota_weight : 1);
+    if (age <= c.latency_objective) return worth;
     if (age >= c.deadline) return 0;
-    if (s_.late == LateWorth::kHalving)
-      return worth * std::max(c.late_share, std::exp2(-(age - c.aim) / c.aim));
-    return worth * (1 - (1 - c.late_share) * (age - c.aim) / (c.deadline - c.aim));
+    if (s_.late_decay == LateDecay::kHalving)
+      return worth *
+             std::max(c.weight_at_deadline, std::exp2(-(age - c.latency_objective) / c.latency_objective));
+    return worth * (1 - (1 - c.weight_at_deadline) * (age - c.latency_objective) /
+                            (c.deadline - c.latency_objective));
   }
 
   // The earliest that can still be served within its aim; else the freshest: it has most of its worth.
-  std::pair<Seconds, MessageId> BestOf(const BucketKey& key, const Line& set, Seconds latency) const {
-    const Seconds aim = s_.classes[std::get<0>(key)].aim;
+  std::pair<Seconds, RequestId> BestOf(const BucketKey& key, const Line& set, Seconds latency) const {
+    const Seconds aim = s_.classes[std::get<0>(key)].latency_objective;
     const auto in_aim = set.lower_bound({now_ + latency - aim, 0});
     return in_aim != set.end() ? *in_aim : *set.rbegin();
   }
 
   // ---- turn end: what can leave now leaves ----------------------------------------------------
 
-  void On(const TurnEnd&) {
+  void On(const BatchEnd&) {
     RenewList();
     while (!key_rests_.empty() && key_rests_.begin()->first <= now_) {
       const std::string key = key_rests_.begin()->second;
@@ -382,18 +390,18 @@
       if (!due->empty()) wake = std::min(wake, due->begin()->first);
     if (wake < kNever && (armed_ <= now_ || wake < armed_)) {
       armed_ = std::max(wake, now_ + s_.tick / 2);
-      actions_->push_back(SetWake{armed_, ++wake_label_});
+      actions_->push_back(SetTimer{armed_, ++wake_label_});
     }
   }
 
   // Bulkhead for the room: the longest line loses its least worthy; an outage turns no other away.
   void MakeRoom() {
-    const int most = s_.room - std::max(1, static_cast<int>(kRoomKept * s_.room));
+    const int most = s_.request_capacity - std::max(1, static_cast<int>(kRoomKept * s_.request_capacity));
     while (held_ > most && !active_.empty()) {
       const Destination* longest = active_.begin()->second;
       for (const auto& [id, d] : active_)
         if (d->waiting_count > longest->waiting_count) longest = d;
-      std::pair<double, MessageId> least{kNever, 0};
+      std::pair<double, RequestId> least{kNever, 0};
       for (const auto& [key, set] : longest->waiting)
         least = std::min(least, {WorthAt(key, now_ - set.begin()->first), set.begin()->second});
       End(messages_.at(least.second));
@@ -420,7 +428,7 @@
 
   static double BundleStretch(int messages) { return 1 + kBundleWork * (messages - 1); }
 
-  int FreeSlots() const { return s_.slots - Count(calls_); }
+  int FreeSlots() const { return s_.concurrency_limit - Count(calls_); }
 
   // Danger: lost calls hold slots. With none free, the call out longest beyond reason is called off.
   void ReclaimSlot() {
@@ -429,7 +437,7 @@
       WatchForStall(e);
       const Seconds reason = kReclaimAfter * PatienceWith(e) * BundleStretch(Count(call.attempts));
       if (!s_.may_cancel || now_ - call.sent < reason || std::exchange(call.called_off, true)) continue;
-      for (const auto& [m, attempt] : call.attempts) actions_->push_back(Cancel{m, attempt});
+      for (const auto& [m, attempt] : call.attempts) actions_->push_back(CancelAttempt{m, attempt});
       return;
     }
   }
@@ -439,13 +447,13 @@
     if (now_ + kStopSpread * Usual(d) >= stop_at_) return wake;  // the next process sends it
     std::vector<Endpoint*> ready;
     for (Endpoint* e : d.endpoints) {
-      if (e->listing != Listing::kInService) continue;  // rule 3: on the news, at once
+      if (e->status != EndpointStatus::kInService) continue;  // rule 3: on the news, at once
       WatchForStall(*e);
-      const Seconds wait = IsLeft(d, *e) ? s_.overload_for / 10 : WaitFor(*e);  // by then it is drawn anew
+      const Seconds wait = IsLeft(d, *e) ? s_.overload_window / 10 : WaitFor(*e);  // by then it is drawn anew
       if (wait > 0) {
         wake = std::min(wake, now_ + wait);
       } else if (e->circuit == Circuit::kOpen) {
-        if (s_.may_probe && !e->probing && !e->never_ran) continue;  // a probe goes instead
+        if (s_.may_health_check && !e->probing && !e->never_ran) continue;  // a probe goes instead
         if (MayHoldMore(*e) && BestBucket(d, {e}, true)) {
           SendCall(d, *e, nullptr);
           return kNever;
@@ -469,8 +477,9 @@
     if (lane.pace < kNever) {
       const Seconds passed = now_ - lane.bucket.filled;
       if (lane.limit > 0)
-        lane.pace = std::min(lane.limit, lane.pace + EvenShare(lane) * passed / (kPaceRegain * s_.ramp_time));
-      lane.bucket.Fill(now_, lane.pace, std::max(1.0, lane.pace * kPaceDepth * s_.overload_for));
+        lane.pace = std::min(lane.limit,
+                             lane.pace + EvenShare(lane) * passed / (kPaceRegain * s_.slow_start_duration));
+      lane.bucket.Fill(now_, lane.pace, std::max(1.0, lane.pace * kPaceDepth * s_.overload_window));
       wait = std::max(wait, lane.bucket.Wait(lane.pace));
     }
     if (bound && !IsTrial(e)) {
@@ -478,7 +487,7 @@
       lane.warming.Fill(now_, rate, 1);
       wait = std::max(wait, lane.warming.Wait(rate));
     } else if (bound) {
-      if (lane.next_trial < now_ - kTrialKept * s_.overload_for)  // unused, it lapses: none is saved
+      if (lane.next_trial < now_ - kTrialKept * s_.overload_window)  // unused, it lapses: none is saved
         lane.next_trial = now_ + wait + TrialGap(e) * random_.Unit();
       wait = std::max(wait, lane.next_trial - now_);
     }
@@ -488,12 +497,12 @@
   // Danger: rule 4 counts a courier after one bad outcome; it may be a full limit. docs/design.md, 'Doubt'.
   bool IsBound(Endpoint& e) {
     Lane& lane = *e.lane;
-    const bool may_be_out = lane.bad >= kBadToDoubt && lane.last_served <= now_ - s_.overload_for;
+    const bool may_be_out = lane.bad >= kBadToDoubt && lane.last_served <= now_ - s_.overload_window;
     if (may_be_out && lane.bad >= EnoughToDoubt(e)) {
       if (!std::exchange(lane.cold, true)) TrySoon(lane);
       lane.ramp_from = kNever;
     }
-    if (now_ - lane.ramp_from >= s_.ramp_time) {
+    if (now_ - lane.ramp_from >= s_.slow_start_duration) {
       lane.cold = false;
       if (e.circuit == Circuit::kHalfOpen) e.circuit = Circuit::kClosed;
     }
@@ -501,8 +510,8 @@
   }
 
   int EnoughToDoubt(const Endpoint& e) const {
-    if (e.lane->last_served > now_ - s_.ramp_time) return kBadIfServed;
-    const double own = ColdSum(e, s_.cold_from) * s_.overload_for / parts_;
+    if (e.lane->last_served > now_ - s_.slow_start_duration) return kBadIfServed;
+    const double own = ColdSum(e, s_.slow_start_initial_share) * s_.overload_window / parts_;
     return std::min(kBadIfServed, kBadToDoubt + static_cast<int>(std::lround(own)));
   }
 
@@ -511,40 +520,40 @@
 
   // It may be a false alarm, so the first trial comes soon; docs/design.md, 'Doubt', on how soon.
   void TrySoon(Lane& lane) {
-    const double part = kFirstTrial * kInformedPart * s_.overload_factor * s_.cold_from;
-    lane.next_trial = now_ + 2 * part * s_.overload_for * random_.Unit();
+    const double part = kFirstTrial * kInformedPart * s_.overload_factor * s_.slow_start_initial_share;
+    lane.next_trial = now_ + 2 * part * s_.overload_window * random_.Unit();
   }
 
   // Danger: none sees the others or the return. What all may send: docs/design.md, 'Return'.
   double ColdSum(const Endpoint& e, double share) const {
     double limit = e.lane->limit > 0 ? e.lane->limit : least_limit_[e.kind];
-    if (limit == kNever) limit = 1 / s_.overload_for;
+    if (limit == kNever) limit = 1 / s_.overload_window;
     const double part = std::min(1.0, kInformedPart * parts_ / std::max(1.0, parts_ - 1.0));
-    const double budget = part * s_.overload_factor * share * limit * s_.overload_for;
+    const double budget = part * s_.overload_factor * share * limit * s_.overload_window;
     const double chance = kChance / 2 * std::sqrt(1 - 1 / parts_);
     const double root = std::sqrt(chance * chance + budget) - chance;
     const double spaced = budget - kChance / 2 * std::sqrt(parts_ - 1);  // each one's calls are
-    return std::max(root * root, spaced) / ((1 + kTrialKept) * s_.overload_for);
+    return std::max(root * root, spaced) / ((1 + kTrialKept) * s_.overload_window);
   }
 
   // Of that at its coldest each courier tries an even part of this share, at a drawn moment that lapses.
   double TrialPart() const { return (1 + 1 / parts_) / 2; }
   Seconds TrialGap(const Endpoint& e) {  // silence alone, without a failure or refusal, binds nobody
-    const double tried_by = zones_[e.zone].scout ? std::min(kScouts, parts_) : parts_;
-    const Seconds gap = tried_by / (TrialPart() * ColdSum(e, s_.cold_from));
-    return e.lane->bad > 0 ? gap : std::min(gap, s_.overload_for);
+    const double tried_by = zones_[e.zone].is_health_check_relay ? std::min(kScouts, parts_) : parts_;
+    const Seconds gap = tried_by / (TrialPart() * ColdSum(e, s_.slow_start_initial_share));
+    return e.lane->bad > 0 ? gap : std::min(gap, s_.overload_window);
   }
 
   // Slow start, by the courier's own clock, which runs late: docs/design.md, 'Return'.
   double WarmingRate(const Endpoint& e) const {
-    const double warm = std::clamp((now_ - e.lane->ramp_from) / s_.ramp_time, 0.0, 1.0);
-    const double share = s_.cold_from + (1 - s_.cold_from) * warm;
+    const double warm = std::clamp((now_ - e.lane->ramp_from) / s_.slow_start_duration, 0.0, 1.0);
+    const double share = s_.slow_start_initial_share + (1 - s_.slow_start_initial_share) * warm;
     if (AllHear(*e.lane)) return kInformedPart * s_.overload_factor * share * e.lane->limit / parts_;
     const double even = ColdSum(e, share) / parts_;
-    return std::max(TrialPart() * even,
-                    (ColdSum(e, 1) / ColdSum(e, s_.cold_from) - 1) / (TrialPart() * s_.ramp_time));
+    return std::max(TrialPart() * even, (ColdSum(e, 1) / ColdSum(e, s_.slow_start_initial_share) - 1) /
+                                            (TrialPart() * s_.slow_start_duration));
   }
-  bool AllHear(const Lane& l) const { return s_.may_tell_peers && s_.couriers > kKeepers && l.limit > 0; }
+  bool AllHear(const Lane& l) const { return s_.may_gossip && s_.relay_count > kKeepers && l.limit > 0; }
   void StartSlowly(Lane& lane) {
     lane.bad = 0;
     lane.ramp_from = now_;
@@ -555,7 +564,7 @@
   void WatchForStall(Endpoint& e) {
     if (e.circuit != Circuit::kClosed || e.out.empty()) return;
     const Seconds oldest = *e.out.begin();
-    const Seconds patience = PatienceWith(e) * BundleStretch(s_.kinds[e.kind].bundle / 2);
+    const Seconds patience = PatienceWith(e) * BundleStretch(s_.kinds[e.kind].max_batch / 2);
     if (e.last_served < oldest && now_ - oldest > patience) Open(e, false);
   }
 
@@ -572,7 +581,7 @@
     for (const auto& [id, call] : calls_)
       if (IsSick(endpoints_.at(call.endpoint))) sick.insert(call.endpoint);
     const auto live = std::distance(e.out.upper_bound(now_ - kReclaimAfter * PatienceWith(e)), e.out.end());
-    return live < std::max(1, static_cast<int>(kSickSlots * s_.slots) / std::max(1, Count(sick)));
+    return live < std::max(1, static_cast<int>(kSickSlots * s_.concurrency_limit) / std::max(1, Count(sick)));
   }
 
   // The most worthy; of equals, whose aim ends first. A trial prefers what may be repeated.
@@ -584,10 +593,10 @@
       const int zone = std::get<2>(key);
       const auto inside = [zone](const Endpoint* e) { return zone < 0 || e->zone == zone; };
       if (std::none_of(ready.begin(), ready.end(), inside)) continue;
-      const MessageClass& c = s_.classes[std::get<0>(key)];
+      const RequestClass& c = s_.classes[std::get<0>(key)];
       const Seconds handed_in = BestOf(key, line, latency).first;
-      const std::tuple rank(!trial || c.effect != Effect::kUnsafe, WorthAt(key, now_ + latency - handed_in),
-                            -(handed_in + c.aim));
+      const std::tuple rank(!trial || c.idempotency != Idempotency::kNonIdempotent,
+                            WorthAt(key, now_ + latency - handed_in), -(handed_in + c.latency_objective));
       if (best && rank <= best_rank) continue;
       best = key;
       best_rank = rank;
@@ -619,7 +628,7 @@
     const std::uint64_t call = OpenCall(d, first);
     std::vector<Message*> sent;
     const bool trial = IsTrial(first);  // DEPARTURE: one message alone tries it
-    const int bundle = trial ? 1 : std::max(1, s_.kinds[first.kind].bundle);
+    const int bundle = trial ? 1 : std::max(1, s_.kinds[first.kind].max_batch);
     while (Count(sent) < bundle) {
       const auto key = BestBucket(d, {&first}, trial && !first.never_ran);
       if (!key) break;
@@ -629,13 +638,16 @@
     }
     for (Message* m : sent) SendMessage(*m, first, call, BundleStretch(Count(sent)));
     first.lane->warming.tokens -= BundleStretch(Count(sent)) - 1;
-    if (!both_idle || !s_.may_copy || active_.size() > 0 || d.copies_barred || FreeSlots() < 1) return;
+    if (!both_idle || !s_.may_hedge || active_.size() > 0 || d.copies_barred || FreeSlots() < 1) return;
     if (IsBound(*second) || WaitFor(*second) > 0) return;
     std::uint64_t copy_call = 0;
     for (Message* m : sent) {
-      const MessageClass& c = s_.classes[m->message_class];
-      if (c.effect == Effect::kUnsafe || m->attempts.size() > 1 || s_.most_tries < 2) continue;
-      if (c.effect == Effect::kKeyed && c.group == KeyGroup::kZone && second->zone != first.zone) continue;
+      const RequestClass& c = s_.classes[m->request_class];
+      if (c.idempotency == Idempotency::kNonIdempotent || m->attempts.size() > 1 || s_.max_attempts < 2)
+        continue;
+      if (c.idempotency == Idempotency::kIdempotencyKey &&
+          c.deduplication_scope == DeduplicationScope::kZone && second->zone != first.zone)
+        continue;
       if (static_cast<double>(d.copies + 1) > kCopyShare * static_cast<double>(d.first_sends)) break;
       if (copy_call == 0) copy_call = OpenCall(d, *second);
       ++d.copies;
@@ -661,19 +673,19 @@
 
   void SendMessage(Message& m, Endpoint& e, std::uint64_t call, double stretch) {
     ++calls_[call].messages;
-    calls_[call].attempts.push_back({m.message, Count(m.attempts)});
+    calls_[call].attempts.push_back({m.request_id, Count(m.attempts)});
     m.attempts.push_back({e.endpoint, e.zone, call, now_});
     ++m.out;
     m.where = Message::Where::kOut;
     const Seconds leave_by = BoundsOf(m).value_or(Bounds{}).until;  // rule 2 binds its first byte
-    actions_->push_back(Send{m.message, e.endpoint, TimeoutFor(m, e, stretch), leave_by});
+    actions_->push_back(Send{m.request_id, e.endpoint, TimeoutFor(m, e, stretch), leave_by});
     SetExpiry(m);
   }
 
   // Each further attempt gets twice the time: long messages stay long. A time-out ends all for an unsafe one.
   Seconds TimeoutFor(const Message& m, const Endpoint& e, double stretch) const {
-    const MessageClass& c = s_.classes[m.message_class];
-    if (c.effect == Effect::kUnsafe || m.TriesUsed() >= s_.most_tries) return 0;
+    const RequestClass& c = s_.classes[m.request_class];
+    if (c.idempotency == Idempotency::kNonIdempotent || m.TriesUsed() >= s_.max_attempts) return 0;
     const Seconds patience = PatienceWith(e) * stretch * std::exp2(m.timeouts);
     const Seconds until = now_ + std::min(patience, kTimeoutCap * c.deadline);
     return until < m.deadline ? until : 0;
@@ -682,14 +694,14 @@
   // ---- an outcome comes ------------------------------------------------------------------------
 
   void On(const AttemptOutcome& r) {
-    const auto it = messages_.find(r.message);
+    const auto it = messages_.find(r.request_id);
     if (it == messages_.end()) return;
     Message& m = it->second;
     if (r.attempt < 0 || r.attempt >= Count(m.attempts)) return;
     Attempt& a = m.attempts[r.attempt];
     if (!std::exchange(a.out, false)) return;
     a.may_have_run = !ProvesNeverRan(r.outcome);
-    if (r.outcome == Outcome::kNotLeft) ++m.not_left;
+    if (r.outcome == Outcome::kLocalShortage) ++m.not_left;
     --m.out;
     Call& call = calls_.at(a.call);
     const bool news = !std::exchange(call.judged, true);
@@ -701,19 +713,20 @@
       e.out.erase(e.out.find(a.sent));
     }
     Judge(e, m, r, news, bundle);
-    if (e.out.empty() && ((s_.couriers > kKeepers && !s_.may_tell_peers) || zones_[e.zone].share <= 0 ||
-                          now_ - e.crowded_at < kCrowdedFor * s_.ramp_time))
+    if (e.out.empty() &&
+        ((s_.relay_count > kKeepers && !s_.may_gossip) || zones_[e.zone].traffic_share <= 0 ||
+         now_ - e.crowded_at < kCrowdedFor * s_.slow_start_duration))
       unused_.insert(e.endpoint);
     if (r.outcome == Outcome::kTimeout) ++m.timeouts;
     const bool may_still_run =
         r.outcome == Outcome::kTimeout || r.outcome == Outcome::kReset || r.outcome == Outcome::kCancelled;
-    if (s_.key_rest && !m.key.empty() && may_still_run) {
+    if (s_.ordered_key_pause && !m.key.empty() && may_still_run) {
       Seconds& rest = keys_[m.key].rest_until;
-      rest = std::max(rest, now_ + *s_.key_rest);
+      rest = std::max(rest, now_ + *s_.ordered_key_pause);
     }
     if (m.over) {
       Forget(m);
-    } else if (r.over) {
+    } else if (r.request_ended) {
       Close(m);
     } else if (m.out == 0) {  // a failed attempt awaits its copy
       Retry(m, r.outcome);
@@ -723,35 +736,36 @@
   void Retry(Message& m, Outcome last) {  // backoff with jitter, but where a lane's own has kept it back
     if (now_ >= m.deadline - 2 * s_.tick || !BoundsOf(m)) return End(m);  // the answer goes out at once
     if (IsRetriedAtOnce(last)) return Enqueue(m);
-    const Seconds shortage = last == Outcome::kNotLeft ? kShortageTicks * s_.tick : 0;
+    const Seconds shortage = last == Outcome::kLocalShortage ? kShortageTicks * s_.tick : 0;
     const Seconds usual = std::max(shortage, Usual(destinations_[m.destination]));
     const Seconds backoff = std::max(s_.tick, usual * std::exp2(std::min(Count(m.attempts), 5) - 3));
     m.where = Message::Where::kDelayed;
     m.not_before = now_ + backoff * Jitter();
-    delayed_.insert({m.not_before, m.message});
+    delayed_.insert({m.not_before, m.request_id});
     SetExpiry(m);
   }
 
   // Danger: a bundle has one fate; it counts as one failure or refusal of its endpoint and lane, not as many.
   void Judge(Endpoint& e, const Message& m, const AttemptOutcome& r, bool news, int bundle) {
     Destination& d = destinations_[e.destination];
-    LearnLimit(e, r.report.calls_per_second.value_or(0));
-    if (r.wait > 0) e.lane->held_until = std::max(e.lane->held_until, now_ + r.wait + s_.tick);  // rule 5
+    LearnLimit(e, r.load_report.calls_per_second.value_or(0));
+    if (r.retry_after > 0)
+      e.lane->held_until = std::max(e.lane->held_until, now_ + r.retry_after + s_.tick);  // rule 5
     const Seconds single = r.duration / BundleStretch(bundle);
     if (r.outcome == Outcome::kServed) {
       e.unmet = false;
-      e.latest_good = r.duration <= s_.classes[m.message_class].aim;
+      e.latest_good = r.duration <= s_.classes[m.request_class].latency_objective;
       for (Latency* l : {&e.latency, &d.latency, &all_latency_}) l->Add(single, kLatencyGain, now_);
       d.copies_barred = false;
       Served(e, now_ - r.duration);
-    } else if (r.outcome == Outcome::kFull && news) {
+    } else if (r.outcome == Outcome::kRejected && news) {
       e.unmet = e.latest_good = false;
       d.copies_barred = true;
       d.barred_at = now_;
-      Refused(e, r.wait, now_ - r.duration);
-    } else if (r.outcome == Outcome::kCrowded) {
+      Refused(e, r.retry_after, now_ - r.duration);
+    } else if (r.outcome == Outcome::kOutOfConnections) {
       e.unmet = e.latest_good = false;
-      if (Crowd(e) && s_.couriers > kKeepers) TellOthers(e, LaneNote::Kind::kCrowded);
+      if (Crowd(e) && s_.relay_count > kKeepers) TellOthers(e, LaneNote::Kind::kCrowded);
     } else if (news && !SaysNothing(r.outcome)) {
       if (r.outcome == Outcome::kTimeout)
         e.latency.Add(single, kLatencyGain, now_);  // the next time-out is wider
@@ -767,8 +781,8 @@
     if (lane.limit <= 0) lane.pace *= 1.05;  // no limit is known: probe upwards
     IsBound(e);                              // brings doubt up to date
     // Danger: what hung, or was out as a lane shut, is served late, to many at once. It clears no doubt.
-    if (sent < lane.bad_at && (InDoubt(lane) || lane.held_until > now_ + s_.overload_for)) return;
-    const bool back = (lane.cold || (lane.bad > 0 && now_ - e.opened_at >= s_.overload_for)) && IsTrial(e);
+    if (sent < lane.bad_at && (InDoubt(lane) || lane.held_until > now_ + s_.overload_window)) return;
+    const bool back = (lane.cold || (lane.bad > 0 && now_ - e.opened_at >= s_.overload_window)) && IsTrial(e);
     lane.bad = 0;
     lane.last_served = now_;
     if (back) StartSlowly(lane);
@@ -790,17 +804,18 @@
     Lane& lane = *e.lane;
     CountBad(lane, sent);
     // Danger: all whom a lane refused come back as the same wait ends: backoff with jitter doubles each time.
-    const Seconds first = std::max(std::min(kMostBackoff, kRefusalBackoff * parts_) * s_.overload_for,
+    const Seconds first = std::max(std::min(kMostBackoff, kRefusalBackoff * parts_) * s_.overload_window,
                                    lane.limit > 0 ? 0.5 / lane.limit : 0);
-    const Seconds backoff = std::min(s_.ramp_time, first * std::exp2(lane.refusals++));
+    const Seconds backoff = std::min(s_.slow_start_duration, first * std::exp2(lane.refusals++));
     lane.pause_until = std::max(lane.pause_until, std::max(now_, lane.held_until) + backoff * Jitter());
     if (CutPace(lane)) TellOthers(e, LaneNote::Kind::kRefused);
-    if (wait > s_.overload_for) lane.bad += kBadIfServed;  // Danger: shut looks like a full limit, for longer
+    if (wait > s_.overload_window)
+      lane.bad += kBadIfServed;  // Danger: shut looks like a full limit, for longer
   }
 
   bool CutPace(Lane& lane) {  // once in a span: what was out together is one piece of news
     lane.bucket.tokens = std::min(lane.bucket.tokens, 1.0);
-    if (now_ - lane.cut_at <= kPaceDepth * s_.overload_for) return false;
+    if (now_ - lane.cut_at <= kPaceDepth * s_.overload_window) return false;
     const double even = EvenShare(lane);
     const double from = std::min(lane.pace, std::max(1.0, even));
     lane.pace = std::max(kPaceCut * from, kLeastPaceShare * even);
@@ -811,17 +826,17 @@
   // Danger: else each of hundreds learns of it by a call of its own; these alone keep a lane full, or cold.
   // Cut off from one another, though, each would tell all: it keeps to its part of one a span and endpoint.
   void TellOthers(const Endpoint& e, LaneNote::Kind kind) {
-    notes_.Fill(now_, Count(endpoints_) / (s_.couriers * kPaceDepth * s_.overload_for), 2);
-    if (!s_.may_tell_peers || s_.couriers <= 1 || !notes_.Take()) return;
-    actions_->push_back(TellPeers{{}, WriteLaneNote({kind, e.destination, IsApart(e) ? e.tag : 0})});
+    notes_.Fill(now_, Count(endpoints_) / (s_.relay_count * kPaceDepth * s_.overload_window), 2);
+    if (!s_.may_gossip || s_.relay_count <= 1 || !notes_.Take()) return;
+    actions_->push_back(SendGossip{{}, WriteLaneNote({kind, e.destination, IsApart(e) ? e.name_hash : 0})});
   }
 
-  void On(const PeerNote& told) {
-    const auto note = ReadLaneNote(told.bytes);
+  void On(const GossipReceived& told) {
+    const auto note = ReadLaneNote(told.payload);
     const auto d = note ? destinations_.find(note->destination) : destinations_.end();
     if (d == destinations_.end()) return;
     for (Endpoint* e : d->second.endpoints) {
-      if (note->route != (IsApart(*e) ? e->tag : 0)) continue;
+      if (note->route != (IsApart(*e) ? e->name_hash : 0)) continue;
       if (note->kind == LaneNote::Kind::kRefused) CutPace(*e->lane);
       if (note->kind == LaneNote::Kind::kCrowded && Crowd(*e)) unused_.insert(e->endpoint);
       if (note->kind != LaneNote::Kind::kBack || !IsTrial(*e)) continue;
@@ -835,7 +850,7 @@
     e.unmet = e.latest_good = false;
     e.never_ran = never_ran;
     // Danger: hundreds find out by failed calls. Where nothing was served of late one opens; a trial closes.
-    const Seconds of_late = now_ - 2 * s_.overload_for;
+    const Seconds of_late = now_ - 2 * s_.overload_window;
     if (++e.failures < kFailuresToOpen && e.circuit == Circuit::kClosed && e.last_served > of_late) return;
     Open(e, true);
     for (Endpoint* other : destinations_[e.destination].endpoints)  // an outage mostly takes all of a lane
@@ -861,7 +876,7 @@
   void TendEndpoints(Seconds& wake) {  // those gone or out, and no others: hundreds are not walked
     for (auto it = tended_.begin(); it != tended_.end();) {
       Endpoint& e = endpoints_.at(*it);
-      const bool gone = e.listing == Listing::kGone;
+      const bool gone = e.status == EndpointStatus::kRemoved;
       const bool done = gone ? e.out.empty() && !e.probing : e.circuit != Circuit::kOpen;
       if (!done && !gone) ProbeIfDue(e, wake);
       if (done && gone) Drop(e);
@@ -871,12 +886,12 @@
 
   // Danger: idle connections of many fill a table. Once one was turned away, they go with their last call.
   bool Crowd(Endpoint& e) {  // whether that is news: those that start later know nothing of it
-    return now_ - std::exchange(e.crowded_at, now_) > s_.overload_for;
+    return now_ - std::exchange(e.crowded_at, now_) > s_.overload_window;
   }
   void CloseUnused() {
     for (const EndpointId id : std::exchange(unused_, {})) {
       const auto e = endpoints_.find(id);
-      if (e != endpoints_.end() && e->second.out.empty()) actions_->push_back(CloseConnections{id});
+      if (e != endpoints_.end() && e->second.out.empty()) actions_->push_back(CloseIdleConnections{id});
     }
   }
 
@@ -889,26 +904,26 @@
   }
 
   void ProbeIfDue(Endpoint& e, Seconds& wake) {  // a trial that costs no message, where calls are lost
-    if (!s_.may_probe || e.probing || e.never_ran || e.listing != Listing::kInService) return;
+    if (!s_.may_health_check || e.probing || e.never_ran || e.status != EndpointStatus::kInService) return;
     if (IsLeft(destinations_[e.destination], e)) return;
     const Seconds wait = WaitFor(e);
     if (wait > 0) return void(wake = std::min(wake, now_ + wait));
     e.probing = true;
     Charge(e);
-    actions_->push_back(Probe{e.endpoint});
+    actions_->push_back(HealthCheck{e.endpoint});
   }
 
-  void On(const ProbeOutcome& r) {
+  void On(const HealthCheckOutcome& r) {
     const auto it = endpoints_.find(r.endpoint);
     if (it == endpoints_.end()) return;
     Endpoint& e = it->second;
     e.probing = false;
     if (SaysNothing(r.outcome)) return;  // it says nothing of the endpoint
-    LearnLimit(e, r.report.calls_per_second.value_or(0));
+    LearnLimit(e, r.load_report.calls_per_second.value_or(0));
     if (r.outcome == Outcome::kServed && e.circuit == Circuit::kOpen) {
       e.circuit = Circuit::kHalfOpen;  // a probe shows little: calls start slowly
       StartSlowly(*e.lane);
-    } else if (r.outcome == Outcome::kFull) {
+    } else if (r.outcome == Outcome::kRejected) {
       Refused(e, 0, now_ - r.duration);
     } else if (r.outcome != Outcome::kServed) {
       Failed(e, false, now_ - r.duration);
@@ -919,8 +934,8 @@
 
   // The courier gives up: at once, with a refusal and the time to come back where rule 2 allows it.
   void End(Message& m) {
-    const Seconds advice = s_.may_advise_wait ? AdviceFor(destinations_[m.destination]) : 0;
-    actions_->push_back(MayRefuse(m) ? Action(Refuse{m.message, advice}) : Action(Fail{m.message}));
+    const Seconds advice = s_.may_send_retry_after ? AdviceFor(destinations_[m.destination]) : 0;
+    actions_->push_back(MayRefuse(m) ? Action(Reject{m.request_id, advice}) : Action(Fail{m.request_id}));
     Close(m);
   }
 
@@ -928,31 +943,32 @@
     LeaveWaiting(m);
     m.over = true;
     for (int i = 0; s_.may_cancel && i < Count(m.attempts); ++i)
-      if (m.attempts[i].out) actions_->push_back(Cancel{m.message, i});
+      if (m.attempts[i].out) actions_->push_back(CancelAttempt{m.request_id, i});
     Forget(m);
   }
 
   Seconds AdviceFor(const Destination& d) const {  // when the line that stands now could have gone
     double rate = 0;
     for (const Endpoint* e : d.endpoints)
-      if (e->listing == Listing::kInService && e->circuit == Circuit::kClosed && e->lane->pace < kNever)
+      if (e->status == EndpointStatus::kInService && e->circuit == Circuit::kClosed && e->lane->pace < kNever)
         rate += e->lane->pace;
-    return rate > 0 ? std::min(s_.longest_wait, d.waiting_count / rate) : s_.longest_wait;
+    return rate > 0 ? std::min(s_.max_retry_after, d.waiting_count / rate) : s_.max_retry_after;
   }
 
-  void On(const Withdrawn& w) {
-    if (const auto m = messages_.find(w.message); m != messages_.end() && !m->second.over) Close(m->second);
+  void On(const RequestAborted& w) {
+    if (const auto m = messages_.find(w.request_id); m != messages_.end() && !m->second.over)
+      Close(m->second);
   }
 
-  void On(const AnswerBegun& begun) {
-    const auto m = messages_.find(begun.message);
+  void On(const ResponseStarted& begun) {
+    const auto m = messages_.find(begun.request_id);
     if (m == messages_.end()) return;
-    expiries_.erase({m->second.expiry, begun.message});
+    expiries_.erase({m->second.expiry, begun.request_id});
     m->second.expiry = kNever;
   }
 
   void Forget(Message& m) {  // what is still out comes to its outcome before all is dropped
-    if (m.expiry < kNever) expiries_.erase({m.expiry, m.message});
+    if (m.expiry < kNever) expiries_.erase({m.expiry, m.request_id});
     m.expiry = kNever;
     m.where = Message::Where::kOut;
     Destination& d = destinations_[m.destination];
@@ -963,7 +979,7 @@
     if (m.out > 0) return;
     if (d.endpoints.empty() && d.held == 0) destinations_.erase(d.id);
     const std::string key = m.key;
-    messages_.erase(m.message);
+    messages_.erase(m.request_id);
     if (!key.empty()) AdvanceKey(key);
   }
 
@@ -971,27 +987,27 @@
 
   static bool IsApart(const Endpoint& e) { return e.lane == &e.own_lane; }
 
-  Belief BeliefOf(const Destination& d, const Endpoint& e, Seconds now) const {
+  RouteState BeliefOf(const Destination& d, const Endpoint& e, Seconds now) const {
     const Lane& lane = *e.lane;
     const auto age = [now](Seconds at) { return at > -kNever ? std::optional(now - at) : std::nullopt; };
-    Belief b{d.id, IsApart(e) ? e.endpoint : 0, std::max(0.0, lane.held_until - now)};
+    RouteState b{d.id, IsApart(e) ? e.endpoint : 0, std::max(0.0, lane.held_until - now)};
     Seconds bad_at = InDoubt(lane) || lane.bad >= kBadToDoubt ? lane.bad_at : -kNever;
     for (const Endpoint* other : d.endpoints)
       if (other->lane == &lane && other->circuit == Circuit::kOpen)
         bad_at = std::max(bad_at, other->opened_at);
-    if (lane.last_served < bad_at) b.out = age(bad_at);
-    if (lane.cold && lane.ramp_from < kNever) b.back = age(lane.ramp_from);
-    b.served = age(lane.last_served);
-    if (lane.limit > 0 && lane.pace < lane.limit) b.refused = age(lane.cut_at);
-    b.pace = lane.pace;
+    if (lane.last_served < bad_at) b.failure_age = age(bad_at);
+    if (lane.cold && lane.ramp_from < kNever) b.recovery_age = age(lane.ramp_from);
+    b.success_age = age(lane.last_served);
+    if (lane.limit > 0 && lane.pace < lane.limit) b.rejection_age = age(lane.cut_at);
+    b.send_rate = lane.pace;
     b.latency = (IsApart(e) ? e.latency : d.latency).mean;
-    b.measured = age((IsApart(e) ? e.latency : d.latency).at);
-    if (d.copies_barred) b.barred = age(d.barred_at);
+    b.latency_age = age((IsApart(e) ? e.latency : d.latency).at);
+    if (d.copies_barred) b.hedging_disabled_age = age(d.barred_at);
     return b;
   }
 
-  void On(const Learned& learned) {
-    for (const Belief& b : learned.beliefs) {
+  void On(const TransferredState& learned) {
+    for (const RouteState& b : learned.routes) {
       const auto d = destinations_.find(b.destination);
       if (d == destinations_.end()) continue;
       for (Endpoint* e : d->second.endpoints)
@@ -1000,34 +1016,36 @@
   }
 
   // Danger: hearsay may be wrong. No bad outcome is counted: a trial leaves soon; a served one ends doubt.
-  void Believe(Destination& d, Endpoint& e, const Belief& b) {
+  void Believe(Destination& d, Endpoint& e, const RouteState& b) {
     Lane& lane = *e.lane;
-    lane.held_until = std::max(lane.held_until, now_ + b.wait);
+    lane.held_until = std::max(lane.held_until, now_ + b.retry_after);
     IsBound(e);  // brings our own doubt up to date
-    if (b.out && now_ - *b.out > lane.last_served && !InDoubt(lane)) {
+    if (b.failure_age && now_ - *b.failure_age > lane.last_served && !InDoubt(lane)) {
       lane.cold = true;
       lane.ramp_from = kNever;
-      lane.bad_at = std::max(lane.bad_at, now_ - *b.out);
+      lane.bad_at = std::max(lane.bad_at, now_ - *b.failure_age);
       TrySoon(lane);
-    } else if (b.back && !InDoubt(lane) && (!lane.cold || now_ - *b.back > lane.ramp_from)) {
+    } else if (b.recovery_age && !InDoubt(lane) && (!lane.cold || now_ - *b.recovery_age > lane.ramp_from)) {
       lane.cold = true;
-      lane.ramp_from = now_ - *b.back;
+      lane.ramp_from = now_ - *b.recovery_age;
       lane.warming = {std::min(0.0, lane.warming.tokens), now_};
     }
-    if (b.refused && lane.limit > 0 && b.pace < lane.pace) {
-      lane.pace = std::min(lane.pace, std::max(b.pace, kLeastPaceShare * EvenShare(lane)));
-      lane.cut_at = std::max(lane.cut_at, now_ - *b.refused);
+    if (b.rejection_age && lane.limit > 0 && b.send_rate < lane.pace) {
+      lane.pace = std::min(lane.pace, std::max(b.send_rate, kLeastPaceShare * EvenShare(lane)));
+      lane.cut_at = std::max(lane.cut_at, now_ - *b.rejection_age);
     }
     Latency& latency = IsApart(e) ? e.latency : d.latency;
     const Seconds longer = std::min(b.latency, longest_aim_);  // than what is taken for unknown ones
-    if (b.measured && latency.mean <= 0 && kTimeoutSpread * longer > longest_aim_)
-      latency = {longer, now_ - *b.measured};
-    if (b.barred && !std::exchange(d.copies_barred, true)) d.barred_at = now_ - *b.barred;
+    if (b.latency_age && latency.mean <= 0 && kTimeoutSpread * longer > longest_aim_)
+      latency = {longer, now_ - *b.latency_age};
+    if (b.hedging_disabled_age && !std::exchange(d.copies_barred, true))
+      d.barred_at = now_ - *b.hedging_disabled_age;
   }
 
-  void On(const Stopping& stop) { stop_at_ = now_ + stop.left; }
-  void On(const Wake& wake) {  // Danger: one that comes a rounding error early must not pass for one to come
-    if (wake.label == wake_label_) armed_ = -kNever;
+  void On(const ShutdownStarted& stop) { stop_at_ = now_ + stop.time_left; }
+  void
+  On(const TimerFired& wake) {  // Danger: one that comes a rounding error early must not pass for one to come
+    if (wake.timer_id == wake_label_) armed_ = -kNever;
   }
 
   const Settings s_;
@@ -1038,7 +1056,7 @@
   std::map<DestinationId, Destination> destinations_;
   std::map<DestinationId, Destination*> active_;  // with messages waiting
   std::set<EndpointId> tended_;                   // gone, or with an open circuit
-  std::map<MessageId, Message> messages_;
+  std::map<RequestId, Message> messages_;
   std::map<std::uint64_t, Call> calls_;
   std::map<std::string, KeyQueue> keys_;
   std::set<std::pair<Seconds, std::string>> key_rests_;
@@ -1048,26 +1066,27 @@
   std::vector<TokenBucket> tenant_buckets_;
   TokenBucket notes_{2, 0};  // that may be told now
   Latency all_latency_;
-  double parts_ = std::max(1, s_.couriers);  // that limits are shared by, as far as is known
-  std::map<int, ZoneShare> zones_;
+  double parts_ = std::max(1, s_.relay_count);  // that limits are shared by, as far as is known
+  std::map<int, ZoneTrafficShare> zones_;
   int held_ = 0;
   EndpointListLease list_lease_;
   Seconds armed_ = -kNever, stop_at_ = kNever;
   std::uint64_t last_call_ = 0, wake_label_ = 0;
 };
 
-Courier::Courier(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
-Courier::~Courier() = default;
-Courier::Courier(Courier&&) noexcept = default;
-Courier& Courier::operator=(Courier&&) noexcept = default;
+RequestRouter::RequestRouter(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
+RequestRouter::~RequestRouter() = default;
+RequestRouter::RequestRouter(RequestRouter&&) noexcept = default;
+RequestRouter& RequestRouter::operator=(RequestRouter&&) noexcept = default;
 
-void Courier::Handle(Seconds now, const Event& event, std::vector<Action>& actions) {
+void RequestRouter::Handle(Seconds now, const Event& event, std::vector<Action>& actions) {
   impl_->Handle(now, event, actions);
 }
 
-bool Courier::MayLeave(Seconds now, EndpointId endpoint) const { return impl_->MayLeave(now, endpoint); }
+bool RequestRouter::MaySend(Seconds now, EndpointId endpoint) const { return impl_->MayLeave(now, endpoint); }
 
-std::vector<Belief> Courier::Beliefs(Seconds now, std::optional<DestinationId>& from, int most) const {
+std::vector<RouteState> RequestRouter::ExportRouteStates(Seconds now, std::optional<DestinationId>& from,
+                                                         int most) const {
   return impl_->Beliefs(now, from, most);
 }
 
--- a/src/lane_note.h
+++ b/src/decision/route_gossip.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute {
 
@@ -29,7 +29,7 @@
 
 // The same for one name at every courier, never 0 (FNV-1a). Two routes of one destination that share a tag
 // would be taken for each other: one pair in four thousand million.
-inline std::uint32_t TagOf(std::string_view name) {
+inline std::uint32_t HashName(std::string_view name) {
   std::uint32_t hash = 2166136261U;
   for (const char c : name) hash = (hash ^ static_cast<unsigned char>(c)) * 16777619U;
   return hash == 0 ? 1 : hash;
--- a/src/parts.h
+++ b/src/decision/state.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute {
 
@@ -70,13 +70,13 @@
   Seconds sent = 0;
   int messages = 0;  // without an outcome
   bool called_off = false, judged = false;
-  std::vector<std::pair<MessageId, int>> attempts;
+  std::vector<std::pair<RequestId, int>> attempts;
 };
 
 using BucketKey = std::tuple<int, bool, int>;  // class, above its share, zone that it is bound to or -1
-using Line = std::set<std::pair<Seconds, MessageId>>;
+using Line = std::set<std::pair<Seconds, RequestId>>;
 
-struct Message : NewMessage {
+struct Message : NewRequest {
   bool over_share = false, over = false, released = false;  // released: no longer held
   Seconds handed_in = 0, deadline = 0, not_before = 0, expiry = kNever;
   std::vector<Attempt> attempts;
@@ -88,7 +88,7 @@
 };
 
 struct KeyQueue {
-  std::deque<MessageId> line;  // in the order taken, until over and without an attempt out
+  std::deque<RequestId> line;  // in the order taken, until over and without an attempt out
   Seconds rest_until = -kNever;
 };
 
@@ -98,14 +98,15 @@
 }
 
 inline bool ProvesNeverRan(Outcome o) {
-  return o == Outcome::kFull || o == Outcome::kConnectFailed || o == Outcome::kNotSent ||
-         o == Outcome::kCrowded || o == Outcome::kNotLeft;
+  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent ||
+         o == Outcome::kOutOfConnections || o == Outcome::kLocalShortage;
 }
 
 // After these a message waits for an endpoint again and for nothing else: a lane's own backoff keeps it back,
 // or the endpoint has had its time.
 inline bool IsRetriedAtOnce(Outcome o) {
-  return o == Outcome::kFull || o == Outcome::kTimeout || o == Outcome::kNotSent || o == Outcome::kCancelled;
+  return o == Outcome::kRejected || o == Outcome::kTimeout || o == Outcome::kNotSent ||
+         o == Outcome::kCancelled;
 }
 
 // Of the settings' tick: the least that a further attempt's backoff grows from where one could not leave.
@@ -113,7 +114,7 @@
 
 // Whether nothing of the endpoint can be learnt from it.
 inline bool SaysNothing(Outcome o) {
-  return o == Outcome::kCancelled || o == Outcome::kNotSent || o == Outcome::kNotLeft;
+  return o == Outcome::kCancelled || o == Outcome::kNotSent || o == Outcome::kLocalShortage;
 }
 
 }  // namespace opalroute
--- a/src/pool/discovery.h
+++ b/src/discovery/discovery.h
@@ -9,20 +9,20 @@
 #include <vector>
 
 #include "config/limits.h"
+#include "discovery/endpoint_source.h"
+#include "discovery/list_watch.h"
 #include "net/event_loop.h"
-#include "pool/list_watch.h"
-#include "pool/pool_source.h"
 
 namespace opalroute {
 
-class Discovery : public PoolSource, private ListWatch::Handler {
+class Discovery : public EndpointSource, private ListWatch::Handler {
  public:
   Discovery(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits, Listener& listener);
 
   ~Discovery() override;
 
   // The relay holds the list of this generation, from an earlier process: changes are asked for since then.
-  void Resume(long long generation) { generation_ = since_ = newest_ = generation; }
+  void Resume(long long generation) { generation_ = resume_from_ = newest_ = generation; }
   void Watch(bool on) override;
 
   // From now on discovery is there: watches and tries at the old address end. Its list need not continue the
@@ -30,8 +30,8 @@
   void MoveTo(const sockaddr_in& address);
 
  private:
-  void OnWatchNews(ListWatch& watch, const PoolNews& news) override;
-  void OnWatchAlive(ListWatch& watch) override;
+  void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& news) override;
+  void OnWatchHeartbeat(ListWatch& watch) override;
   void OnWatchEnd(ListWatch& watch, const char* why) override;
 
   void CloseAllBut(const ListWatch* kept);
@@ -40,13 +40,13 @@
   sockaddr_in address_;
   const Limits& limits_;
   Listener& listener_;
-  bool IsOlder(const PoolNews& whole_list);
+  bool IsOlder(const EndpointListUpdate& whole_list);
   std::optional<long long> generation_;              // of the list that was told last
   std::optional<long long> newest_;                  // ever told; drains and removals up to it bind
   std::optional<net::Seconds> older_since_;          // whole lists from before it have come since then
-  std::optional<long long> since_;                   // the generation from which changes are asked for
+  std::optional<long long> resume_from_;             // the generation from which changes are asked for
   std::vector<std::unique_ptr<ListWatch>> watches_;  // in the order in which they were opened
-  const ListWatch* standing_ = nullptr;              // the one of them that has brought the list
+  const ListWatch* current_watch_ = nullptr;         // the one of them that has brought the list
 };
 
 }  // namespace opalroute
--- a/src/pool/list_reader.cpp
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -1,4 +1,4 @@
-#include "pool/list_reader.h"
+#include "discovery/endpoint_list_parser.h"
 
 #include "config/fields.h"
 #include "log/log.h"
@@ -10,14 +10,14 @@
 
 namespace {
 
-const config::Words<PoolMember::State> kStates = {{"ready", PoolMember::State::kReady},
-                                                  {"draining", PoolMember::State::kDraining},
-                                                  {"gone", PoolMember::State::kGone}};
+const config::Words<EndpointRecord::Status> kStates = {{"ready", EndpointRecord::Status::kInService},
+                                                       {"draining", EndpointRecord::Status::kDraining},
+                                                       {"gone", EndpointRecord::Status::kRemoved}};
 
-PoolMember ReadMember(const json& row) {
-  PoolMember member;
+EndpointRecord ReadMember(const json& row) {
+  EndpointRecord member;
   member.id = config::Get<std::string>(row, "instanceId");
-  member.state = config::Word(kStates, row, "lifecycle");
+  member.status = config::Word(kStates, row, "lifecycle");
   const auto address = net::ParseAddress(config::Get<std::string>(row, "hostPort"));
   if (!address) throw config::FieldError("field 'hostPort' holds no address");
   member.address = *address;
@@ -30,14 +30,14 @@
 
 }  // namespace
 
-std::optional<PoolNews> ReadPoolList(const json& list) {
-  PoolNews news;
+std::optional<EndpointListUpdate> ParseEndpointList(const json& list) {
+  EndpointListUpdate news;
   try {
     news.generation = config::Get<long long>(list, "generation");
-    news.whole = config::GetOr(list, "reset", false);
+    news.complete = config::GetOr(list, "reset", false);
     const json& rows = config::Need(list, "instances");
     if (!rows.is_array()) throw config::FieldError("field 'instances' is no array");
-    for (const json& row : rows) news.members.push_back(ReadMember(row));
+    for (const json& row : rows) news.endpoints.push_back(ReadMember(row));
   } catch (const config::FieldError& error) {
     log::Warn("pool_list_unreadable", {{"why", error.what()}});
     return std::nullopt;
--- a/src/pool/list_reader.h
+++ b/src/discovery/endpoint_list_parser.h
@@ -4,11 +4,11 @@
 #include <nlohmann/json.hpp>
 #include <optional>
 
-#include "pool/pool_source.h"
+#include "discovery/endpoint_source.h"
 
 namespace opalroute {
 
 // A whole list, or a line of changes. None: it can't be read; the reason is logged.
-std::optional<PoolNews> ReadPoolList(const nlohmann::json& list);
+std::optional<EndpointListUpdate> ParseEndpointList(const nlohmann::json& list);
 
 }  // namespace opalroute
--- a/src/pool/merge.h
+++ b/src/discovery/endpoint_merge.h
@@ -11,17 +11,19 @@
 #include <unordered_map>
 #include <vector>
 
-#include "pool/pool_source.h"
+#include "discovery/endpoint_source.h"
 
 namespace opalroute {
 
-struct MergeRules {
-  double most_share = 0.5;   // of a destination's endpoints that a single answer may take out of service
-  double settle_s = 30;      // within which several answers together may take out no more than that
-  double confirm_s = 2;      // what a later answer repeats after this long is believed whole
-  double returns_s = 10;     // one that was taken out is back once answers have named it for so long
-  double tombstone_s = 600;  // what the list has withdrawn is not taken from SRV for so long
-  std::set<std::string> kinds_apart;   // whose endpoints have limits of their own: SRV's weights rate those
+struct MergeOptions {
+  double max_removed_share =
+      0.5;                      // of a destination's endpoints that a single answer may take out of service
+  double settle_time = 30;      // within which several answers together may take out no more than that
+  double confirm_time = 2;      // what a later answer repeats after this long is believed whole
+  double return_time = 10;      // one that was taken out is back once answers have named it for so long
+  double tombstone_time = 600;  // what the list has withdrawn is not taken from SRV for so long
+  std::set<std::string>
+      kinds_with_endpoint_limits;      // whose endpoints have limits of their own: SRV's weights rate those
   std::string added_zone, added_kind;  // of endpoints that only SRV names
 };
 
@@ -45,35 +47,36 @@
 };
 const char* NameOf(Verdict verdict);
 
-class PoolMerge {
+class EndpointMerge {
  public:
-  explicit PoolMerge(const MergeRules& rules) : rules_(rules) {}
+  explicit EndpointMerge(const MergeOptions& rules) : rules_(rules) {}
 
   // By the operators' file, whoever answers at this address is the destination's own.
-  void Own(long long destination, const sockaddr_in& address);
+  void SetOwner(long long destination, const sockaddr_in& address);
 
   // Each takes news in and returns what has changed of the joined set: whole if the list was.
-  PoolNews OnList(double now, const PoolNews& news);
+  EndpointListUpdate OnList(double now, const EndpointListUpdate& news);
   // An answer that names targets. Not complete: the addresses of some are not known, so nothing is taken out.
-  PoolNews OnTargets(double now, long long destination, const std::vector<SrvTarget>& targets, bool complete);
-  PoolNews OnNotOffered(double now, long long destination);  // the target "."
+  EndpointListUpdate OnTargets(double now, long long destination, const std::vector<SrvTarget>& targets,
+                               bool complete);
+  EndpointListUpdate OnNotOffered(double now, long long destination);  // the target "."
   // No such name, no such record, no answer, or one too old: nothing is said. Expired: what was said before
   // no longer counts either.
-  PoolNews OnSilence(double now, long long destination, bool expired);
+  EndpointListUpdate OnNoAnswer(double now, long long destination, bool expired);
 
   struct Row {
-    PoolMember member;  // as it goes to the relay
+    EndpointRecord endpoint;  // as it goes to the relay
     Verdict verdict{};
   };
   std::vector<Row> Rows() const;  // by destination and id
-  long foreign() const {
-    return foreign_;
+  long unowned_targets() const {
+    return unowned_targets_;
   }  // targets passed over, as no one owns them: not the partner's own
 
  private:
   using AddressKey = std::uint64_t;
   struct Endpoint {
-    PoolMember member;  // as its source has it; the id is the one that it goes by here
+    EndpointRecord record;  // as its source has it; the id is the one that it goes by here
     bool added = false;
     double added_at = -1;
     std::optional<SrvTarget> named;  // by the latest answer
@@ -93,21 +96,21 @@
   };
 
   static AddressKey KeyOf(const sockaddr_in& address);
-  void TakeMember(double now, const PoolMember& member);
+  void ApplyRecord(double now, const EndpointRecord& member);
   void Withdraw(double now, Destination& d, const std::string& list_id);
   void AddOwn(double now, long long id, Destination& d, const std::vector<SrvTarget>& targets);
-  void TakeWord(double now, Destination& d, bool complete);
-  void Judge(double now, Destination& d, bool answered);
+  void ApplyAnswer(double now, Destination& d, bool complete);
+  void UpdateVerdicts(double now, Destination& d, bool answered);
   bool MayTakeOut(double now, const Destination& d, std::size_t ready) const;
   double RatingOf(const Destination& d, const Endpoint& e) const;
-  PoolMember Emitted(const Destination& d, const Endpoint& e) const;
-  PoolNews Changes(const std::set<long long>& touched);
+  EndpointRecord Emitted(const Destination& d, const Endpoint& e) const;
+  EndpointListUpdate Changes(const std::set<long long>& touched);
 
-  const MergeRules rules_;
+  const MergeOptions rules_;
   std::map<long long, Destination> destinations_;
-  std::map<long long, std::map<std::string, PoolMember>> told_;  // as the relay has it
-  std::unordered_map<std::string, long long> homes_;             // by the list's id, its destination
-  long foreign_ = 0;
+  std::map<long long, std::map<std::string, EndpointRecord>> published_;  // as the relay has it
+  std::unordered_map<std::string, long long> destination_by_id_;          // by the list's id, its destination
+  long unowned_targets_ = 0;
 };
 
 }  // namespace opalroute
--- a/src/pool/list_watch.cpp
+++ b/src/discovery/list_watch.cpp
@@ -1,10 +1,10 @@
-#include "pool/list_watch.h"
+#include "discovery/list_watch.h"
 
 #include <utility>
 
+#include "discovery/endpoint_list_parser.h"
 #include "log/log.h"
 #include "net/address.h"
-#include "pool/list_reader.h"
 
 namespace opalroute {
 
@@ -38,7 +38,7 @@
       limits_(limits),
       handler_(handler),
       parser_(net::HttpParser::Kind::kAnswer, BoundsOf(limits)) {
-  parser_.StreamTo([this](std::string_view piece) { TakePiece(piece); });
+  parser_.StreamTo([this](std::string_view piece) { ReadChunk(piece); });
   connection_ = net::Connection::Connect(loop_, address_, *this, limits_.head_bytes, limits_.head_bytes);
   Expect(connection_ ? limits_.list_time : 0);
 }
@@ -74,7 +74,7 @@
   net::RingBuffer& in = connection.in();
   while (!in.empty() && !parser_.done() && !parser_.failed() && !broken_)
     in.Consume(parser_.Take(in.Front()));
-  TellLines();
+  DeliverLines();
   if (!connection_) return;
   if (broken_) return End("a line can't be read");
   if (parser_.failed()) return End("no HTTP answer");
@@ -83,13 +83,13 @@
 }
 
 // The handler may close this watch at any line.
-void ListWatch::TellLines() {
+void ListWatch::DeliverLines() {
   for (const Line& line : std::exchange(lines_, {})) {
     if (!connection_) return;
     if (line) {
-      handler_.OnWatchNews(*this, *line);
+      handler_.OnWatchUpdate(*this, *line);
     } else {
-      handler_.OnWatchAlive(*this);
+      handler_.OnWatchHeartbeat(*this);
     }
   }
 }
@@ -98,7 +98,7 @@
 
 // Lines may be cut anywhere between chunks. An empty one says that the watch still stands, and so does a
 // whole object; one that stays open does not.
-void ListWatch::TakePiece(std::string_view piece) {
+void ListWatch::ReadChunk(std::string_view piece) {
   if (parser_.message().status != 200) return;
   while (!piece.empty() && !broken_) {
     const std::size_t end = piece.find('\n');
@@ -106,13 +106,13 @@
     if (text_.size() > limits_.list_bytes) broken_ = true;
     if (end == std::string_view::npos) return;
     piece.remove_prefix(end + 1);
-    TakeLine();
+    ReadLine();
   }
 }
 
 // An object may come indented, over several lines. To look at the whole text with each line of it would cost
 // its square, so that is done where it may end, and each time it has doubled.
-void ListWatch::TakeLine() {
+void ListWatch::ReadLine() {
   const std::size_t last = text_.find_last_not_of(kBlanks);
   const bool blank = last == std::string::npos;
   json list;
@@ -122,7 +122,7 @@
     text_.clear();
     part_seen_ = 0;
     Line line;
-    if (!blank) line = ReadPoolList(list);
+    if (!blank) line = ParseEndpointList(list);
     broken_ = !blank && !line;
     if (!broken_) lines_.push_back(std::move(line));
     return;
--- a/src/pool/list_watch.h
+++ b/src/discovery/list_watch.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "config/limits.h"
+#include "discovery/endpoint_source.h"
 #include "net/connection.h"
 #include "net/http.h"
-#include "pool/pool_source.h"
 
 namespace opalroute {
 
@@ -21,8 +21,8 @@
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void OnWatchNews(ListWatch& watch, const PoolNews& news) = 0;  // a list, or changes
-    virtual void OnWatchAlive(ListWatch& watch) = 0;                       // an empty line
+    virtual void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& news) = 0;  // a list, or changes
+    virtual void OnWatchHeartbeat(ListWatch& watch) = 0;                               // an empty line
     // It has failed or ended and is of no use any more; called once, and never after Close.
     virtual void OnWatchEnd(ListWatch& watch, const char* why) = 0;
   };
@@ -40,14 +40,14 @@
   void OnData(net::Connection& connection) override;
   void OnEnd(net::Connection& connection, net::Connection::End how) override;
 
-  void TakePiece(std::string_view piece);
-  void TakeLine();
-  void TellLines();
+  void ReadChunk(std::string_view piece);
+  void ReadLine();
+  void DeliverLines();
   void Expect(net::Seconds within);
   void End(const char* why);
 
   // A line of the watch; without news it was empty.
-  using Line = std::optional<PoolNews>;
+  using Line = std::optional<EndpointListUpdate>;
 
   net::EventLoop& loop_;
   const sockaddr_in address_;
--- a/src/pool/joined_pool.cpp
+++ b/src/discovery/merged_endpoint_source.cpp
@@ -1,4 +1,4 @@
-#include "pool/joined_pool.h"
+#include "discovery/merged_endpoint_source.h"
 
 #include <random>
 
@@ -17,10 +17,11 @@
   return limits;
 }
 
-MergeRules RulesOf(const Config& config) {
-  MergeRules rules;
+MergeOptions RulesOf(const Config& config) {
+  MergeOptions rules;
   for (std::size_t i = 0; i < config.kinds.size(); ++i)
-    if (config.settings.kinds[i].routes_apart) rules.kinds_apart.insert(config.kinds[i]);
+    if (config.settings.kinds[i].limits_per_endpoint)
+      rules.kinds_with_endpoint_limits.insert(config.kinds[i]);
   if (!config.zones.empty()) rules.added_zone = config.zones.front();
   if (!config.kinds.empty()) rules.added_kind = config.kinds.front();
   return rules;
@@ -34,14 +35,14 @@
 
 }  // namespace
 
-JoinedPool::JoinedPool(net::EventLoop& loop, const Config& config, const Operator& settings,
-                       PoolSource::Listener& listener)
+MergedEndpointSource::MergedEndpointSource(net::EventLoop& loop, const Config& config,
+                                           const Operator& settings, EndpointSource::Listener& listener)
     : loop_(loop),
       limits_(LimitsOf(config, settings.dns)),
       listener_(listener),
       merge_([&] {
-        PoolMerge merge(RulesOf(config));
-        for (const auto& [destination, address] : settings.srv_own) merge.Own(destination, address);
+        EndpointMerge merge(RulesOf(config));
+        for (const auto& [destination, address] : settings.srv_own) merge.SetOwner(destination, address);
         return merge;
       }()),
       resolver_(loop, settings.dns.servers, limits_, Unguessable()),
@@ -54,53 +55,56 @@
           }(),
           *this) {}
 
-PoolNews JoinedPool::Remembered(const PoolNews& list) { return merge_.OnList(loop_.Now(), list); }
+EndpointListUpdate MergedEndpointSource::ApplyCached(const EndpointListUpdate& list) {
+  return merge_.OnList(loop_.Now(), list);
+}
 
-void JoinedPool::OnPoolNews(const PoolNews& news) {
-  PoolNews joined = merge_.OnList(loop_.Now(), news);
+void MergedEndpointSource::OnEndpointList(const EndpointListUpdate& news) {
+  EndpointListUpdate joined = merge_.OnList(loop_.Now(), news);
   joined.generation = news.generation;
-  joined.older = news.older;
-  listener_.OnPoolNews(joined);
+  joined.stale = news.stale;
+  listener_.OnEndpointList(joined);
 }
 
-void JoinedPool::OnPoolFailed() { listener_.OnPoolFailed(); }
+void MergedEndpointSource::OnWatchFailed() { listener_.OnWatchFailed(); }
 
-void JoinedPool::Pass(PoolNews news) {
-  news.of_list = false;
-  if (!news.members.empty()) listener_.OnPoolNews(news);
+void MergedEndpointSource::Forward(EndpointListUpdate news) {
+  news.from_list = false;
+  if (!news.endpoints.empty()) listener_.OnEndpointList(news);
 }
 
-void JoinedPool::OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) {
+void MergedEndpointSource::OnTargets(long long destination, const std::vector<SrvTarget>& targets,
+                                     bool complete) {
   if (silent_.erase(destination) > 0) log::Info("srv_answers_again", {{"destination", destination}});
-  const long before = merge_.foreign();
-  const PoolNews news = merge_.OnTargets(loop_.Now(), destination, targets, complete);
-  if (merge_.foreign() > before)
+  const long before = merge_.unowned_targets();
+  const EndpointListUpdate news = merge_.OnTargets(loop_.Now(), destination, targets, complete);
+  if (merge_.unowned_targets() > before)
     log::Debug("srv_targets_passed_over", {{"destination", destination},
-                                           {"targets", merge_.foreign() - before},
+                                           {"targets", merge_.unowned_targets() - before},
                                            {"why", "not the partner's own"}});
-  Pass(news);
+  Forward(news);
 }
 
-void JoinedPool::OnNotOffered(long long destination) {
+void MergedEndpointSource::OnNotOffered(long long destination) {
   log::Warn("srv_not_offered", {{"destination", destination}});
-  Pass(merge_.OnNotOffered(loop_.Now(), destination));
+  Forward(merge_.OnNotOffered(loop_.Now(), destination));
 }
 
-void JoinedPool::OnSilence(long long destination, const char* why, bool expired) {
+void MergedEndpointSource::OnNoAnswer(long long destination, const char* why, bool expired) {
   // Once, not with every try.
   if (silent_.emplace(destination, why).second || expired)
     log::Warn("srv_silent", {{"destination", destination}, {"why", why}, {"expired", expired}});
-  Pass(merge_.OnSilence(loop_.Now(), destination, expired));
+  Forward(merge_.OnNoAnswer(loop_.Now(), destination, expired));
 }
 
-nlohmann::ordered_json JoinedPool::Print() const {
+nlohmann::ordered_json MergedEndpointSource::Print() const {
   nlohmann::ordered_json rows = nlohmann::ordered_json::array();
-  for (const PoolMerge::Row& row : merge_.Rows()) {
-    const PoolMember& m = row.member;
+  for (const EndpointMerge::Row& row : merge_.Rows()) {
+    const EndpointRecord& m = row.endpoint;
     rows.push_back({{"destination", m.destination},
                     {"endpoint", m.id},
                     {"address", net::FormatAddress(m.address)},
-                    {"in_service", m.state == PoolMember::State::kReady},
+                    {"in_service", m.status == EndpointRecord::Status::kInService},
                     {"why", NameOf(row.verdict)},
                     {"rating", m.weight}});
   }
@@ -109,7 +113,7 @@
   const dns::ResolverCounters& c = resolver_.counters();
   return {{"members", rows},
           {"silent", silent},
-          {"targets_passed_over", merge_.foreign()},
+          {"targets_passed_over", merge_.unowned_targets()},
           {"dns",
            {{"queries", c.queries},
             {"tcp", c.tcp},
--- a/src/pool/joined_pool.h
+++ b/src/discovery/merged_endpoint_source.h
@@ -9,39 +9,39 @@
 
 #include "config/config.h"
 #include "config/operator.h"
+#include "discovery/endpoint_merge.h"
+#include "discovery/endpoint_source.h"
+#include "discovery/srv_source.h"
 #include "dns/resolver.h"
-#include "pool/merge.h"
-#include "pool/pool_source.h"
-#include "pool/srv_source.h"
 
 namespace opalroute {
 
-class JoinedPool : public PoolSource::Listener, private SrvSource::Listener {
+class MergedEndpointSource : public EndpointSource::Listener, private SrvSource::Listener {
  public:
   // `listener` hears the joined set; never before this constructor returns.
-  JoinedPool(net::EventLoop& loop, const Config& config, const Operator& settings,
-             PoolSource::Listener& listener);
+  MergedEndpointSource(net::EventLoop& loop, const Config& config, const Operator& settings,
+                       EndpointSource::Listener& listener);
 
   // The list as it was last held: taken in without a word to the listener. Returns what it comes to.
-  PoolNews Remembered(const PoolNews& list);
+  EndpointListUpdate ApplyCached(const EndpointListUpdate& list);
 
-  void OnPoolNews(const PoolNews& news) override;
-  void OnPoolConfirmed() override { listener_.OnPoolConfirmed(); }
-  void OnPoolFailed() override;
+  void OnEndpointList(const EndpointListUpdate& news) override;
+  void OnListConfirmed() override { listener_.OnListConfirmed(); }
+  void OnWatchFailed() override;
 
-  std::size_t unheard() const { return source_.unheard(); }  // names that have not been answered yet
+  std::size_t unanswered() const { return source_.unanswered(); }  // names that have not been answered yet
   nlohmann::ordered_json Print() const;  // the joined set, with the reason of each verdict
 
  private:
   void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) override;
   void OnNotOffered(long long destination) override;
-  void OnSilence(long long destination, const char* why, bool expired) override;
-  void Pass(PoolNews news);
+  void OnNoAnswer(long long destination, const char* why, bool expired) override;
+  void Forward(EndpointListUpdate news);
 
   net::EventLoop& loop_;
   const Limits limits_;
-  PoolSource::Listener& listener_;
-  PoolMerge merge_;
+  EndpointSource::Listener& listener_;
+  EndpointMerge merge_;
   dns::Resolver resolver_;
   SrvSource source_;
   std::map<long long, std::string> silent_;  // destinations whose name is not answered, and why
--- a/src/pool/srv_source.cpp
+++ b/src/discovery/srv_source.cpp
@@ -1,4 +1,4 @@
-#include "pool/srv_source.h"
+#include "discovery/srv_source.h"
 
 #include <algorithm>
 #include <stdexcept>
@@ -14,57 +14,58 @@
   for (const Name& name : names) {
     const auto parsed = dns::Name::Parse(name.name);
     if (!parsed || parsed->root()) throw std::invalid_argument("'" + name.name + "' is no domain name");
-    auto look = std::make_unique<Look>();
+    auto look = std::make_unique<Lookup>();
     look->question = {*parsed, dns::Type::kSrv};
     look->destination = name.destination;
-    looks_.push_back(std::move(look));
+    lookups_.push_back(std::move(look));
   }
-  unheard_ = looks_.size();
-  for (const auto& look : looks_) Ask(*look, false);
+  unanswered_ = lookups_.size();
+  for (const auto& look : lookups_) Query(*look, false);
 }
 
 SrvSource::~SrvSource() {
-  for (const auto& look : looks_) {
+  for (const auto& look : lookups_) {
     loop_.Cancel(look->timer);
     resolver_.Forget(look->ticket);
     for (const auto ticket : look->addresses) resolver_.Forget(ticket);
   }
 }
 
-void SrvSource::Ask(Look& look, bool newer) {
+void SrvSource::Query(Lookup& look, bool newer) {
   look.ticket = resolver_.Ask(look.question, newer,
-                              [this, &look](const dns::Outcome& outcome) { TakeServices(look, outcome); });
+                              [this, &look](const dns::Outcome& outcome) { OnServices(look, outcome); });
 }
 
-void SrvSource::Again(Look& look, net::Seconds at) {
+void SrvSource::ScheduleQuery(Lookup& look, net::Seconds at) {
   loop_.Cancel(look.timer);
   look.timer = loop_.At(std::max(at, loop_.Now() + limits_.dns_least_lifetime / 2), [this, &look] {
     look.timer = 0;
     // Danger: names that share a target would all be asked for at the end of that one's address.
-    if (loop_.Now() < look.services_refresh_at) return AskAddresses(look);
-    Ask(look, true);
+    if (loop_.Now() < look.services_refresh_at) return QueryAddresses(look);
+    Query(look, true);
   });
 }
 
-void SrvSource::Heard(Look& look) {
-  if (!std::exchange(look.heard, true)) --unheard_;
+void SrvSource::MarkAnswered(Lookup& look) {
+  if (!std::exchange(look.heard, true)) --unanswered_;
 }
 
 // 'No such name' is no word on endpoints either: a zone that was lost looks like that.
-void SrvSource::Silent(Look& look, const char* why, net::Seconds again_at) {
-  Heard(look);
+void SrvSource::ReportNoAnswer(Lookup& look, const char* why, net::Seconds again_at) {
+  MarkAnswered(look);
   look.services_refresh_at = 0;
   const bool expired = look.ever && loop_.Now() - look.last_good >= limits_.dns_stale;
   if (expired) look.ever = false;
-  listener_.OnSilence(look.destination, why, expired);
-  Again(look, again_at);
+  listener_.OnNoAnswer(look.destination, why, expired);
+  ScheduleQuery(look, again_at);
 }
 
-void SrvSource::TakeServices(Look& look, const dns::Outcome& outcome) {
-  if (!outcome.answer || outcome.stale) return Silent(look, outcome.why, outcome.refresh_at);
+void SrvSource::OnServices(Lookup& look, const dns::Outcome& outcome) {
+  if (!outcome.answer || outcome.stale) return ReportNoAnswer(look, outcome.why, outcome.refresh_at);
   const Answer& answer = *outcome.answer;
-  if (answer.kind == Answer::Kind::kNoName) return Silent(look, "no such name", outcome.refresh_at);
-  if (answer.kind != Answer::Kind::kRecords) return Silent(look, "no SRV record there", outcome.refresh_at);
+  if (answer.kind == Answer::Kind::kNoName) return ReportNoAnswer(look, "no such name", outcome.refresh_at);
+  if (answer.kind != Answer::Kind::kRecords)
+    return ReportNoAnswer(look, "no SRV record there", outcome.refresh_at);
   look.services_refresh_at = outcome.refresh_at;
   look.new_services = true;
   look.services.clear();
@@ -72,16 +73,16 @@
     if (!service.target.root()) look.services.push_back(service);
   // A target of "." beside others says nothing (RFC 2782 has it alone).
   if (look.services.empty()) {
-    Heard(look);
+    MarkAnswered(look);
     look.ever = true;
     look.last_good = loop_.Now();
     listener_.OnNotOffered(look.destination);
-    return Again(look, look.services_refresh_at);
+    return ScheduleQuery(look, look.services_refresh_at);
   }
-  AskAddresses(look);
+  QueryAddresses(look);
 }
 
-void SrvSource::AskAddresses(Look& look) {
+void SrvSource::QueryAddresses(Lookup& look) {
   look.refresh_at = look.services_refresh_at;
   look.complete = true;
   look.found.clear();
@@ -93,21 +94,21 @@
     *ticket =
         resolver_.Ask({target, dns::Type::kA}, false, [this, &look, target, ticket](const dns::Outcome& o) {
           look.addresses.erase(*ticket);
-          TakeAddresses(look, target, o);
+          OnAddresses(look, target, o);
         });
     look.addresses.insert(*ticket);
   }
 }
 
-void SrvSource::TakeAddresses(Look& look, const dns::Name& target, const dns::Outcome& outcome) {
+void SrvSource::OnAddresses(Lookup& look, const dns::Name& target, const dns::Outcome& outcome) {
   if (!outcome.answer || outcome.stale) look.complete = false;
   if (outcome.answer)
     for (const in_addr& address : outcome.answer->addresses) look.found[target].insert(address.s_addr);
   look.refresh_at = std::min(look.refresh_at, outcome.refresh_at);
-  if (look.addresses.empty()) Tell(look);
+  if (look.addresses.empty()) Publish(look);
 }
 
-void SrvSource::Tell(Look& look) {
+void SrvSource::Publish(Lookup& look) {
   std::vector<SrvTarget> targets;
   for (const dns::Srv& service : look.services)
     for (const std::uint32_t address : look.found[service.target]) {
@@ -117,8 +118,8 @@
       full.sin_port = htons(service.port);
       targets.push_back({service.target.Text(), full, service.priority, service.weight});
     }
-  if (targets.empty()) return Silent(look, "no address of any target", look.refresh_at);
-  Heard(look);
+  if (targets.empty()) return ReportNoAnswer(look, "no address of any target", look.refresh_at);
+  MarkAnswered(look);
   look.ever = true;
   look.last_good = loop_.Now();
   // The same SRV answer with the same addresses is no new word, and repeats nothing.
@@ -126,7 +127,7 @@
     look.told = look.found;
     listener_.OnTargets(look.destination, targets, look.complete);
   }
-  Again(look, look.refresh_at);
+  ScheduleQuery(look, look.refresh_at);
 }
 
 }  // namespace opalroute
--- a/src/pool/srv_source.h
+++ b/src/discovery/srv_source.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "discovery/endpoint_merge.h"
 #include "dns/resolver.h"
-#include "pool/merge.h"
 
 namespace opalroute {
 
@@ -25,7 +25,7 @@
     virtual ~Listener() = default;
     virtual void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) = 0;
     virtual void OnNotOffered(long long destination) = 0;
-    virtual void OnSilence(long long destination, const char* why, bool expired) = 0;
+    virtual void OnNoAnswer(long long destination, const char* why, bool expired) = 0;
   };
 
   // `resolver`, `limits` and `listener` stay. Throws std::invalid_argument if a name is none.
@@ -33,10 +33,12 @@
             const std::vector<Name>& names, Listener& listener);
   ~SrvSource();
 
-  std::size_t unheard() const { return unheard_; }  // names whose first answer, or failure, has not come
+  std::size_t unanswered() const {
+    return unanswered_;
+  }  // names whose first answer, or failure, has not come
 
  private:
-  struct Look {
+  struct Lookup {
     dns::Question question;
     long long destination = 0;
     dns::Resolver::Ticket ticket = 0;           // of the SRV question
@@ -51,21 +53,21 @@
     Found found, told;
     bool new_services = false;  // else only addresses were asked for again
   };
-  void Ask(Look& look, bool newer);
-  void TakeServices(Look& look, const dns::Outcome& outcome);
-  void AskAddresses(Look& look);
-  void TakeAddresses(Look& look, const dns::Name& target, const dns::Outcome& outcome);
-  void Tell(Look& look);
-  void Silent(Look& look, const char* why, net::Seconds again_at);
-  void Again(Look& look, net::Seconds at);
-  void Heard(Look& look);
+  void Query(Lookup& look, bool newer);
+  void OnServices(Lookup& look, const dns::Outcome& outcome);
+  void QueryAddresses(Lookup& look);
+  void OnAddresses(Lookup& look, const dns::Name& target, const dns::Outcome& outcome);
+  void Publish(Lookup& look);
+  void ReportNoAnswer(Lookup& look, const char* why, net::Seconds again_at);
+  void ScheduleQuery(Lookup& look, net::Seconds at);
+  void MarkAnswered(Lookup& look);
 
   net::EventLoop& loop_;
   dns::Resolver& resolver_;
   const Limits& limits_;
   Listener& listener_;
-  std::vector<std::unique_ptr<Look>> looks_;
-  std::size_t unheard_ = 0;
+  std::vector<std::unique_ptr<Lookup>> lookups_;
+  std::size_t unanswered_ = 0;
 };
 
 }  // namespace opalroute
--- a/src/operation/seats.cpp
+++ b/src/hot_restart/process_lock.cpp
@@ -1,4 +1,4 @@
-#include "operation/seats.h"
+#include "hot_restart/process_lock.h"
 
 #include <sys/file.h>
 #include <unistd.h>
@@ -9,11 +9,11 @@
 #include "journal/durable_file.h"
 #include "log/log.h"
 
-namespace opalroute::operation {
+namespace opalroute::hot_restart {
 
-Seats::Seats(const std::string& folder, bool others_may_run) {
+ProcessLock::ProcessLock(const std::string& folder, bool others_may_run) {
   files_.fill(-1);
-  for (int i = 0; i < kSeats; ++i) {
+  for (int i = 0; i < kProcessSlots; ++i) {
     try {
       files_[i] = OpenOrCreate(folder + "/seat." + std::to_string(i));
     } catch (...) {
@@ -21,21 +21,21 @@
       throw;
     }
   }
-  for (int i = 0; i < (others_may_run ? kSeats : 1) && own_ < 0; ++i)
+  for (int i = 0; i < (others_may_run ? kProcessSlots : 1) && own_ < 0; ++i)
     if (TryLock(i)) own_ = i;
   if (own_ >= 0) return;
   CloseAll();
   throw std::runtime_error("other processes of this relay run on the state folder " + folder);
 }
 
-Seats::~Seats() { CloseAll(); }
+ProcessLock::~ProcessLock() { CloseAll(); }
 
-void Seats::CloseAll() {
+void ProcessLock::CloseAll() {
   for (const int fd : files_)
     if (fd >= 0) close(fd);
 }
 
-bool Seats::TryLock(int seat) const {
+bool ProcessLock::TryLock(int seat) const {
   if (flock(files_[seat], LOCK_EX | LOCK_NB) == 0) return true;
   if (errno == EWOULDBLOCK) return false;
   // Where locks are refused no two processes can be told apart, and none is expected.
@@ -44,10 +44,10 @@
   return seat == 0;
 }
 
-void Seats::IfOtherFree(const std::function<void()>& take_over) {
+void ProcessLock::RunIfOtherIsFree(const std::function<void()>& take_over) {
   if (flock(files_[other()], LOCK_EX | LOCK_NB) != 0) return;
   take_over();
   flock(files_[other()], LOCK_UN);
 }
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::hot_restart
--- a/src/operation/seats.h
+++ b/src/hot_restart/process_lock.h
@@ -7,30 +7,30 @@
 #include <functional>
 #include <string>
 
-namespace opalroute::operation {
+namespace opalroute::hot_restart {
 
-constexpr int kSeats = 2;
+constexpr int kProcessSlots = 2;
 
-class Seats {
+class ProcessLock {
  public:
   // Takes a free seat. `others_may_run`: another process is expected; else the first seat is the only one.
   // Throws std::system_error if the folder can't be used, std::runtime_error if no seat is free.
-  Seats(const std::string& folder, bool others_may_run);
-  ~Seats();
-  Seats(const Seats&) = delete;
-  Seats& operator=(const Seats&) = delete;
+  ProcessLock(const std::string& folder, bool others_may_run);
+  ~ProcessLock();
+  ProcessLock(const ProcessLock&) = delete;
+  ProcessLock& operator=(const ProcessLock&) = delete;
 
   int own() const { return own_; }
-  int other() const { return kSeats - 1 - own_; }
+  int other() const { return kProcessSlots - 1 - own_; }
   // Runs `take_over` if nobody sits on the other seat, and nobody can sit down meanwhile.
-  void IfOtherFree(const std::function<void()>& take_over);
+  void RunIfOtherIsFree(const std::function<void()>& take_over);
 
  private:
   bool TryLock(int seat) const;
   void CloseAll();
 
-  std::array<int, kSeats> files_;
+  std::array<int, kProcessSlots> files_;
   int own_ = -1;
 };
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::hot_restart
