--- a/src/operation/shared_waits.cpp
+++ b/src/hot_restart/shared_retry_after.cpp
@@ -1,4 +1,4 @@
-#include "operation/shared_waits.h"
+#include "hot_restart/shared_retry_after.h"
 
 #include <unistd.h>
 
@@ -8,7 +8,7 @@
 
 #include "journal/durable_file.h"
 
-namespace opalroute::operation {
+namespace opalroute::hot_restart {
 
 namespace {
 
@@ -45,22 +45,23 @@
 
 }  // namespace
 
-SharedWaits::SharedWaits(const std::string& folder, int own_seat, int other_seat, std::size_t most)
+SharedRetryAfterTable::SharedRetryAfterTable(const std::string& folder, int own_seat, int other_seat,
+                                             std::size_t most)
     : most_(most), own_(OpenIn(folder, own_seat)), other_(OpenIn(folder, other_seat)) {
   const std::string bytes = ReadWholeFile(own_, folder);
   if (bytes.size() >= kHead) std::memcpy(&written_, bytes.data(), kHead);
   // Written anew from the front, without gaps; what stood behind them goes once all are written.
-  for (const Record& r : RecordsIn(bytes)) Tell({r.destination, r.tag, r.until});
+  for (const Record& r : RecordsIn(bytes)) Publish({r.destination, r.tag, r.until});
   if (unwritten_.empty()) (void)!ftruncate(own_, static_cast<off_t>(kHead + slots_.size() * sizeof(Record)));
 }
 
-SharedWaits::~SharedWaits() {
+SharedRetryAfterTable::~SharedRetryAfterTable() {
   close(own_);
   close(other_);
 }
 
-void SharedWaits::Tell(const SharedWait& wait) {
-  auto slot = slots_.find({wait.destination, wait.tag});
+void SharedRetryAfterTable::Publish(const SharedRetryAfter& wait) {
+  auto slot = slots_.find({wait.destination, wait.name_hash});
   if (slot == slots_.end()) {
     std::size_t place = slots_.size();
     if (place >= most_) {  // the one that ends first makes room
@@ -71,16 +72,16 @@
       unwritten_.erase(first->first);
       slots_.erase(first);
     }
-    slot = slots_.emplace(Lane{wait.destination, wait.tag}, std::pair(place, std::int64_t{0})).first;
+    slot = slots_.emplace(Lane{wait.destination, wait.name_hash}, std::pair(place, std::int64_t{0})).first;
   }
-  auto& [place, until] = slot->second;
-  if (wait.until <= until) return;
-  until = wait.until;
+  auto& [place, Publish] = slot->second;
+  if (wait.until <= Publish) return;
+  Publish = wait.until;
   unwritten_.insert(slot->first);
   WriteOverdue();
 }
 
-bool SharedWaits::Write(const Lane& lane) {
+bool SharedRetryAfterTable::Write(const Lane& lane) {
   const auto& [place, until] = slots_.at(lane);
   Record r{lane.first, until, lane.second, 0};
   r.check = CheckOf(r);
@@ -92,19 +93,19 @@
   return true;
 }
 
-void SharedWaits::WriteOverdue() {
+void SharedRetryAfterTable::WriteOverdue() {
   while (!unwritten_.empty() && Write(*unwritten_.begin())) unwritten_.erase(unwritten_.begin());
 }
 
-bool SharedWaits::HasNews() {
+bool SharedRetryAfterTable::HasChanges() {
   WriteOverdue();
   std::uint64_t count = 0;
   if (pread(other_, &count, sizeof(count), 0) != sizeof(count)) count = 0;
   return std::exchange(seen_, count) != count;
 }
 
-std::vector<SharedWait> SharedWaits::Holding(std::int64_t now) {
-  std::vector<SharedWait> waits;
+std::vector<SharedRetryAfter> SharedRetryAfterTable::Active(std::int64_t now) {
+  std::vector<SharedRetryAfter> waits;
   std::string bytes(kHead + most_ * sizeof(Record), '\0');
   for (const int fd : {own_, other_}) {
     const ssize_t count = pread(fd, bytes.data(), bytes.size(), 0);
@@ -115,4 +116,4 @@
   return waits;
 }
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::hot_restart
--- a/src/operation/shared_waits.h
+++ b/src/hot_restart/shared_retry_after.h
@@ -10,29 +10,29 @@
 #include <utility>
 #include <vector>
 
-namespace opalroute::operation {
+namespace opalroute::hot_restart {
 
-struct SharedWait {
+struct SharedRetryAfter {
   std::int64_t destination = 0;
-  std::uint32_t tag = 0;   // of the endpoint where routes are apart (TagOf), else 0
-  std::int64_t until = 0;  // PersistentClock::Micros, alike in both processes
+  std::uint32_t name_hash = 0;  // of the endpoint where routes are apart (TagOf), else 0
+  std::int64_t until = 0;       // PersistentClock::Micros, alike in both processes
 };
 
-class SharedWaits {
+class SharedRetryAfterTable {
  public:
   // Keeps at most `most` waits; what this seat's former process was told still holds. Throws
   // std::system_error if the folder can't be used.
-  SharedWaits(const std::string& folder, int own_seat, int other_seat, std::size_t most);
-  ~SharedWaits();
-  SharedWaits(const SharedWaits&) = delete;
-  SharedWaits& operator=(const SharedWaits&) = delete;
+  SharedRetryAfterTable(const std::string& folder, int own_seat, int other_seat, std::size_t most);
+  ~SharedRetryAfterTable();
+  SharedRetryAfterTable(const SharedRetryAfterTable&) = delete;
+  SharedRetryAfterTable& operator=(const SharedRetryAfterTable&) = delete;
 
-  void Tell(const SharedWait& wait);
+  void Publish(const SharedRetryAfter& wait);
   // Whether the other process has written since this was asked last; true at first. Writes what could not be
   // written before.
-  bool HasNews();
+  bool HasChanges();
   // All that hold still, of both files. What can't be read now is news again.
-  std::vector<SharedWait> Holding(std::int64_t now);
+  std::vector<SharedRetryAfter> Active(std::int64_t now);
 
  private:
   using Lane = std::pair<std::int64_t, std::uint32_t>;
@@ -47,4 +47,4 @@
   std::set<Lane> unwritten_;                                    // the disk has not taken them yet
 };
 
-}  // namespace opalroute::operation
+}  // namespace opalroute::hot_restart
--- a/src/relay/virtual_server.cpp
+++ b/src/ingress/request_listener.cpp
@@ -1,11 +1,11 @@
-#include "relay/virtual_server.h"
+#include "ingress/request_listener.h"
 
 #include <algorithm>
 #include <charconv>
 #include <string_view>
 
+#include "ingress/server_bounds.h"
 #include "log/log.h"
-#include "relay/server_bounds.h"
 
 namespace opalroute {
 
@@ -38,8 +38,8 @@
 
 }  // namespace
 
-VirtualServer::VirtualServer(net::EventLoop& loop, const Config& config, Counters& counters,
-                             Transactions& transactions)
+RequestListener::RequestListener(net::EventLoop& loop, const Config& config, Counters& counters,
+                                 RequestHandler& transactions)
     : config_(config),
       counters_(counters),
       transactions_(transactions),
@@ -48,16 +48,16 @@
                                      : net::OpenListener(config.listen),
             ServerBoundsOf(config.limits), *this) {}
 
-void VirtualServer::OnReject(net::HttpMessage& request) {
+void RequestListener::OnReject(net::HttpMessage& request) {
   ClientRequest turned_away;
   if (request.method == "POST" && Read(request, turned_away).empty())
-    ++counters_.Of(turned_away.message_class).dropped;
+    ++counters_.Of(turned_away.request_class).dropped;
 }
 
-net::HttpAnswer VirtualServer::OnRequest(net::HttpMessage& request) {
+net::HttpAnswer RequestListener::OnRequest(net::HttpMessage& request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/api")
-    return request.method == "POST" ? OnMessage(request) : net::PlainAnswer(405, "POST only");
+    return request.method == "POST" ? OnRequestPosted(request) : net::PlainAnswer(405, "POST only");
   if (request.method != "GET") return net::PlainAnswer(404, "nothing here");
   if (path == "/health/ready")
     return transactions_.Ready() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
@@ -66,9 +66,9 @@
   return net::PlainAnswer(404, "nothing here");
 }
 
-void VirtualServer::OnAnswerLost(std::uint64_t ticket) { transactions_.Withdraw(ticket); }
+void RequestListener::OnAnswerLost(std::uint64_t ticket) { transactions_.Abort(ticket); }
 
-net::HttpAnswer VirtualServer::OnMessage(net::HttpMessage& request) {
+net::HttpAnswer RequestListener::OnRequestPosted(net::HttpMessage& request) {
   ++counters_.requests;
   ClientRequest taken;
   const std::string wrong = Read(request, taken);
@@ -78,23 +78,23 @@
     return net::PlainAnswer(400, wrong);
   }
   std::uint64_t ticket = 0;
-  const int message_class = taken.message_class;
-  switch (transactions_.Take(std::move(taken), ticket)) {
-    case TakeOn::kTaken:
+  const int message_class = taken.request_class;
+  switch (transactions_.Accept(std::move(taken), ticket)) {
+    case AcceptResult::kAccepted:
       return {202, {}, {}, ticket};
-    case TakeOn::kFull:
+    case AcceptResult::kAtCapacity:
       ++counters_.rejects_full;
       return Reject(message_class, "full");
-    case TakeOn::kNoDisk:
+    case AcceptResult::kNotRecorded:
       ++counters_.rejects_disk;
       return Reject(message_class, "no room to record it");
-    case TakeOn::kStopping:
+    case AcceptResult::kStopping:
       ++counters_.rejects_stopping;
       return Reject(message_class, "stopping");
-    case TakeOn::kNotYetKnown:
+    case AcceptResult::kListNotYetCurrent:
       ++counters_.rejects_full;
       return Reject(message_class, "destination not known yet");
-    case TakeOn::kOtherMessage:
+    case AcceptResult::kIdInUse:
       ++counters_.bad_requests;
       return net::PlainAnswer(409, "X-Txn: this id is another message's");
     default:
@@ -103,7 +103,7 @@
   }
 }
 
-net::HttpAnswer VirtualServer::Reject(int message_class, const char* why) {
+net::HttpAnswer RequestListener::Reject(int message_class, const char* why) {
   ++counters_.Of(message_class).dropped;
   if (log::Writes(log::Level::debug))
     log::Debug("client_rejected", {{"class", config_.classes[message_class]}, {"why", why}});
@@ -112,7 +112,7 @@
   return answer;
 }
 
-std::string VirtualServer::Read(net::HttpMessage& request, ClientRequest& out) const {
+std::string RequestListener::Read(net::HttpMessage& request, ClientRequest& out) const {
   const Limits& limits = config_.limits;
   const auto text = [&request](const char* name) {
     const std::string* value = request.Header(name);
@@ -124,8 +124,8 @@
     if (request.Count(name) > 1) return std::string(name) + ": stated more than once";
   out.id = text("X-Txn");
   if (!IsName(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
-  out.message_class = IndexOf(config_.classes, text("X-Lane"));
-  if (out.message_class < 0) return "X-Lane: no such class";
+  out.request_class = IndexOf(config_.classes, text("X-Lane"));
+  if (out.request_class < 0) return "X-Lane: no such class";
   if (!config_.tenants.empty()) {
     out.tenant = IndexOf(config_.tenants, text("X-Org"));
     if (*out.tenant < 0) return "X-Org: no such tenant";
@@ -133,10 +133,10 @@
   long milliseconds = 0;
   if (!ParseNumber<long>(text("X-Remaining-Ms"), milliseconds) || milliseconds < 0)
     return "X-Remaining-Ms: no whole number of milliseconds";
-  out.remaining = std::min(static_cast<double>(milliseconds) / 1000, limits.longest_remaining);
+  out.remaining_time = std::min(static_cast<double>(milliseconds) / 1000, limits.longest_remaining);
   if (!ParseDestination(text("X-Addressing"), out.destination)) return "X-Addressing: no dest=NUMBER";
   out.key = text("Idempotency-Key");
-  const bool keyed = config_.settings.classes[out.message_class].effect == Effect::kKeyed;
+  const bool keyed = config_.settings.classes[out.request_class].idempotency == Idempotency::kIdempotencyKey;
   if ((keyed || !out.key.empty()) && !IsName(out.key, limits.name_bytes))
     return "Idempotency-Key: missing, or not plain";
   out.body = std::move(request.body);
--- a/src/journal/durable_file.cpp
+++ b/src/journal/durable_file.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void WithPatience(const std::string& what, const std::function<bool()>& attempt) {
+void RetryForASecond(const std::string& what, const std::function<bool()>& attempt) {
   for (int failures = 0; !attempt();) {
     if (errno == EINTR) continue;
     if (++failures > kRetries) throw std::system_error(errno, std::generic_category(), what);
@@ -28,7 +28,7 @@
 
 int OpenOrCreate(const std::string& path) {
   int fd = -1;
-  WithPatience(path, [&] {
+  RetryForASecond(path, [&] {
     fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
     return fd >= 0;
   });
@@ -40,7 +40,7 @@
   char piece[65536];
   ssize_t count = 0;
   do {
-    WithPatience(name, [&] {
+    RetryForASecond(name, [&] {
       count = pread(fd, piece, sizeof(piece), static_cast<off_t>(bytes.size()));
       return count >= 0;
     });
@@ -51,7 +51,7 @@
 
 std::optional<std::string> ReadFileIfThere(const std::string& path) {
   int fd = -1;
-  WithPatience(path, [&] {
+  RetryForASecond(path, [&] {
     fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
     return fd >= 0 || errno == ENOENT;
   });
--- a/src/journal/durable_file.h
+++ b/src/journal/durable_file.h
@@ -10,7 +10,7 @@
 
 // Calls `attempt` until it returns true. An error is waited out for a second; then std::system_error is
 // thrown, with errno as the last attempt left it and with `what`.
-void WithPatience(const std::string& what, const std::function<bool()>& attempt);
+void RetryForASecond(const std::string& what, const std::function<bool()>& attempt);
 
 // Opens a file for reading and writing, and makes it if it is not there. Waits errors out.
 int OpenOrCreate(const std::string& path);
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -77,7 +77,7 @@
 
 std::string TakenRecord(const JournalEntry& e) {
   std::string record = Begin(Type::kTaken, e.id);
-  for (const std::string* text : {&e.message_class, &e.tenant, &e.key, &e.body}) PutText(record, *text);
+  for (const std::string* text : {&e.request_class, &e.tenant, &e.key, &e.body}) PutText(record, *text);
   PutNumber(record, static_cast<std::uint64_t>(e.destination));
   PutNumber(record, static_cast<std::uint64_t>(e.deadline));
   return record;
@@ -144,7 +144,7 @@
 // for with every message.
 std::size_t Journal::CostOf(const JournalEntry& e) {
   std::size_t bytes = kFollowBytes + kHeadBytes + BeginBytes(e.id) + 2 * kNumberBytes;
-  for (const std::string* text : {&e.message_class, &e.tenant, &e.key, &e.body}) bytes += TextBytes(*text);
+  for (const std::string* text : {&e.request_class, &e.tenant, &e.key, &e.body}) bytes += TextBytes(*text);
   for (std::size_t i = 0; i < e.attempts.size(); ++i) bytes += AttemptCost(e, i);
   return bytes;
 }
@@ -190,7 +190,7 @@
   if (type == Type::kTaken) {
     JournalEntry e;
     e.id = id;
-    for (std::string* text : {&e.message_class, &e.tenant, &e.key, &e.body}) *text = reader.Text();
+    for (std::string* text : {&e.request_class, &e.tenant, &e.key, &e.body}) *text = reader.Text();
     e.destination = static_cast<std::int64_t>(reader.Number());
     e.deadline = static_cast<std::int64_t>(reader.Number());
     if (reader.failed() || numbers_.count(id) > 0) return false;
@@ -210,7 +210,7 @@
       entry->attempts[attempt].may_have_run = false;
   } else if (type == Type::kEndWith) {
     const std::string notice = reader.Text();
-    if (entry != nullptr && !reader.failed()) entry->notice = notice;
+    if (entry != nullptr && !reader.failed()) entry->notification = notice;
   } else if (type == Type::kEnd) {
     if (entry != nullptr && !reader.failed()) Erase(*entry);
   } else {
@@ -222,17 +222,17 @@
 // ---- what is written
 // ---------------------------------------------------------------------------------------
 
-bool Journal::TakeOn(const JournalEntry& entry) {
+bool Journal::RecordAccepted(const JournalEntry& entry) {
   if (numbers_.count(entry.id) > 0 || !HasRoom(CostOf(entry), kTakenPart)) return false;
   if (!Write(TakenRecord(entry))) return false;
   JournalEntry taken = entry;
   taken.attempts.clear();  // these have records of their own
-  taken.notice.clear();
+  taken.notification.clear();
   Insert(std::move(taken));
   return true;
 }
 
-bool Journal::Attempt(const std::string& id, const JournalAttempt& attempt) {
+bool Journal::RecordAttempt(const std::string& id, const JournalAttempt& attempt) {
   JournalEntry* entry = Find(id);
   if (entry == nullptr || !HasRoom(kFollowBytes, kKeptPart) || !Write(AttemptRecord(id, attempt)))
     return false;
@@ -242,58 +242,58 @@
   return true;
 }
 
-bool Journal::NeverRan(const std::string& id, std::size_t attempt) {
+bool Journal::RecordNotExecuted(const std::string& id, std::size_t attempt) {
   JournalEntry* entry = Find(id);
   if (entry == nullptr || !Write(NeverRanRecord(id, attempt))) return false;
   if (attempt < entry->attempts.size()) entry->attempts[attempt].may_have_run = false;
   return true;
 }
 
-bool Journal::End(const std::string& id) {
+bool Journal::RecordEnd(const std::string& id) {
   const JournalEntry* entry = Find(id);
   if (entry == nullptr) return false;
   const std::string record = Begin(Type::kEnd, id);
   const bool written = Write(record);
-  if (!written) overdue_ends_.push_back(record);
+  if (!written) pending_ends_.push_back(record);
   Erase(*entry);
   return written;
 }
 
-bool Journal::EndWith(const std::string& id, const std::string& notice) {
+bool Journal::RecordEndWithNotification(const std::string& id, const std::string& notice) {
   JournalEntry* entry = Find(id);
   if (entry == nullptr) return false;
   const std::string record = EndWithRecord(id, notice);
   const bool written = Write(record);
-  if (!written) overdue_ends_.push_back(record);
-  entry->notice = notice;
+  if (!written) pending_ends_.push_back(record);
+  entry->notification = notice;
   return written;
 }
 
 bool Journal::Write(const std::string& record) {
-  return record.size() <= kLongestRecord && WriteOverdueEnds() && WriteFrames(Frame(record));
+  return record.size() <= kLongestRecord && WritePendingEnds() && WriteFrames(Frame(record));
 }
 
 // In their order, before anything else. Danger: an id whose end is not written could be taken on anew, and
 // the late end would end the new message.
-bool Journal::WriteOverdueEnds() {
-  while (!overdue_ends_.empty()) {
-    const std::string record = overdue_ends_.front();
+bool Journal::WritePendingEnds() {
+  while (!pending_ends_.empty()) {
+    const std::string record = pending_ends_.front();
     if (!WriteFrames(Frame(record))) return false;
-    if (!overdue_ends_.empty()) overdue_ends_.erase(overdue_ends_.begin());  // else compaction took them all
+    if (!pending_ends_.empty()) pending_ends_.erase(pending_ends_.begin());  // else compaction took them all
   }
   return true;
 }
 
-std::vector<std::uint64_t> Journal::TakeOver(Journal& other) {
+std::vector<std::uint64_t> Journal::AdoptEntriesOf(Journal& other) {
   std::vector<std::uint64_t> taken;
   const auto entries = other.entries_;  // copied: each end changes the table
-  for (const auto& [number, entry] : entries) {
+  for (const auto& [AdoptEntriesOf, entry] : entries) {
     if (numbers_.count(entry.id) == 0) {
       if (!WriteFrames(RecordsOf(entry))) continue;
       Insert(JournalEntry(entry));
       taken.push_back(last_);
     }
-    other.End(entry.id);
+    other.RecordEnd(entry.id);
   }
   if (other.entries_.empty()) other.Clear();
   return taken;
@@ -301,7 +301,7 @@
 
 // Nothing is owed: all that its records say has ended.
 void Journal::Clear() {
-  if (!overdue_ends_.empty() || ftruncate(fd_, 0) < 0) return;
+  if (!pending_ends_.empty() || ftruncate(fd_, 0) < 0) return;
   file_bytes_ = 0;
 }
 
@@ -326,10 +326,10 @@
 }
 
 std::string Journal::RecordsOf(const JournalEntry& e) {
-  if (!e.notice.empty()) {  // only the notice is still owed
+  if (!e.notification.empty()) {  // only the notice is still owed
     JournalEntry ended;
     ended.id = e.id;
-    return Frame(TakenRecord(ended)) + Frame(EndWithRecord(e.id, e.notice));
+    return Frame(TakenRecord(ended)) + Frame(EndWithRecord(e.id, e.notification));
   }
   std::string bytes = Frame(TakenRecord(e));
   for (std::size_t i = 0; i < e.attempts.size(); ++i) {
@@ -356,7 +356,7 @@
   close(fd_);
   fd_ = fd;
   torn_ = false;
-  overdue_ends_.clear();  // what they end is not in the new file, and the notices of the others are
+  pending_ends_.clear();  // what they end is not in the new file, and the notices of the others are
   file_bytes_ = bytes.size();
   return true;
 }
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -22,11 +22,11 @@
 };
 
 struct JournalEntry {
-  std::string id, message_class, tenant, key, body;
+  std::string id, request_class, tenant, key, body;
   std::int64_t destination = 0;
   std::int64_t deadline = 0;  // PersistentClock::Micros
   std::vector<JournalAttempt> attempts;
-  std::string notice;  // not empty: ended, and this is still to be told to the platform
+  std::string notification;  // not empty: ended, and this is still to be told to the platform
 };
 
 class Journal {
@@ -45,16 +45,17 @@
 
   // Each returns whether it is written. An end always finds room, whatever else does not. An end or a notice
   // that can't be written is kept, and written before the next record.
-  bool TakeOn(const JournalEntry& entry);
-  bool Attempt(const std::string& id, const JournalAttempt& attempt);
-  bool NeverRan(const std::string& id, std::size_t attempt);
-  bool End(const std::string& id);                                 // nothing more is owed
-  bool EndWith(const std::string& id, const std::string& notice);  // once the notice has arrived: End
+  bool RecordAccepted(const JournalEntry& entry);
+  bool RecordAttempt(const std::string& id, const JournalAttempt& attempt);
+  bool RecordNotExecuted(const std::string& id, std::size_t attempt);
+  bool RecordEnd(const std::string& id);  // nothing more is owed
+  bool RecordEndWithNotification(const std::string& id,
+                                 const std::string& notice);  // once the notice has arrived: End
 
   // Takes over what another journal holds, whose process has ended: each entry is written here whole before
   // it ends there, so that one of the two has it at every moment. Returns the numbers of the new ones. What
   // finds no room stays there; without that the other's file is empty.
-  std::vector<std::uint64_t> TakeOver(Journal& other);
+  std::vector<std::uint64_t> AdoptEntriesOf(Journal& other);
 
  private:
   static std::size_t CostOf(const JournalEntry& entry);
@@ -67,7 +68,7 @@
   void Erase(const JournalEntry& entry);
   bool Apply(const std::string& record);
   bool Write(const std::string& record);
-  bool WriteOverdueEnds();
+  bool WritePendingEnds();
   bool CutTornRecord();
   bool Compact();
   void Clear();
@@ -80,7 +81,7 @@
   int fd_ = -1;
   std::size_t file_bytes_ = 0, kept_bytes_ = 0, lost_bytes_ = 0;
   bool torn_ = false;  // bytes of a record that was not written whole stand behind file_bytes_
-  std::vector<std::string> overdue_ends_;  // records of ends that could not be written
+  std::vector<std::string> pending_ends_;  // records of ends that could not be written
   std::uint64_t last_ = 0;
   std::map<std::uint64_t, JournalEntry> entries_;
   std::unordered_map<std::string, std::uint64_t> numbers_;
--- a/src/journal/persistent_clock.cpp
+++ b/src/journal/persistent_clock.cpp
@@ -30,7 +30,7 @@
   const std::optional<std::string> bytes = ReadFileIfThere(path());
   if (bytes) {
     const net::FrameRead frame = net::ReadFrame(*bytes, kMostRecord);
-    resumed_ = kept_ = frame.state == net::FrameState::kWhole && Resume(std::string(frame.record));
+    resumed_ = persisted_ = frame.state == net::FrameState::kWhole && Resume(std::string(frame.record));
   }
   if (!resumed_) offset_ = clock_.WallMicros() - MonotonicMicros();
 }
@@ -52,12 +52,12 @@
 
 std::int64_t PersistentClock::Micros() const { return offset_ + MonotonicMicros(); }
 
-bool PersistentClock::Keep() {
-  if (kept_) return true;
+bool PersistentClock::Persist() {
+  if (persisted_) return true;
   const nlohmann::json record = {
       {"version", kVersion}, {"boot", boot_id_}, {"offset", offset_}, {"monotonic", MonotonicMicros()}};
-  kept_ = ReplaceFile(path(), net::Frame(record.dump()));
-  return kept_;
+  persisted_ = ReplaceFile(path(), net::Frame(record.dump()));
+  return persisted_;
 }
 
 }  // namespace opalroute
--- a/src/journal/persistent_clock.h
+++ b/src/journal/persistent_clock.h
@@ -38,7 +38,7 @@
   std::int64_t WallStep() const { return clock_.WallMicros() - Micros(); }
 
   // Writes the offset for later processes, unless it stands there. False: the folder can't be written now.
-  bool Keep();
+  bool Persist();
 
  private:
   bool Resume(const std::string& record);
@@ -48,7 +48,7 @@
   const net::Clock& clock_;
   const std::string folder_, boot_id_;
   std::int64_t offset_ = 0;  // microseconds from the monotonic clock's time to this clock's
-  bool resumed_ = false, kept_ = false;
+  bool resumed_ = false, persisted_ = false;
 };
 
 }  // namespace opalroute
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -14,9 +14,9 @@
 #include <utility>
 
 #include "cli/command_line.h"
-#include "cli/pool.h"
-#include "cli/snapshot.h"
-#include "cli/zones.h"
+#include "cli/pool_command.h"
+#include "cli/snapshot_command.h"
+#include "cli/zones_command.h"
 #include "config/config.h"
 #include "log/log.h"
 #include "net/address.h"
--- a/src/relay/notices.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -1,4 +1,4 @@
-#include "relay/notices.h"
+#include "notification/failure_notifier.h"
 
 #include <algorithm>
 
@@ -8,9 +8,10 @@
 namespace opalroute {
 
 // One request with the lines that wait, on its way.
-class Notices::Try : public net::HttpClient::Call {
+class FailureNotifier::Attempt : public net::HttpClient::Call {
  public:
-  Try(Notices& notices, std::size_t lines) : loop_(notices.loop_), notices_(notices), lines_(lines) {
+  Attempt(FailureNotifier& notices, std::size_t lines)
+      : loop_(notices.loop_), notices_(notices), lines_(lines) {
     timer_ = notices_.loop_.At(notices_.loop_.Now() + notices_.limits_.notice_time_most, [this] {
       timer_ = 0;
       notices_.client_.Abandon(*this);
@@ -18,7 +19,7 @@
     });
   }
   // Danger: one that was retired outlives the notices, until the loop's round is over.
-  ~Try() override { loop_.Cancel(timer_); }
+  ~Attempt() override { loop_.Cancel(timer_); }
 
   std::size_t lines() const { return lines_; }
   void Settle() { loop_.Cancel(timer_); }
@@ -30,31 +31,31 @@
  private:
   std::string OnReady() override {
     std::string body;
-    for (std::size_t i = 0; i < lines_; ++i) body += notices_.waiting_[i].second + "\n";
+    for (std::size_t i = 0; i < lines_; ++i) body += notices_.queue_[i].second + "\n";
     return net::WriteRequest("POST", "/v1/notices", {{"Host", net::FormatAddress(notices_.to_)}}, body);
   }
   void OnAnswer(net::HttpMessage& answer) override { notices_.OnAnswer(*this, answer.status); }
   void OnBroken(net::HttpClient::Broken, int) override { notices_.OnNoAnswer(*this, "connection failed"); }
 
   net::EventLoop& loop_;
-  Notices& notices_;
+  FailureNotifier& notices_;
   const std::size_t lines_;
   net::EventLoop::TimerId timer_ = 0;
 };
 
-Notices::Notices(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to, const Limits& limits,
-                 Arrived arrived)
+FailureNotifier::FailureNotifier(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to,
+                                 const Limits& limits, Arrived arrived)
     : loop_(loop), client_(client), to_(to), limits_(limits), arrived_(std::move(arrived)) {}
 
-Notices::~Notices() { AbandonAll(); }
+FailureNotifier::~FailureNotifier() { AbandonAll(); }
 
-void Notices::Add(const std::string& id, const std::string& line) {
-  waiting_.emplace_back(id, line);
-  if (tries_.empty() && next_try_ == 0) Send();
+void FailureNotifier::Add(const std::string& id, const std::string& line) {
+  queue_.emplace_back(id, line);
+  if (attempts_.empty() && next_try_ == 0) Send();
 }
 
 // What is out may have arrived: a notice about a message that is over does no harm.
-void Notices::MoveTo(const sockaddr_in& to) {
+void FailureNotifier::MoveTo(const sockaddr_in& to) {
   AbandonAll();
   client_.CloseIdle({to_});
   to_ = to;
@@ -62,21 +63,21 @@
   Send();
 }
 
-void Notices::AbandonAll() {
+void FailureNotifier::AbandonAll() {
   loop_.Cancel(next_try_);
-  for (const auto& tried : tries_) tried->Abandon();  // and its time-out, which would name what is gone
-  for (auto& tried : tries_) loop_.Retire(std::move(tried));
-  tries_.clear();
+  for (const auto& tried : attempts_) tried->Abandon();  // and its time-out, which would name what is gone
+  for (auto& tried : attempts_) loop_.Retire(std::move(tried));
+  attempts_.clear();
 }
 
-void Notices::Send() {
-  if (waiting_.empty()) return;
+void FailureNotifier::Send() {
+  if (queue_.empty()) return;
   // Danger: a kept connection may have fallen silent, and others with it.
-  if (!tries_.empty()) client_.CloseIdle({to_});
-  if (tries_.size() < limits_.notice_tries) {
-    tries_.push_back(
-        std::make_unique<Try>(*this, std::min(waiting_.size(), singly_ ? 1 : limits_.notice_lines)));
-    Try& tried = *tries_.back();
+  if (!attempts_.empty()) client_.CloseIdle({to_});
+  if (attempts_.size() < limits_.notice_tries) {
+    attempts_.push_back(
+        std::make_unique<Attempt>(*this, std::min(queue_.size(), singly_ ? 1 : limits_.notice_lines)));
+    Attempt& tried = *attempts_.back();
     SendAfter(limits_.notice_time);
     client_.Start({to_}, tried);  // which may fail at once, and then says when the next try is due
     return;
@@ -84,7 +85,7 @@
   SendAfter(limits_.notice_time);
 }
 
-void Notices::SendAfter(net::Seconds pause) {
+void FailureNotifier::SendAfter(net::Seconds pause) {
   loop_.Cancel(next_try_);
   next_try_ = loop_.At(loop_.Now() + pause, [this] {
     next_try_ = 0;
@@ -92,7 +93,7 @@
   });
 }
 
-void Notices::OnAnswer(Try& tried, int status) {
+void FailureNotifier::OnAnswer(Attempt& tried, int status) {
   constexpr int kTaken = 204, kUnreadable = 400;
   const std::size_t lines = tried.lines();
   const bool unreadable = status == kUnreadable;
@@ -101,39 +102,39 @@
     return OnNoAnswer(tried, ("answer " + std::to_string(status)).c_str());
   }
   // One line alone that can't be read will never be: the others must not wait for it.
-  if (unreadable) log::Error("notice_unreadable", {{"line", waiting_.front().second}});
+  if (unreadable) log::Error("notice_unreadable", {{"line", queue_.front().second}});
   Drop(tried);
   AbandonAll();  // they hold the same lines
   singly_ = singly_ && unreadable;
   failures_ = 0;
   for (std::size_t i = 0; i < lines; ++i) {
-    const std::string id = waiting_.front().first;
-    waiting_.pop_front();
+    const std::string id = queue_.front().first;
+    queue_.pop_front();
     arrived_(id);
   }
-  if (tries_.empty() && next_try_ == 0) Send();
+  if (attempts_.empty() && next_try_ == 0) Send();
 }
 
-void Notices::OnNoAnswer(Try& tried, const char* why) {
+void FailureNotifier::OnNoAnswer(Attempt& tried, const char* why) {
   Drop(tried);
   Failed(why);
 }
 
 // A failure that was told at once is tried again soon, for as long as an end that has just come may still be
 // in time.
-void Notices::Failed(const char* why) {
+void FailureNotifier::Failed(const char* why) {
   constexpr int kSoon = 10;
-  log::Warn("notices_wait", {{"lines", waiting_.size()}, {"why", why}});
+  log::Warn("notices_wait", {{"lines", queue_.size()}, {"why", why}});
   pause_ = ++failures_ <= kSoon ? limits_.notice_backoff : std::min(limits_.notice_backoff_most, 2 * pause_);
   SendAfter(pause_);
 }
 
-void Notices::Drop(Try& tried) {
-  const auto at = std::find_if(tries_.begin(), tries_.end(),
+void FailureNotifier::Drop(Attempt& tried) {
+  const auto at = std::find_if(attempts_.begin(), attempts_.end(),
                                [&tried](const auto& other) { return other.get() == &tried; });
   tried.Settle();
   loop_.Retire(std::move(*at));
-  tries_.erase(at);
+  attempts_.erase(at);
 }
 
 }  // namespace opalroute
--- a/src/relay/notices.h
+++ b/src/notification/failure_notifier.h
@@ -18,37 +18,37 @@
 
 namespace opalroute {
 
-class Notices {
+class FailureNotifier {
  public:
   using Arrived = std::function<void(const std::string& id)>;
 
-  Notices(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to, const Limits& limits,
-          Arrived arrived);
-  ~Notices();
+  FailureNotifier(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to, const Limits& limits,
+                  Arrived arrived);
+  ~FailureNotifier();
 
   void Add(const std::string& id, const std::string& line);
   void MoveTo(const sockaddr_in& to);  // what has not arrived goes there, at once
-  bool empty() const { return waiting_.empty(); }
+  bool empty() const { return queue_.empty(); }
 
  private:
-  class Try;
-  using Tries = std::list<std::unique_ptr<Try>>;
+  class Attempt;
+  using Attempts = std::list<std::unique_ptr<Attempt>>;
 
   void Send();
   void SendAfter(net::Seconds pause);
   void AbandonAll();
-  void OnAnswer(Try& tried, int status);
-  void OnNoAnswer(Try& tried, const char* why);
+  void OnAnswer(Attempt& tried, int status);
+  void OnNoAnswer(Attempt& tried, const char* why);
   void Failed(const char* why);
-  void Drop(Try& tried);
+  void Drop(Attempt& tried);
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
   sockaddr_in to_;
   const Limits& limits_;
   Arrived arrived_;
-  std::deque<std::pair<std::string, std::string>> waiting_;  // id and line, in order
-  Tries tries_;                                              // out; each holds the first lines that wait
+  std::deque<std::pair<std::string, std::string>> queue_;  // id and line, in order
+  Attempts attempts_;                                      // out; each holds the first lines that wait
   bool singly_ = false;     // one line a request: the platform could not read several
   int failures_ = 0;        // in a row
   net::Seconds pause_ = 0;  // before the next try, after a failure
--- a/src/relay/module_driver.h
+++ b/src/relay/decision_loop.h
@@ -7,40 +7,40 @@
 #include <vector>
 
 #include "net/event_loop.h"
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute {
 
-class ModuleDriver {
+class DecisionLoop {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
     virtual void Apply(const std::vector<Action>& actions) = 0;
-    virtual void BeforeTurnEnds() = 0;
-    virtual void AfterTurnEnded() = 0;
+    virtual void BeforeBatchEnds() = 0;
+    virtual void AfterBatchEnded() = 0;
     virtual void OnEvent(const Event& event) = 0;  // before the module takes it
   };
 
-  ModuleDriver(net::EventLoop& loop, const Settings& settings, Owner& owner);
-  ~ModuleDriver();
+  DecisionLoop(net::EventLoop& loop, const Settings& settings, Owner& owner);
+  ~DecisionLoop();
 
   // An action may bring about the next event before it is done: that one waits until then.
   void Post(Event event);
-  void WakeAt(const SetWake& wake);
-  const Courier& module() const { return courier_; }
+  void ArmTimer(const SetTimer& wake);
+  const RequestRouter& router() const { return router_; }
 
  private:
-  void ArmTurn();
+  void ArmBatchTimer();
 
   net::EventLoop& loop_;
   const Seconds tick_;
   Owner& owner_;
-  Courier courier_;
+  RequestRouter router_;
   std::deque<Event> events_;
   bool pumping_ = false;
-  net::EventLoop::TimerId turn_ = 0;
-  std::set<net::EventLoop::TimerId> wakes_;
+  net::EventLoop::TimerId batch_timer_ = 0;
+  std::set<net::EventLoop::TimerId> timers_;
 };
 
 }  // namespace opalroute
--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -4,7 +4,7 @@
 #include <iterator>
 #include <utility>
 
-#include "lane_note.h"
+#include "decision/route_gossip.h"
 #include "log/log.h"
 #include "net/address.h"
 
@@ -12,11 +12,11 @@
 
 namespace {
 
-const char* NameOf(Listing listing) {
+const char* NameOf(EndpointStatus listing) {
   switch (listing) {
-    case Listing::kInService:
+    case EndpointStatus::kInService:
       return "in_service";
-    case Listing::kDraining:
+    case EndpointStatus::kDraining:
       return "draining";
     default:
       return "gone";
@@ -63,7 +63,7 @@
   if (!std::exchange(endpoint.listed, false)) return;
   unlisted_.insert(id);
   client_.CloseIdle({endpoint.address, id});
-  Served& served = destinations_[endpoint.destination];
+  DestinationState& served = destinations_[endpoint.destination];
   --served.endpoints;
   served.left_at = loop_.Now();
 }
@@ -88,21 +88,21 @@
   }
 }
 
-bool EndpointTable::HasLeft(const std::string& id) const { return WasListed(id) && !FindListed(id); }
+bool EndpointTable::IsRemoved(const std::string& id) const { return WasListed(id) && !FindListed(id); }
 
-bool EndpointTable::Drains(const std::string& id) const {
+bool EndpointTable::IsDraining(const std::string& id) const {
   const auto listed = FindListed(id);
-  return listed && endpoints_.at(*listed).told.listing == Listing::kDraining;
+  return listed && endpoints_.at(*listed).listed_endpoint.status == EndpointStatus::kDraining;
 }
 
 // Returns the endpoint that the list names, if it is of use. Danger: an older list knows nothing of a drain
 // or a removal that was told since, and the grace of those has begun.
-std::optional<EndpointId> EndpointTable::Place(PoolMember member, bool older, ListUpdate& update) {
-  if (older && HasLeft(member.id)) return std::nullopt;
-  if (older && Drains(member.id)) member.state = PoolMember::State::kDraining;
-  const bool gone = member.state == PoolMember::State::kGone;
+std::optional<EndpointId> EndpointTable::Place(EndpointRecord member, bool older, ListUpdate& update) {
+  if (older && IsRemoved(member.id)) return std::nullopt;
+  if (older && IsDraining(member.id)) member.status = EndpointRecord::Status::kDraining;
+  const bool gone = member.status == EndpointRecord::Status::kRemoved;
   if (gone && ids_.count(member.id) == 0) return std::nullopt;
-  ListEntry entry;
+  ListedEndpoint entry;
   entry.zone = IndexOf(config_.zones, member.zone);
   entry.kind = IndexOf(config_.kinds, member.kind);
   if (entry.zone < 0 || entry.kind < 0) {
@@ -114,17 +114,17 @@
   }
   entry.endpoint = Intern(member.id);
   entry.destination = member.destination;
-  entry.listing = gone                                           ? Listing::kGone
-                  : member.state == PoolMember::State::kDraining ? Listing::kDraining
-                                                                 : Listing::kInService;
-  entry.rating = member.weight;
-  entry.tag = TagOf(member.id);
+  entry.status = gone                                                 ? EndpointStatus::kRemoved
+                 : member.status == EndpointRecord::Status::kDraining ? EndpointStatus::kDraining
+                                                                      : EndpointStatus::kInService;
+  entry.listed_rate = member.weight;
+  entry.name_hash = HashName(member.id);
   Endpoint* endpoint = &endpoints_.at(entry.endpoint);
   if (endpoint->listed && (endpoint->destination != entry.destination || endpoint->zone != entry.zone ||
                            endpoint->kind != entry.kind)) {
     // What serves something else now is another endpoint, whatever its name.
     update.entries.push_back(
-        {entry.endpoint, endpoint->zone, endpoint->kind, endpoint->destination, Listing::kGone, 0});
+        {entry.endpoint, endpoint->zone, endpoint->kind, endpoint->destination, EndpointStatus::kRemoved, 0});
     Unlist(entry.endpoint);
     ids_.erase(member.id);
     if (gone) return std::nullopt;
@@ -143,35 +143,36 @@
   }
   if (gone) Unlist(entry.endpoint);
   if (ever_listed_.size() < config_.limits.ids_remembered) ever_listed_.insert(member.id);
-  const Listing state_before = std::exchange(endpoint->told, entry).listing;
-  if (state_before != entry.listing) LogState(*endpoint, state_before);
-  update.entries.push_back(WithBan(*endpoint));
+  const EndpointStatus state_before = std::exchange(endpoint->listed_endpoint, entry).status;
+  if (state_before != entry.status) LogState(*endpoint, state_before);
+  update.entries.push_back(WithSuspension(*endpoint));
   return entry.endpoint;
 }
 
-void EndpointTable::LogState(const Endpoint& endpoint, Listing before) const {
+void EndpointTable::LogState(const Endpoint& endpoint, EndpointStatus before) const {
   log::Info("pool_member_state", {{"endpoint", endpoint.id},
                                   {"destination", endpoint.destination},
                                   {"before", NameOf(before)},
-                                  {"state", NameOf(endpoint.told.listing)},
+                                  {"state", NameOf(endpoint.listed_endpoint.status)},
                                   {"generation", version_.generation}});
 }
 
-ListEntry EndpointTable::WithBan(const Endpoint& endpoint) const {
-  ListEntry entry = endpoint.told;
-  if (entry.listing != Listing::kGone && banned_.count(endpoint.id) > 0) entry.listing = Listing::kDraining;
+ListedEndpoint EndpointTable::WithSuspension(const Endpoint& endpoint) const {
+  ListedEndpoint entry = endpoint.listed_endpoint;
+  if (entry.status != EndpointStatus::kRemoved && suspended_.count(endpoint.id) > 0)
+    entry.status = EndpointStatus::kDraining;
   return entry;
 }
 
-ListUpdate EndpointTable::Ban(const std::set<std::string>& ids) {
+ListUpdate EndpointTable::SetSuspended(const std::set<std::string>& ids) {
   ListUpdate update;
   update.scope = ListScope::kChanges;
-  update.of_discovery = false;
-  const std::set<std::string> before = std::exchange(banned_, ids);
+  update.from_discovery = false;
+  const std::set<std::string> before = std::exchange(suspended_, ids);
   for (const auto& [id, endpoint] : endpoints_) {
     const bool banned = ids.count(endpoint.id) > 0;
     if (!endpoint.listed || banned == (before.count(endpoint.id) > 0)) continue;
-    update.entries.push_back(WithBan(endpoint));
+    update.entries.push_back(WithSuspension(endpoint));
     if (banned) client_.CloseIdle({endpoint.address, id});  // it is about to be restarted
   }
   return update;
@@ -184,14 +185,14 @@
   return listed;
 }
 
-ListUpdate EndpointTable::Apply(const PoolNews& news, ListScope scope) {
+ListUpdate EndpointTable::Apply(const EndpointListUpdate& news, ListScope scope) {
   ListUpdate update;
   update.scope = scope;
-  update.of_discovery = news.of_list;
-  if (news.of_list) version_ = {news.generation, loop_.Now()};
+  update.from_discovery = news.from_list;
+  if (news.from_list) version_ = {news.generation, loop_.Now()};
   std::set<EndpointId> named;
-  for (const PoolMember& member : news.members)
-    if (const auto id = Place(member, news.older, update)) named.insert(*id);
+  for (const EndpointRecord& member : news.endpoints)
+    if (const auto id = Place(member, news.stale, update)) named.insert(*id);
   if (scope != ListScope::kChanges) {
     std::vector<EndpointId> unnamed;
     for (const auto& [id, endpoint] : endpoints_)
@@ -200,7 +201,7 @@
   }
   // A destination that has just lost its last endpoint is about to get another, mostly.
   for (auto it = destinations_.begin(); it != destinations_.end();) {
-    const Served& served = it->second;
+    const DestinationState& served = it->second;
     const bool past = served.endpoints == 0 && served.left_at + config_.limits.destination_rest < loop_.Now();
     it = past ? destinations_.erase(it) : std::next(it);
   }
--- a/src/relay/endpoint_table.h
+++ b/src/relay/endpoint_table.h
@@ -12,11 +12,11 @@
 #include <vector>
 
 #include "config/config.h"
+#include "discovery/endpoint_source.h"
+#include "metrics/counters.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
-#include "opalroute/rules.h"
-#include "pool/pool_source.h"
-#include "relay/counters.h"
+#include "opalroute/request_router.h"
 
 namespace opalroute {
 
@@ -35,19 +35,19 @@
     sockaddr_in address{};
     DestinationId destination = 0;
     bool listed = false;
-    ListEntry told;  // as the list says, whatever was done by hand
-    int users = 0;   // flows and probes
+    ListedEndpoint listed_endpoint;  // as the list says, whatever was done by hand
+    int users = 0;                   // flows and probes
   };
 
   // Closes idle connections of `client` to endpoints that leave or move.
   EndpointTable(net::EventLoop& loop, net::HttpClient& client, const Config& config, Counters& counters);
 
   // Takes a list over; returns the same for the decision module.
-  ListUpdate Apply(const PoolNews& news, ListScope scope);
+  ListUpdate Apply(const EndpointListUpdate& news, ListScope scope);
 
   // Takes endpoints out by hand, and these alone; returns what that changes for the decision module, to which
   // a banned endpoint is draining, whatever the list says of it.
-  ListUpdate Ban(const std::set<std::string>& ids);
+  ListUpdate SetSuspended(const std::set<std::string>& ids);
   bool WasListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
   std::vector<EndpointId> Listed() const;
 
@@ -69,16 +69,16 @@
   void Forget(const std::vector<EndpointId>& unused);
 
  private:
-  struct Served {
+  struct DestinationState {
     int endpoints = 0;    // listed
     Seconds left_at = 0;  // the last one of them
   };
-  std::optional<EndpointId> Place(PoolMember member, bool older, ListUpdate& update);
-  bool HasLeft(const std::string& id) const;
-  bool Drains(const std::string& id) const;
-  ListEntry WithBan(const Endpoint& endpoint) const;  // what the module is told of it
+  std::optional<EndpointId> Place(EndpointRecord member, bool older, ListUpdate& update);
+  bool IsRemoved(const std::string& id) const;
+  bool IsDraining(const std::string& id) const;
+  ListedEndpoint WithSuspension(const Endpoint& endpoint) const;  // what the module is told of it
   void Unlist(EndpointId id);
-  void LogState(const Endpoint& endpoint, Listing before) const;
+  void LogState(const Endpoint& endpoint, EndpointStatus before) const;
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
@@ -89,8 +89,8 @@
   EndpointId last_ = 0;
   ListVersion version_;
   std::set<EndpointId> unlisted_;  // not forgotten yet: calls may be out there, and the module may know them
-  std::map<DestinationId, Served> destinations_;
-  std::set<std::string> banned_;
+  std::map<DestinationId, DestinationState> destinations_;
+  std::set<std::string> suspended_;
   std::set<std::string> ever_listed_;  // since the start; bounded, and enough to know an id by
 };
 
--- a/src/relay/tier_state.h
+++ b/src/relay/membership_file.h
@@ -7,28 +7,29 @@
 #include <string>
 #include <vector>
 
-#include "zones/member.h"
+#include "zone_failover/zone_failover.h"
 
 namespace opalroute {
 
-class TierState {
+class MembershipFile {
  public:
   static constexpr std::size_t kMostBytes = 4096;  // on the disk, with the file that takes its place
 
-  explicit TierState(std::string folder) : path_(std::move(folder) + "/tier") {}
+  explicit MembershipFile(std::string folder) : path_(std::move(folder) + "/tier") {}
 
-  struct Kept {
-    std::uint64_t life = 0;
-    zones::Member::Kept zones;  // by zone as `zones` has them; empty: nothing was kept
-    std::string end = "none";   // whole; none: there is no file; broken, other version, other relay, too old
+  struct Saved {
+    std::uint64_t incarnation = 0;
+    zone_failover::ZoneFailover::SavedState zones;  // by zone as `zones` has them; empty: nothing was kept
+    std::string load_result =
+        "none";  // whole; none: there is no file; broken, other version, other relay, too old
   };
   // `now`: Unix time in microseconds. Stages older than `oldest` seconds, or from a clock that was ahead, are
   // passed over; the life counts all the same, and so do orders, which have an end of their own.
-  Kept Load(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
-            double oldest) const;
+  Saved Load(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
+             double oldest) const;
   // False: the folder took nothing, and the old file stands.
   bool Save(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
-            std::uint64_t life, const zones::Member::Kept& kept) const;
+            std::uint64_t life, const zone_failover::ZoneFailover::SavedState& kept) const;
   const std::string& path() const { return path_; }
 
  private:
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -9,9 +9,9 @@
 #include <system_error>
 #include <utility>
 
+#include "discovery/endpoint_list_parser.h"
 #include "log/log.h"
 #include "net/address.h"
-#include "pool/list_reader.h"
 
 namespace opalroute {
 
@@ -20,8 +20,8 @@
 net::ClientBounds EndpointBounds(const Config& config) {
   const Limits& limits = config.limits;
   std::size_t most = 1;
-  for (const Kind& kind : config.settings.kinds)
-    most = std::max(most, static_cast<std::size_t>(std::max(1, kind.bundle)));
+  for (const EndpointKind& kind : config.settings.kinds)
+    most = std::max(most, static_cast<std::size_t>(std::max(1, kind.max_batch)));
   net::ClientBounds bounds;
   bounds.http = {limits.head_bytes, limits.header_count, 4 * limits.body_bytes, limits.interim_answers};
   // Base64 makes three bytes four; names and marks stand around them.
@@ -80,83 +80,89 @@
 // Where another process may run beside this one, each has half of the disk.
 std::size_t Relay::JournalBytes() const {
   const std::size_t learned = settings_.learn.state ? config_.limits.learn_file_bytes : 0;
-  const std::size_t tier = settings_.tier.on() ? TierState::kMostBytes : 0;
+  const std::size_t tier = settings_.tier.on() ? MembershipFile::kMostBytes : 0;
   const std::size_t beside = learned + tier + PersistentClock::kMostBytes +
                              2 * config_.limits.ban_bytes;  // a file and the one that replaces it
   const std::size_t disk = config_.limits.disk_bytes, rest = disk - std::min(disk / 2, beside);
-  return config_.inherited_fd >= 0 ? rest / operation::kSeats : rest;
+  return config_.inherited_fd >= 0 ? rest / hot_restart::kProcessSlots : rest;
 }
 
 Relay::Relay(net::EventLoop& loop, const Config& config, const Operator& settings)
     : loop_(loop),
       config_(config),
       settings_(settings),
-      seats_(config.state_folder, config.inherited_fd >= 0),
+      process_lock_(config.state_folder, config.inherited_fd >= 0),
       clock_(loop.clock(), config.state_folder),
-      journal_(config.state_folder, JournalBytes(), JournalOf(seats_.own())),
+      journal_(config.state_folder, JournalBytes(), JournalOf(process_lock_.own())),
       endpoints_client_(loop, EndpointBounds(config)),
       platform_client_(loop, PlatformBounds(config.limits)),
       endpoints_(loop, endpoints_client_, config, counters_),
-      transactions_(loop, clock_, config, counters_, journal_),
-      driver_(loop, config.settings, *this),
+      requests_(loop, clock_, config, counters_, journal_),
+      decisions_(loop, config.settings, *this),
       calls_(
-          loop, clock_, endpoints_client_, config, counters_, endpoints_, transactions_, driver_,
+          loop, clock_, endpoints_client_, config, counters_, endpoints_, requests_, decisions_,
           [this] { CheckStopped(); },
-          [this](EndpointId endpoint, Seconds wait) { ShareWait(endpoint, wait); }),
-      bans_(config.state_folder, config.limits.ban_bytes),
-      joined_(settings.srv_names.empty()
-                  ? nullptr
-                  : std::make_unique<JoinedPool>(loop, config, settings,
-                                                 static_cast<PoolSource::Listener&>(*this))),
+          [this](EndpointId endpoint, Seconds wait) { ShareRetryAfter(endpoint, wait); }),
+      suspended_(config.state_folder, config.limits.ban_bytes),
+      merged_source_(settings.srv_names.empty()
+                         ? nullptr
+                         : std::make_unique<MergedEndpointSource>(
+                               loop, config, settings, static_cast<EndpointSource::Listener&>(*this))),
       discovery_(loop, config.discovery, config.limits,
-                 joined_ ? static_cast<PoolSource::Listener&>(*joined_) : *this),
-      notices_(loop, platform_client_, config.discovery, config.limits,
-               [this](const std::string& id) {
-                 ++counters_.notices_arrived;
-                 if (!journal_.End(id)) ++counters_.journal_failures;
-                 CheckStopped();
-               }),
-      learning_host_(loop, endpoints_, driver_,
+                 merged_source_ ? static_cast<EndpointSource::Listener&>(*merged_source_) : *this),
+      notifier_(loop, platform_client_, config.discovery, config.limits,
+                [this](const std::string& id) {
+                  ++counters_.notices_arrived;
+                  if (!journal_.RecordEnd(id)) ++counters_.journal_failures;
+                  CheckStopped();
+                }),
+      transfer_host_(loop, endpoints_, decisions_,
                      [this](int peer, const std::string& bytes) {
-                       TellPeers({peer, bytes});
+                       SendGossip({peer, bytes});
                      }),
       discovery_at_(config.discovery),
       server_(loop, config, counters_, *this) {
   counters_.classes.resize(config.classes.size());
   log::Info("clock", {{"resumed", clock_.resumed()}, {"wall_step_ms", clock_.WallStep() / 1000}});
-  KeepClock();
+  PersistClock();
   if (config.peer_listen) StartOrStayOff("notes between relays", [this] { ListenToPeers(); });
   if (settings.admin_listen)
     StartOrStayOff("operators' pages", [&] {
-      admin_ = std::make_unique<Admin>(
+      admin_ = std::make_unique<AdminServer>(
           loop, *settings.admin_listen, config.limits,
-          Admin::Pages{
-              {"/pool", [this] { return joined_ ? joined_->Print().dump() : endpoints_.Print().dump(); }},
+          AdminServer::Pages{
+              {"/pool",
+               [this] {
+                 return merged_source_ ? merged_source_->Print().dump() : endpoints_.Print().dump();
+               }},
               {"/counters", [this] { return counters_.Print(); }},
-              {"/zones", [this] { return (tier_ ? tier_->Print() : nlohmann::ordered_json()).dump(); }}},
-          Admin::Orders{{"/zones", [this](const std::string& body) { return OrderZone(body); }}});
+              {"/zones",
+               [this] { return (membership_ ? membership_->Print() : nlohmann::ordered_json()).dump(); }}},
+          AdminServer::Commands{{"/zones", [this](const std::string& body) { return OnZoneCommand(body); }}});
     });
   if (config.inherited_fd >= 0)
-    waits_ = std::make_unique<operation::SharedWaits>(config.state_folder, seats_.own(), seats_.other(),
-                                                      config.limits.shared_waits);
-  endpoints_.Ban(bans_.ids());  // before the list: not one call
-  const auto known = config.known.is_null() ? std::nullopt : ReadPoolList(config.known);
+    shared_retry_after_ = std::make_unique<hot_restart::SharedRetryAfterTable>(
+        config.state_folder, process_lock_.own(), process_lock_.other(), config.limits.shared_waits);
+  endpoints_.SetSuspended(suspended_.ids());  // before the list: not one call
+  const auto known = config.known.is_null() ? std::nullopt : ParseEndpointList(config.known);
   if (known) discovery_.Resume(known->generation);
-  const PoolNews list = known.value_or(PoolNews{true, true, {}});
-  driver_.Post(endpoints_.Apply(joined_ ? joined_->Remembered(list) : list, ListScope::kRemembered));
+  const EndpointListUpdate list = known.value_or(EndpointListUpdate{true, true, {}});
+  decisions_.Post(
+      endpoints_.Apply(merged_source_ ? merged_source_->ApplyCached(list) : list, ListScope::kCached));
   // Before what an earlier process had taken on is sent: the partners may be down still.
   if (settings.learn.on())
     StartOrStayOff("learning from running instances", [&] {
-      learning_ = std::make_unique<learning::Learning>(loop, clock_, config, settings.learn, learning_host_);
+      state_transfer_ = std::make_unique<state_transfer::StateTransfer>(loop, clock_, config, settings.learn,
+                                                                        transfer_host_);
     });
-  if (settings.tier.on()) JoinTier();
-  Restore();
+  if (settings.tier.on()) JoinFleet();
+  RecoverRequests();
   ready_ = !endpoints_.empty();
   if (config.inherited_fd >= 0) PollState();
   if (config.ops)
     StartOrStayOff("the operators' door", [&] {
-      door_ = std::make_unique<operation::Door>(loop, *config.ops, config.limits,
-                                                static_cast<operation::Operated&>(*this));
+      operations_server_ = std::make_unique<admin::OperationsServer>(
+          loop, *config.ops, config.limits, static_cast<admin::OperationsHandler&>(*this));
     });
 }
 
@@ -168,7 +174,7 @@
 
 // ---- operators ---------------------------------------------------------------------------------------
 
-std::string Relay::Figures() const {
+std::string Relay::Metrics() const {
   std::string text;
   const auto line = [&text](const std::string& name, long value) {
     text += "edge." + name + "=" + std::to_string(value) + "\n";
@@ -182,104 +188,108 @@
   long known = 0, skipped = 0;
   for (const EndpointId id : endpoints_.Listed()) {
     ++known;
-    if (!driver_.module().MayLeave(loop_.Now(), id)) ++skipped;
+    if (!decisions_.router().MaySend(loop_.Now(), id)) ++skipped;
   }
   line("upstream_tries", counters_.upstream_tries);
-  line("in_progress", transactions_.open());
+  line("in_progress", requests_.open());
   line("known_endpoints", known);
   line("skipped_endpoints", skipped);
   return text;
 }
 
-operation::Told Relay::SetBan(const std::string& endpoint, bool banned) {
-  if (!endpoints_.WasListed(endpoint) && !bans_.Has(endpoint)) return operation::Told::kUnknown;
-  if (!bans_.Set(endpoint, banned)) return operation::Told::kNotKept;
-  HeedBans();
-  return operation::Told::kDone;
+admin::CommandResult Relay::SetSuspended(const std::string& endpoint, bool banned) {
+  if (!endpoints_.WasListed(endpoint) && !suspended_.Has(endpoint))
+    return admin::CommandResult::kUnknownEndpoint;
+  if (!suspended_.SetSuspended(endpoint, banned)) return admin::CommandResult::kNotPersisted;
+  ApplySuspensions();
+  return admin::CommandResult::kDone;
 }
 
-void Relay::HeedBans() {
-  const ListUpdate update = endpoints_.Ban(bans_.ids());
+void Relay::ApplySuspensions() {
+  const ListUpdate update = endpoints_.SetSuspended(suspended_.ids());
   if (update.entries.empty()) return;
-  driver_.Post(update);
-  Learned back;  // a machine that was out by hand has been restarted, mostly: it starts slowly
-  for (const ListEntry& e : update.entries) {
-    if (e.listing != Listing::kInService || !config_.settings.kinds[e.kind].routes_apart) continue;
-    Belief belief;
+  decisions_.Post(update);
+  TransferredState back;  // a machine that was out by hand has been restarted, mostly: it starts slowly
+  for (const ListedEndpoint& e : update.entries) {
+    if (e.status != EndpointStatus::kInService || !config_.settings.kinds[e.kind].limits_per_endpoint)
+      continue;
+    RouteState belief;
     belief.destination = e.destination;
     belief.endpoint = e.endpoint;
-    belief.back = 0;
-    back.beliefs.push_back(belief);
+    belief.recovery_age = 0;
+    back.routes.push_back(belief);
   }
-  if (!back.beliefs.empty()) driver_.Post(std::move(back));
+  if (!back.routes.empty()) decisions_.Post(std::move(back));
 }
 
-void Relay::ShareWait(EndpointId endpoint, Seconds wait) {
-  if (!waits_) return;
+void Relay::ShareRetryAfter(EndpointId endpoint, Seconds wait) {
+  if (!shared_retry_after_) return;
   const EndpointTable::Endpoint& e = endpoints_.At(endpoint);
-  const bool apart = config_.settings.kinds[e.kind].routes_apart;
+  const bool apart = config_.settings.kinds[e.kind].limits_per_endpoint;
   const auto until = static_cast<std::int64_t>(std::ceil((wait + config_.settings.tick) * 1e6));
-  waits_->Tell({e.destination, apart ? e.told.tag : 0, clock_.Micros() + until});
+  shared_retry_after_->Publish(
+      {e.destination, apart ? e.listed_endpoint.name_hash : 0, clock_.Micros() + until});
 }
 
 // Danger: the two processes count as one relay, and what was told to either binds both.
-void Relay::HeedSharedWaits() {
+void Relay::ApplySharedRetryAfter() {
   const std::int64_t now = clock_.Micros();
-  const std::vector<operation::SharedWait> waits = waits_->Holding(now);
+  const std::vector<hot_restart::SharedRetryAfter> waits = shared_retry_after_->Active(now);
   if (waits.empty()) return;
   std::map<std::pair<DestinationId, std::uint32_t>, EndpointId> apart;
   for (const EndpointId id : endpoints_.Listed())
-    apart[{endpoints_.At(id).destination, endpoints_.At(id).told.tag}] = id;
-  Learned told;
-  for (const operation::SharedWait& w : waits) {
-    Belief belief;
+    apart[{endpoints_.At(id).destination, endpoints_.At(id).listed_endpoint.name_hash}] = id;
+  TransferredState told;
+  for (const hot_restart::SharedRetryAfter& w : waits) {
+    RouteState belief;
     belief.destination = w.destination;
-    belief.wait = static_cast<double>(w.until - now) / 1e6;
-    if (w.tag != 0) {
-      const auto endpoint = apart.find({w.destination, w.tag});
+    belief.retry_after = static_cast<double>(w.until - now) / 1e6;
+    if (w.name_hash != 0) {
+      const auto endpoint = apart.find({w.destination, w.name_hash});
       if (endpoint == apart.end()) continue;
       belief.endpoint = endpoint->second;
     }
-    told.beliefs.push_back(belief);
+    told.routes.push_back(belief);
   }
-  driver_.Post(std::move(told));
+  decisions_.Post(std::move(told));
 }
 
 // Danger: a later process of this boot that does not find the offset goes by the wall clock.
-void Relay::KeepClock() {
-  if (clock_.Keep()) return;
+void Relay::PersistClock() {
+  if (clock_.Persist()) return;
   if (clock_timer_ == 0)
     log::Warn("clock_not_kept", {{"folder", config_.state_folder}, {"why", std::strerror(errno)}});
-  clock_timer_ = loop_.At(loop_.Now() + config_.limits.state_poll, [this] { KeepClock(); });
+  clock_timer_ = loop_.At(loop_.Now() + config_.limits.state_poll, [this] { PersistClock(); });
 }
 
 // Another process of this relay may be told as well.
 void Relay::PollState() {
   poll_timer_ = loop_.At(loop_.Now() + config_.limits.state_poll, [this] { PollState(); });
-  if (bans_.Refresh()) HeedBans();
+  if (suspended_.Refresh()) ApplySuspensions();
   if (stopping_) return;
-  GoOnForOther();
-  if (std::exchange(peers_later_, false)) ListenToPeers();
+  ResumeOtherProcess();
+  if (std::exchange(peer_address_taken_, false)) ListenToPeers();
 }
 
 // ---- the pool --------------------------------------------------------------------------------------
 
-void Relay::OnPoolNews(const PoolNews& news) {
+void Relay::OnEndpointList(const EndpointListUpdate& news) {
   ++counters_.pool_news;
-  if (news.of_list)
-    log::Info("pool_news",
-              {{"generation", news.generation}, {"whole", news.whole}, {"members", news.members.size()}});
-  if (news.of_list && !std::exchange(list_is_current_, true))
-    log::Info("pool_current", {{"members", news.members.size()}, {"whole", news.whole}});
-  driver_.Post(endpoints_.Apply(news, news.whole ? ListScope::kWhole : ListScope::kChanges));
-  if (waits_) HeedSharedWaits();  // of endpoints that were not known before
-  if (learning_) learning_->OnPoolNews();
-  ready_ = ready_ || news.of_list || !endpoints_.empty();
-}
-
-void Relay::OnPoolFailed() {
+  if (news.from_list)
+    log::Info(
+        "pool_news",
+        {{"generation", news.generation}, {"whole", news.complete}, {"members", news.endpoints.size()}});
+  if (news.from_list && !std::exchange(list_is_current_, true))
+    log::Info("pool_current", {{"members", news.endpoints.size()}, {"whole", news.complete}});
+  decisions_.Post(endpoints_.Apply(news, news.complete ? ListScope::kComplete : ListScope::kChanges));
+  if (shared_retry_after_) ApplySharedRetryAfter();  // of endpoints that were not known before
+  if (state_transfer_) state_transfer_->OnEndpointList();
+  ready_ = ready_ || news.from_list || !endpoints_.empty();
+}
+
+void Relay::OnWatchFailed() {
   ++counters_.pool_failures;
-  driver_.Post(ListUpdate{ListScope::kRefused, {}, true});
+  decisions_.Post(ListUpdate{ListScope::kWatchFailed, {}, true});
 }
 
 void Relay::Reload(const std::function<Config()>& read) {
@@ -293,8 +303,8 @@
     log::Info("reload_done", {{"discovery", to}, {"before", from}});
     discovery_at_ = fresh.discovery;
     discovery_.MoveTo(fresh.discovery);
-    driver_.Post(ListMoved{});
-    notices_.MoveTo(fresh.discovery);
+    decisions_.Post(DiscoveryMoved{});
+    notifier_.MoveTo(fresh.discovery);
   } catch (const std::exception& error) {
     ++counters_.reload_failures;
     log::Error("reload_refused", {{"why", error.what()}});
@@ -315,105 +325,106 @@
     peers_ = std::make_unique<net::DatagramSocket>(
         loop_, *config_.peer_listen, config_.limits.datagram_bytes,
         [this](const sockaddr_in& from, std::string bytes) {
-          if (const auto peer = PeerAt(from)) TakeNote(*peer, std::move(bytes));
+          if (const auto peer = PeerAt(from)) OnGossip(*peer, std::move(bytes));
         },
         [this](const sockaddr_in& to) {
-          const auto peer = tier_ ? PeerAt(to) : std::nullopt;
-          if (peer) tier_->Refused(*peer);
+          const auto peer = membership_ ? PeerAt(to) : std::nullopt;
+          if (peer) membership_->OnUnreachable(*peer);
         });
   } catch (const std::system_error& error) {
     // The process that this one takes over from has it still, until it is told to end.
     if (config_.inherited_fd < 0 || error.code().value() != EADDRINUSE) throw;
-    peers_later_ = true;
+    peer_address_taken_ = true;
   }
 }
 
 // Needs notes to all others, and a number of its own among them.
-void Relay::JoinTier() {
-  const char* lacking = !peers_ && !peers_later_    ? "'peer_listen' is not set"
-                        : !config_.may_tell_peers   ? "the settings allow no notes between relays"
-                        : config_.peers.size() < 2  ? "'peers' names no others"
-                        : config_.own_peer < 0      ? "'settings.me' is none of 'peers'"
-                        : config_.inherited_fd >= 0 ? "two processes of this relay may run at once"
-                                                    : nullptr;
+void Relay::JoinFleet() {
+  const char* lacking = !peers_ && !peer_address_taken_ ? "'peer_listen' is not set"
+                        : !config_.may_tell_peers       ? "the settings allow no notes between relays"
+                        : config_.peers.size() < 2      ? "'peers' names no others"
+                        : config_.own_peer < 0          ? "'settings.me' is none of 'peers'"
+                        : config_.inherited_fd >= 0     ? "two processes of this relay may run at once"
+                                                        : nullptr;
   if (lacking != nullptr) return log::Warn("feature_off", {{"feature", "tier"}, {"why", lacking}});
-  tier_ = std::make_unique<TierHost>(loop_, clock_, config_, settings_.tier, endpoints_,
-                                     static_cast<TierHost::Owner&>(*this));
+  membership_ = std::make_unique<MembershipHost>(loop_, clock_, config_, settings_.tier, endpoints_,
+                                                 static_cast<MembershipHost::Owner&>(*this));
 }
 
-net::HttpAnswer Relay::OrderZone(const std::string& body) {
-  if (!tier_ || !settings_.tier.zones) return net::PlainAnswer(409, "tier.zones is off here");
-  return TakeZoneOrder(
-      body, [this](const ZoneOrder& order) { return tier_->Order(order.zone, order.what, order.lasts); });
+net::HttpAnswer Relay::OnZoneCommand(const std::string& body) {
+  if (!membership_ || !settings_.tier.zones) return net::PlainAnswer(409, "tier.zones is off here");
+  return HandleZoneCommand(body, [this](const ZoneCommand& order) {
+    return membership_->ApplyCommand(order.zone, order.override_kind, order.duration);
+  });
 }
 
-void Relay::TakeNote(int peer, std::string bytes) {
-  if (tier_ && tier_->TakeNote(peer, bytes)) return;
-  if (learning_ && learning_->TakeNote(peer, bytes)) return;
-  driver_.Post(PeerNote{peer, std::move(bytes)});
+void Relay::OnGossip(int peer, std::string bytes) {
+  if (membership_ && membership_->OnGossip(peer, bytes)) return;
+  if (state_transfer_ && state_transfer_->OnDatagram(peer, bytes)) return;
+  decisions_.Post(GossipReceived{peer, std::move(bytes)});
 }
 
-void Relay::TellPeers(const opalroute::TellPeers& tell) {
+void Relay::SendGossip(const opalroute::SendGossip& tell) {
   if (!peers_) return;
   if (!tell.peer) {
     if (config_.peers_all) {
-      peers_->Send(*config_.peers_all, tell.bytes);
-    } else if (tier_) {
+      peers_->Send(*config_.peers_all, tell.payload);
+    } else if (membership_) {
       for (std::size_t i = 0; i < config_.peers.size(); ++i)
-        if (static_cast<int>(i) != config_.own_peer) peers_->Send(config_.peers[i], tell.bytes);
+        if (static_cast<int>(i) != config_.own_peer) peers_->Send(config_.peers[i], tell.payload);
     }
   } else if (*tell.peer >= 0 && *tell.peer < static_cast<int>(config_.peers.size())) {
-    peers_->Send(config_.peers[*tell.peer], tell.bytes);
+    peers_->Send(config_.peers[*tell.peer], tell.payload);
   }
 }
 
 // ---- what an earlier process had taken on ------------------------------------------------------------
 
-void Relay::Restore() {
-  TakeOver();  // before anything is sent: an earlier process may have ended while it took these over
+void Relay::RecoverRequests() {
+  AdoptOtherJournal();  // before anything is sent: an earlier process may have ended while it took these over
   if (journal_.lost_bytes() > 0) log::Warn("journal_cut", {{"lost_bytes", journal_.lost_bytes()}});
   // Copied: what is done for one may write to the journal and change its table.
   const auto entries = journal_.entries();
-  for (const auto& [number, entry] : entries) RestoreOne(entry);
+  for (const auto& [RecoverRequests, entry] : entries) RecoverRequest(entry);
   counters_.restored = static_cast<long>(entries.size());
   if (!entries.empty()) log::Info("journal_restored", {{"transactions", entries.size()}});
 }
 
 // The numbers, in the own journal, of what the other seat's former process has left. Danger: a newcomer that
 // finds the seat locked for this can't sit down, so it is locked only where something was left.
-std::vector<std::uint64_t> Relay::TakeOver() {
+std::vector<std::uint64_t> Relay::AdoptOtherJournal() {
   std::vector<std::uint64_t> taken;
-  const std::string file = JournalOf(seats_.other());
+  const std::string file = JournalOf(process_lock_.other());
   std::error_code none;
   const auto bytes = std::filesystem::file_size(config_.state_folder + "/" + file, none);
   if (none || bytes == 0) return taken;
-  seats_.IfOtherFree([&] {
+  process_lock_.RunIfOtherIsFree([&] {
     Journal other(config_.state_folder, JournalBytes(), file);
-    taken = journal_.TakeOver(other);
+    taken = journal_.AdoptEntriesOf(other);
   });
   return taken;
 }
 
 // The other process has ended: what it had under way goes on here, as its class allows.
-void Relay::GoOnForOther() {
-  const std::vector<std::uint64_t> taken = TakeOver();
+void Relay::ResumeOtherProcess() {
+  const std::vector<std::uint64_t> taken = AdoptOtherJournal();
   std::vector<JournalEntry> entries;
   for (const std::uint64_t number : taken) entries.push_back(journal_.entries().at(number));
-  for (const JournalEntry& entry : entries) RestoreOne(entry);
+  for (const JournalEntry& entry : entries) RecoverRequest(entry);
   if (!taken.empty()) log::Info("taken_over", {{"transactions", taken.size()}});
 }
 
-void Relay::RestoreOne(const JournalEntry& entry) {
-  if (!entry.notice.empty()) return notices_.Add(entry.id, entry.notice);
-  Restored restored;
-  restored.message.message_class = IndexOf(config_.classes, entry.message_class);
-  restored.message.destination = entry.destination;
+void Relay::RecoverRequest(const JournalEntry& entry) {
+  if (!entry.notification.empty()) return notifier_.Add(entry.id, entry.notification);
+  RecoveredRequest restored;
+  restored.request.request_class = IndexOf(config_.classes, entry.request_class);
+  restored.request.destination = entry.destination;
   const int tenant = IndexOf(config_.tenants, entry.tenant);
-  if (tenant >= 0) restored.message.tenant = tenant;
+  if (tenant >= 0) restored.request.tenant = tenant;
   const std::int64_t now = clock_.Micros();
-  restored.message.patience =
+  restored.request.remaining_time =
       std::clamp(static_cast<double>(entry.deadline - now) / 1e6, 0.0, config_.limits.longest_remaining);
-  restored.message.message = transactions_.Restore(entry, restored.message.patience);
+  restored.request.request_id = requests_.Recover(entry, restored.request.remaining_time);
   for (const JournalAttempt& a : entry.attempts) {
     const Seconds age = AgeOf(a, now);
     const int zone = IndexOf(config_.zones, a.zone);
@@ -423,40 +434,42 @@
                                  a.may_have_run});
   }
   // The settings may have lost its class since: nothing is known then of what it allows.
-  if (restored.message.message_class < 0) return EndWithNotice(restored.message.message, "given_up", 0);
-  driver_.Post(std::move(restored));
+  if (restored.request.request_class < 0)
+    return EndWithNotification(restored.request.request_id, "given_up", 0);
+  decisions_.Post(std::move(restored));
 }
 
 // ---- clients ------------------------------------------------------------------------------------------
 
-TakeOn Relay::Take(ClientRequest&& request, std::uint64_t& ticket) {
-  if (const Transaction* t = transactions_.FindByName(request.id)) {
+AcceptResult Relay::Accept(ClientRequest&& request, std::uint64_t& ticket) {
+  if (const AcceptedRequest* t = requests_.FindByClientId(request.id)) {
     const bool same =
         t->key == request.key && t->body == request.body && t->destination == request.destination;
-    return same ? TakeOn::kTaken : TakeOn::kOtherMessage;  // sent once more, or the name of another's
+    return same ? AcceptResult::kAccepted
+                : AcceptResult::kIdInUse;  // sent once more, or the name of another's
   }
-  if (!taking_on_) return TakeOn::kStopping;
+  if (!accepting_) return AcceptResult::kStopping;
   if (!endpoints_.Serves(request.destination))
-    return list_is_current_ ? TakeOn::kUnknownDestination : TakeOn::kNotYetKnown;
-  if (transactions_.open() >= config_.limits.open_transactions) return TakeOn::kFull;
-  NewMessage message;
-  message.message_class = request.message_class;
+    return list_is_current_ ? AcceptResult::kUnknownDestination : AcceptResult::kListNotYetCurrent;
+  if (requests_.open() >= config_.limits.open_transactions) return AcceptResult::kAtCapacity;
+  NewRequest message;
+  message.request_class = request.request_class;
   message.tenant = request.tenant;
-  message.patience = request.remaining;
+  message.remaining_time = request.remaining_time;
   message.destination = request.destination;
-  message.message = transactions_.TakeOn(std::move(request));
-  if (message.message == 0) return TakeOn::kNoDisk;  // what can't be recorded is not taken on
+  message.request_id = requests_.Accept(std::move(request));
+  if (message.request_id == 0) return AcceptResult::kNotRecorded;  // what can't be recorded is not taken on
   ++counters_.taken_on;
-  ticket = message.message;
-  driver_.Post(std::move(message));
-  return TakeOn::kTaken;
+  ticket = message.request_id;
+  decisions_.Post(std::move(message));
+  return AcceptResult::kAccepted;
 }
 
-void Relay::Withdraw(std::uint64_t ticket) {
-  const Transaction* t = transactions_.Find(ticket);
-  if (t == nullptr || t->over) return;
+void Relay::Abort(std::uint64_t ticket) {
+  const AcceptedRequest* t = requests_.Find(ticket);
+  if (t == nullptr || t->ended) return;
   ++counters_.withdrawn;
-  calls_.EndUnasked(ticket);
+  calls_.EndWithoutOutcome(ticket);
 }
 
 // ---- the module's actions -------------------------------------------------------------------------------
@@ -464,25 +477,25 @@
 void Relay::Apply(const std::vector<Action>& actions) {
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
-      if (tier_) tier_->Sent(send->endpoint);
-      calls_.Gather(*send);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      EndWithNotice(refuse->message, "handed_back", refuse->wait);
+      if (membership_) membership_->OnSent(send->endpoint);
+      calls_.Enqueue(*send);
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
+      EndWithNotification(refuse->request_id, "handed_back", refuse->retry_after);
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      EndWithNotice(fail->message, "given_up", 0);
-    } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
+      EndWithNotification(fail->request_id, "given_up", 0);
+    } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
       calls_.Cancel(*cancel);
-    } else if (const auto* probe = std::get_if<Probe>(&action)) {
-      if (tier_) tier_->Sent(probe->endpoint);
-      calls_.StartProbe(probe->endpoint);
-    } else if (const auto* wake = std::get_if<SetWake>(&action)) {
-      driver_.WakeAt(*wake);
-    } else if (const auto* watch = std::get_if<WatchList>(&action)) {
-      discovery_.Watch(watch->on);
-    } else if (const auto* close = std::get_if<CloseConnections>(&action)) {
+    } else if (const auto* probe = std::get_if<HealthCheck>(&action)) {
+      if (membership_) membership_->OnSent(probe->endpoint);
+      calls_.StartHealthCheck(probe->endpoint);
+    } else if (const auto* wake = std::get_if<SetTimer>(&action)) {
+      decisions_.ArmTimer(*wake);
+    } else if (const auto* watch = std::get_if<WatchEndpointList>(&action)) {
+      discovery_.Watch(watch->enabled);
+    } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
       endpoints_client_.CloseIdle(endpoints_.PeerOf(close->endpoint));
-    } else if (const auto* tell = std::get_if<opalroute::TellPeers>(&action)) {
-      TellPeers(*tell);
+    } else if (const auto* tell = std::get_if<opalroute::SendGossip>(&action)) {
+      SendGossip(*tell);
     } else {
       log::Info("module", {{"says", std::get<opalroute::Log>(action).text}});
     }
@@ -490,32 +503,32 @@
   calls_.Start();
 }
 
-void Relay::BeforeTurnEnds() {
-  unused_ = endpoints_.Unused();
-  if (waits_ && waits_->HasNews()) HeedSharedWaits();
+void Relay::BeforeBatchEnds() {
+  unused_before_batch_ = endpoints_.Unused();
+  if (shared_retry_after_ && shared_retry_after_->HasChanges()) ApplySharedRetryAfter();
 }
 
-void Relay::AfterTurnEnded() {
-  endpoints_.Forget(unused_);
+void Relay::AfterBatchEnded() {
+  endpoints_.Forget(unused_before_batch_);
   CheckStopped();
 }
 
-void Relay::EndWithNotice(MessageId message, const char* outcome, Seconds wait) {
-  Transaction* t = transactions_.Find(message);
-  if (t == nullptr || t->over) return;
-  Counters::OfClass& of = counters_.Of(t->message_class);
+void Relay::EndWithNotification(RequestId message, const char* outcome, Seconds wait) {
+  AcceptedRequest* t = requests_.Find(message);
+  if (t == nullptr || t->ended) return;
+  Counters::OfClass& of = counters_.Of(t->request_class);
   const bool failed = outcome == std::string_view("given_up");
   ++(failed ? counters_.given_up : counters_.handed_back);
   ++(failed ? of.bad_gateway : of.dropped);
   if (log::Writes(log::Level::debug))
     log::Debug("message_ended", {{"id", t->id},
                                  {"outcome", outcome},
-                                 {"attempts", t->journaled.size()},
+                                 {"attempts", t->journal_attempts.size()},
                                  {"left_ms", std::lround((t->deadline - loop_.Now()) * 1000)}});
   const std::string line = NoticeLine(t->id, outcome, wait);
-  transactions_.EndWith(*t, line);
-  notices_.Add(t->id, line);
-  transactions_.ForgetIfDone(message);
+  requests_.EndWithNotification(*t, line);
+  notifier_.Add(t->id, line);
+  requests_.ForgetIfDone(message);
 }
 
 // ---- the end ---------------------------------------------------------------------------------------------
@@ -524,7 +537,7 @@
   if (std::exchange(stopping_, true)) return;
   stopped_ = std::move(stopped);
   const Limits& limits = config_.limits;
-  log::Info("stopping", {{"open", transactions_.open()}, {"calls_out", calls_.out()}});
+  log::Info("stopping", {{"open", requests_.open()}, {"calls_out", calls_.out()}});
   server_.http().CloseAfterAnswers();
   const bool handing_over = config_.inherited_fd >= 0;
   if (handing_over) {  // who connects now, and peers' notes, are the next process's
@@ -533,10 +546,10 @@
   }
   // What waits here is the next process's as soon as this one has ended: nothing more is sent that would put
   // that off.
-  driver_.Post(Stopping{handing_over ? 0 : limits.stop_time});
+  decisions_.Post(ShutdownStarted{handing_over ? 0 : limits.stop_time});
   stop_timer_ = loop_.At(loop_.Now() + limits.stop_take_on, [this, &limits, handing_over] {
     may_end_ = true;
-    taking_on_ = handing_over;  // a late request on an open connection: the next process finds it recorded
+    accepting_ = handing_over;  // a late request on an open connection: the next process finds it recorded
     server_.http().CloseIdle();
     stop_timer_ = loop_.At(loop_.Now() + limits.stop_time - limits.stop_take_on, [this] {
       stop_timer_ = 0;
@@ -547,15 +560,15 @@
 }
 
 void Relay::End() {
-  if (tier_) tier_->Leave();
+  if (membership_) membership_->Leave();
   server_.http().TakeWhatHasCome();
   stopped_();
 }
 
 // What is still open then is in the journal; the next process goes on with it.
 void Relay::CheckStopped() {
-  if (!stopping_ || !may_end_ || calls_.out() > 0 || !notices_.empty()) return;
-  if (config_.inherited_fd < 0 && transactions_.open() > 0) return;
+  if (!stopping_ || !may_end_ || calls_.out() > 0 || !notifier_.empty()) return;
+  if (config_.inherited_fd < 0 && requests_.open() > 0) return;
   End();
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -9,38 +9,38 @@
 #include <memory>
 #include <vector>
 
+#include "admin/admin_server.h"
+#include "admin/operations_server.h"
+#include "admin/suspended_endpoints.h"
+#include "admin/zone_command.h"
 #include "config/config.h"
 #include "config/operator.h"
+#include "discovery/discovery.h"
+#include "discovery/merged_endpoint_source.h"
+#include "hot_restart/process_lock.h"
+#include "hot_restart/shared_retry_after.h"
+#include "ingress/request_listener.h"
 #include "journal/journal.h"
 #include "journal/persistent_clock.h"
+#include "metrics/counters.h"
 #include "net/datagram.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
-#include "operation/bans.h"
-#include "operation/door.h"
-#include "operation/seats.h"
-#include "operation/shared_waits.h"
-#include "pool/discovery.h"
-#include "pool/joined_pool.h"
-#include "relay/admin.h"
-#include "relay/calls.h"
-#include "relay/counters.h"
+#include "notification/failure_notifier.h"
+#include "relay/decision_loop.h"
 #include "relay/endpoint_table.h"
-#include "relay/learning_host.h"
-#include "relay/module_driver.h"
-#include "relay/notices.h"
-#include "relay/tier_host.h"
-#include "relay/transaction_table.h"
-#include "relay/virtual_server.h"
-#include "relay/zone_orders.h"
+#include "relay/membership_host.h"
+#include "relay/request_table.h"
+#include "relay/state_transfer_host.h"
+#include "relay/upstream_calls.h"
 
 namespace opalroute {
 
-class Relay : private Transactions,
-              private ModuleDriver::Owner,
-              private PoolSource::Listener,
-              private TierHost::Owner,
-              private operation::Operated {
+class Relay : private RequestHandler,
+              private DecisionLoop::Owner,
+              private EndpointSource::Listener,
+              private MembershipHost::Owner,
+              private admin::OperationsHandler {
  public:
   Relay(net::EventLoop& loop, const Config& config, const Operator& settings = {});
   ~Relay() override;
@@ -52,92 +52,96 @@
   // throws, all stays as it was.
   void Reload(const std::function<Config()>& read);
 
-  const learning::Learning* learning() const { return learning_.get(); }
-  const operation::Door* door() const { return door_.get(); }
-  const Admin* admin() const { return admin_.get(); }
+  const state_transfer::StateTransfer* state_transfer() const { return state_transfer_.get(); }
+  const admin::OperationsServer* operations_server() const { return operations_server_.get(); }
+  const AdminServer* admin() const { return admin_.get(); }
   sockaddr_in address() { return server_.http().address(); }
   const Counters& counters() const { return counters_; }
 
  private:
   // Transactions
-  TakeOn Take(ClientRequest&& request, std::uint64_t& ticket) override;
-  void Withdraw(std::uint64_t ticket) override;
+  AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) override;
+  void Abort(std::uint64_t ticket) override;
   bool Ready() const override {
-    return ready_ && !stopping_ && (!learning_ || learning_->done()) && (!tier_ || tier_->Joined());
+    return ready_ && !stopping_ && (!state_transfer_ || state_transfer_->done()) &&
+           (!membership_ || membership_->Joined());
   }
   // ModuleDriver::Owner
   void Apply(const std::vector<Action>& actions) override;
-  void BeforeTurnEnds() override;
-  void AfterTurnEnded() override;
+  void BeforeBatchEnds() override;
+  void AfterBatchEnded() override;
   void OnEvent(const Event& event) override {
-    if (tier_) tier_->Saw(event);
+    if (membership_) membership_->OnEvent(event);
   }
   // TierHost::Owner
-  void PostTier(Event event) override { driver_.Post(std::move(event)); }
-  void SendNote(std::optional<int> peer, const std::string& bytes) override { TellPeers({peer, bytes}); }
+  void PostMembershipEvent(Event event) override { decisions_.Post(std::move(event)); }
+  void SendGossipPayload(std::optional<int> peer, const std::string& bytes) override {
+    SendGossip({peer, bytes});
+  }
   // PoolSource::Listener
-  void OnPoolNews(const PoolNews& news) override;
-  void OnPoolConfirmed() override { driver_.Post(ListConfirmed{}); }
-  void OnPoolFailed() override;
+  void OnEndpointList(const EndpointListUpdate& news) override;
+  void OnListConfirmed() override { decisions_.Post(ListConfirmed{}); }
+  void OnWatchFailed() override;
   // operation::Operated
-  bool TakesClients() const override { return Ready(); }
-  std::string Figures() const override;
-  operation::Told SetBan(const std::string& endpoint, bool banned) override;
+  bool AcceptsClients() const override { return Ready(); }
+  std::string Metrics() const override;
+  admin::CommandResult SetSuspended(const std::string& endpoint, bool banned) override;
 
-  void HeedBans();
-  void ShareWait(EndpointId endpoint, Seconds wait);
-  void HeedSharedWaits();
-  void KeepClock();
+  void ApplySuspensions();
+  void ShareRetryAfter(EndpointId endpoint, Seconds wait);
+  void ApplySharedRetryAfter();
+  void PersistClock();
   void PollState();
   void ListenToPeers();
-  void TakeNote(int peer, std::string bytes);
-  void TellPeers(const TellPeers& tell);
-  void Restore();
-  std::vector<std::uint64_t> TakeOver();
-  void GoOnForOther();
+  void OnGossip(int peer, std::string bytes);
+  void SendGossip(const SendGossip& tell);
+  void RecoverRequests();
+  std::vector<std::uint64_t> AdoptOtherJournal();
+  void ResumeOtherProcess();
   std::size_t JournalBytes() const;
-  void RestoreOne(const JournalEntry& entry);
-  void EndWithNotice(MessageId message, const char* outcome, Seconds wait);
+  void RecoverRequest(const JournalEntry& entry);
+  void EndWithNotification(RequestId message, const char* outcome, Seconds wait);
   void CheckStopped();
   void End();
-  void JoinTier();
-  net::HttpAnswer OrderZone(const std::string& body);           // POST /zones
+  void JoinFleet();
+  net::HttpAnswer OnZoneCommand(const std::string& body);       // POST /zones
   std::optional<int> PeerAt(const sockaddr_in& address) const;  // its number among them
 
   net::EventLoop& loop_;
   const Config& config_;
   const Operator settings_;
   Counters counters_;
-  operation::Seats seats_;
+  hot_restart::ProcessLock process_lock_;
   PersistentClock clock_;
   Journal journal_;
   net::HttpClient endpoints_client_, platform_client_;
   EndpointTable endpoints_;
-  TransactionTable transactions_;
-  ModuleDriver driver_;
-  Calls calls_;
-  operation::Bans bans_;
-  std::unique_ptr<operation::SharedWaits> waits_;  // where two processes may run at once
-  std::unique_ptr<Admin> admin_;                   // off unless the operators' settings say where
-  std::unique_ptr<JoinedPool> joined_;             // where the list is not the only source
+  RequestTable requests_;
+  DecisionLoop decisions_;
+  UpstreamCalls calls_;
+  admin::SuspendedEndpoints suspended_;
+  std::unique_ptr<hot_restart::SharedRetryAfterTable>
+      shared_retry_after_;                               // where two processes may run at once
+  std::unique_ptr<AdminServer> admin_;                   // off unless the operators' settings say where
+  std::unique_ptr<MergedEndpointSource> merged_source_;  // where the list is not the only source
   Discovery discovery_;
-  Notices notices_;
+  FailureNotifier notifier_;
   std::unique_ptr<net::DatagramSocket> peers_;
   std::unordered_map<std::uint64_t, int> peer_by_address_;
-  LearningHost learning_host_;
-  std::unique_ptr<learning::Learning> learning_;
-  std::unique_ptr<TierHost> tier_;  // off unless the operators' settings turn it on
-  std::vector<EndpointId> unused_;  // as the turn began to end
+  StateTransferHost transfer_host_;
+  std::unique_ptr<state_transfer::StateTransfer> state_transfer_;
+  std::unique_ptr<MembershipHost> membership_;   // off unless the operators' settings turn it on
+  std::vector<EndpointId> unused_before_batch_;  // as the turn began to end
 
   sockaddr_in discovery_at_;
   bool list_is_current_ = false;
-  bool ready_ = false, stopping_ = false, taking_on_ = true, may_end_ = false;
-  bool peers_later_ = false;  // the other process has their address still
+  bool ready_ = false, stopping_ = false, accepting_ = true, may_end_ = false;
+  bool peer_address_taken_ = false;  // the other process has their address still
   std::function<void()> stopped_;
   net::EventLoop::TimerId stop_timer_ = 0, poll_timer_ = 0, clock_timer_ = 0;
 
-  VirtualServer server_;  // late: it lets clients in
-  std::unique_ptr<operation::Door> door_;
+  RequestListener server_;  // late: it lets clients in
+  std::unique_ptr<admin::OperationsServer> operations_server_;
 };
 
 }  // namespace opalroute
--- a/src/relay/learning_host.h
+++ b/src/relay/state_transfer_host.h
@@ -7,34 +7,34 @@
 #include <utility>
 #include <vector>
 
-#include "learning/learning.h"
+#include "relay/decision_loop.h"
 #include "relay/endpoint_table.h"
-#include "relay/module_driver.h"
+#include "state_transfer/state_transfer.h"
 
 namespace opalroute {
 
-class LearningHost : public learning::Host {
+class StateTransferHost : public state_transfer::Host {
  public:
   using SendTo = std::function<void(int peer, const std::string& bytes)>;
 
-  LearningHost(net::EventLoop& loop, EndpointTable& endpoints, ModuleDriver& driver, SendTo send)
+  StateTransferHost(net::EventLoop& loop, EndpointTable& endpoints, DecisionLoop& driver, SendTo send)
       : loop_(loop), endpoints_(endpoints), driver_(driver), send_(std::move(send)) {}
 
-  std::vector<Belief> Beliefs(std::optional<DestinationId>& from, int most) const override {
-    return driver_.module().Beliefs(loop_.Now(), from, most);
+  std::vector<RouteState> ExportRouteStates(std::optional<DestinationId>& from, int most) const override {
+    return driver_.router().ExportRouteStates(loop_.Now(), from, most);
   }
   std::string NameOf(EndpointId endpoint) const override { return endpoints_.At(endpoint).id; }
   std::optional<EndpointId> ListedEndpoint(const std::string& name) const override {
     return endpoints_.FindListed(name);
   }
   bool ListedDestination(DestinationId destination) const override { return endpoints_.Serves(destination); }
-  void Believe(Learned learned) override { driver_.Post(std::move(learned)); }
-  void SendNote(int peer, const std::string& bytes) override { send_(peer, bytes); }
+  void ApplyState(TransferredState learned) override { driver_.Post(std::move(learned)); }
+  void SendDatagram(int peer, const std::string& bytes) override { send_(peer, bytes); }
 
  private:
   net::EventLoop& loop_;
   EndpointTable& endpoints_;
-  ModuleDriver& driver_;
+  DecisionLoop& driver_;
   SendTo send_;
 };
 
--- a/src/wire.cpp
+++ b/src/simulator/adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator/adapter.h"
 
 #include <algorithm>
 #include <set>
@@ -6,10 +6,10 @@
 
 #include "config/fields.h"
 #include "config/settings.h"
-#include "lane_note.h"
+#include "decision/route_gossip.h"
 #include "net/base64.h"
 
-namespace opalroute::wire {
+namespace opalroute::simulator {
 
 using config::Find;
 using config::Get;
@@ -22,24 +22,22 @@
 
 namespace {
 
-const Words<Outcome> kOutcomes = {{"completed", Outcome::kServed},
-                                  {"errored", Outcome::kError},
-                                  {"saturated", Outcome::kFull},
-                                  {"overdue", Outcome::kTimeout},
-                                  {"refused_conn", Outcome::kConnectFailed},
-                                  {"severed", Outcome::kReset},
-                                  {"recalled", Outcome::kCancelled},
-                                  {"superseded", Outcome::kNotSent}};
-const Words<Listing> kListings = {
-    {"in_service", Listing::kInService}, {"terminating", Listing::kDraining}, {"terminated", Listing::kGone}};
-const Words<ListScope> kScopes = {{"all", ListScope::kWhole},
-                                  {"remembered", ListScope::kRemembered},
+const Words<Outcome> kOutcomes = {
+    {"completed", Outcome::kServed},           {"errored", Outcome::kError},
+    {"saturated", Outcome::kRejected},         {"overdue", Outcome::kTimeout},
+    {"refused_conn", Outcome::kConnectFailed}, {"severed", Outcome::kReset},
+    {"recalled", Outcome::kCancelled},         {"superseded", Outcome::kNotSent}};
+const Words<EndpointStatus> kListings = {{"in_service", EndpointStatus::kInService},
+                                         {"terminating", EndpointStatus::kDraining},
+                                         {"terminated", EndpointStatus::kRemoved}};
+const Words<ListScope> kScopes = {{"all", ListScope::kComplete},
+                                  {"remembered", ListScope::kCached},
                                   {"changes", ListScope::kChanges},
-                                  {"refused", ListScope::kRefused}};
-LimitReport ParseReport(const json& event) {
-  LimitReport report;
+                                  {"refused", ListScope::kWatchFailed}};
+LoadReport ParseReport(const json& event) {
+  LoadReport report;
   if (const json* stats = Find(event, "stats")) {
-    if (const json* left = Find(*stats, "x0")) report.share_left = config::As<double>(*left, "x0");
+    if (const json* left = Find(*stats, "x0")) report.remaining_share = config::As<double>(*left, "x0");
     if (const json* rate = Find(*stats, "x1")) report.calls_per_second = config::As<double>(*rate, "x1");
   }
   return report;
@@ -63,7 +61,8 @@
   tenants_ = NamesIn(options, "realms", "name");
   zones_ = NamesIn(options, "zones", nullptr);
   kinds_ = NamesIn(options, "kinds", nullptr);
-  courier_ = std::make_unique<Courier>(config::ParseSettings(options, Get<std::uint64_t>(attach, "prng")));
+  courier_ =
+      std::make_unique<RequestRouter>(config::ParseSettings(options, Get<std::uint64_t>(attach, "prng")));
 }
 
 int Instance::IndexOf(const std::vector<std::string>& names, const json& event, const char* field) {
@@ -78,17 +77,17 @@
 void Instance::TakeMembers(Seconds now, const json& event, const json* sheet) {
   ListUpdate update;
   update.scope = Word(kScopes, event, "scope");
-  if (update.scope != ListScope::kRefused) {
+  if (update.scope != ListScope::kWatchFailed) {
     if (sheet == nullptr) throw WireError("field 'sheet' names a list that was not declared");
     for (const json& row : *sheet) {
-      ListEntry entry;
+      ListedEndpoint entry;
       entry.endpoint = endpoints_.Intern(Get<std::string>(row, "endpoint"));
       entry.zone = IndexOf(zones_, row, "dc");
       entry.kind = IndexOf(kinds_, row, "kind");
       entry.destination = Get<std::int64_t>(row, "destination");
-      entry.listing = Word(kListings, row, "mode");
-      entry.rating = GetOr(row, "rating", 0.0);
-      entry.tag = TagOf(Get<std::string>(row, "endpoint"));
+      entry.status = Word(kListings, row, "mode");
+      entry.listed_rate = GetOr(row, "rating", 0.0);
+      entry.name_hash = HashName(Get<std::string>(row, "endpoint"));
       update.entries.push_back(entry);
     }
   }
@@ -96,20 +95,20 @@
 }
 
 void Instance::TakeMessage(Seconds now, const json& event) {
-  NewMessage message;
-  message.message_class = IndexOf(classes_, event, "grade");
+  NewRequest message;
+  message.request_class = IndexOf(classes_, event, "grade");
   if (const json* account = Find(event, "account"); account != nullptr && account->is_string()) {
     message.tenant = IndexOf(tenants_, event, "account");
   }
   message.key = GetOr(event, "item", std::string());
-  message.patience = Get<double>(event, "patienceLeftS");
+  message.remaining_time = Get<double>(event, "patienceLeftS");
   message.destination = Get<std::int64_t>(event, "destination");
   const auto name = Get<std::string>(event, "corr");
-  message.message = next_id_++;
-  if (!ids_.emplace(name, message.message).second) {
+  message.request_id = next_id_++;
+  if (!ids_.emplace(name, message.request_id).second) {
     throw WireError("field 'corr' repeats the id '" + name + "'");
   }
-  messages_[message.message].name = name;
+  messages_[message.request_id].name = name;
   courier_->Handle(now, message, actions_);
 }
 
@@ -118,32 +117,32 @@
   outcome.outcome = Word(kOutcomes, event, "outcome");
   outcome.attempt = Get<int>(event, "shot");
   outcome.duration = GetOr(event, "durationS", 0.0);
-  outcome.over = GetOr(event, "terminal", false);
-  if (outcome.outcome == Outcome::kFull) {
-    outcome.wait = static_cast<double>(GetOr<std::int64_t>(event, "holdMs", 0)) / 1000.0;
+  outcome.request_ended = GetOr(event, "terminal", false);
+  if (outcome.outcome == Outcome::kRejected) {
+    outcome.retry_after = static_cast<double>(GetOr<std::int64_t>(event, "holdMs", 0)) / 1000.0;
   }
-  outcome.report = ParseReport(event);
+  outcome.load_report = ParseReport(event);
   outcome.endpoint = endpoints_.Intern(Get<std::string>(event, "endpoint"));
   const auto it = ids_.find(Get<std::string>(event, "corr"));
   if (it == ids_.end()) return;  // ended and answered long ago
-  outcome.message = it->second;
+  outcome.request_id = it->second;
   Known& known = messages_.at(it->second);
   --known.unanswered;
-  known.over = known.over || outcome.over;
+  known.over = known.over || outcome.request_ended;
   courier_->Handle(now, outcome, actions_);
-  ForgetIfDone(outcome.message);
+  ForgetIfDone(outcome.request_id);
 }
 
-void Instance::ForgetIfDone(MessageId id) {
+void Instance::ForgetIfDone(RequestId id) {
   const auto it = messages_.find(id);
   if (it == messages_.end() || !it->second.over || it->second.unanswered > 0) return;
   // Actions not yet written may still name it: they are written before the next batch is read.
   for (const Action& action : actions_) {
-    const auto* refuse = std::get_if<Refuse>(&action);
+    const auto* refuse = std::get_if<Reject>(&action);
     const auto* fail = std::get_if<Fail>(&action);
-    const auto* cancel = std::get_if<Cancel>(&action);
-    if ((refuse != nullptr && refuse->message == id) || (fail != nullptr && fail->message == id) ||
-        (cancel != nullptr && cancel->message == id)) {
+    const auto* cancel = std::get_if<CancelAttempt>(&action);
+    if ((refuse != nullptr && refuse->request_id == id) || (fail != nullptr && fail->request_id == id) ||
+        (cancel != nullptr && cancel->request_id == id)) {
       return;
     }
   }
@@ -158,66 +157,66 @@
   } else if (type == "RESULT") {
     TakeOutcome(now, event);
   } else if (type == "REMINDER") {
-    courier_->Handle(now, Wake{Get<std::uint64_t>(event, "label")}, actions_);
+    courier_->Handle(now, TimerFired{Get<std::uint64_t>(event, "label")}, actions_);
   } else if (type == "MEMBERS") {
     TakeMembers(now, event, sheet);
   } else if (type == "PROBED") {
-    ProbeOutcome probe;
+    HealthCheckOutcome probe;
     probe.endpoint = endpoints_.Intern(Get<std::string>(event, "endpoint"));
     probe.outcome = Word(kOutcomes, event, "outcome");
     probe.duration = GetOr(event, "durationS", 0.0);
-    probe.report = ParseReport(event);
+    probe.load_report = ParseReport(event);
     courier_->Handle(now, probe, actions_);
   } else if (type == "FROM_PEER") {
     const auto bytes = net::DecodeBase64(GetOr(event, "body", std::string()));
     if (!bytes) throw WireError("field 'body' is no base64");
-    PeerNote note{Get<int>(event, "srcPeer"), *bytes};
+    GossipReceived note{Get<int>(event, "srcPeer"), *bytes};
     courier_->Handle(now, note, actions_);
   } else if (type == "ABORTED") {
     const auto it = ids_.find(Get<std::string>(event, "corr"));
     if (it == ids_.end()) return;
-    const MessageId id = it->second;
-    courier_->Handle(now, Withdrawn{id}, actions_);
+    const RequestId id = it->second;
+    courier_->Handle(now, RequestAborted{id}, actions_);
     messages_.at(id).over = true;
     ForgetIfDone(id);
   } else if (type == "FLOWING") {
     const auto it = ids_.find(Get<std::string>(event, "corr"));
     if (it == ids_.end()) return;
-    courier_->Handle(now, AnswerBegun{it->second, Get<int>(event, "shot")}, actions_);
+    courier_->Handle(now, ResponseStarted{it->second, Get<int>(event, "shot")}, actions_);
   } else {
     throw WireError("unknown event '" + type + "'");
   }
 }
 
-void Instance::EndTurn(Seconds now) { courier_->Handle(now, TurnEnd{}, actions_); }
+void Instance::EndTurn(Seconds now) { courier_->Handle(now, BatchEnd{}, actions_); }
 
 json Instance::Translate(const Action& action) {
   json out;
-  const auto name = [this](MessageId id) { return messages_.at(id).name; };
+  const auto name = [this](RequestId id) { return messages_.at(id).name; };
   const auto place = [this](EndpointId id) { return *endpoints_.Find(id); };
   if (const auto* send = std::get_if<Send>(&action)) {
-    out = {{"type", "PLACE"}, {"corr", name(send->message)}, {"endpoint", place(send->endpoint)}};
-    if (send->until > 0) out["untilS"] = send->until;
-    ++messages_.at(send->message).unanswered;
-  } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-    out = {{"type", "REFUSE"}, {"corr", name(refuse->message)}};
-    if (refuse->wait > 0) out["waitS"] = refuse->wait;
-    messages_.at(refuse->message).over = true;
+    out = {{"type", "PLACE"}, {"corr", name(send->request_id)}, {"endpoint", place(send->endpoint)}};
+    if (send->timeout_at > 0) out["untilS"] = send->timeout_at;
+    ++messages_.at(send->request_id).unanswered;
+  } else if (const auto* refuse = std::get_if<Reject>(&action)) {
+    out = {{"type", "REFUSE"}, {"corr", name(refuse->request_id)}};
+    if (refuse->retry_after > 0) out["waitS"] = refuse->retry_after;
+    messages_.at(refuse->request_id).over = true;
   } else if (const auto* fail = std::get_if<Fail>(&action)) {
-    out = {{"type", "ERROR"}, {"corr", name(fail->message)}};
-    messages_.at(fail->message).over = true;
-  } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-    out = {{"type", "CANCEL"}, {"corr", name(cancel->message)}, {"shot", cancel->attempt}};
-  } else if (const auto* probe = std::get_if<Probe>(&action)) {
+    out = {{"type", "ERROR"}, {"corr", name(fail->request_id)}};
+    messages_.at(fail->request_id).over = true;
+  } else if (const auto* cancel = std::get_if<CancelAttempt>(&action)) {
+    out = {{"type", "CANCEL"}, {"corr", name(cancel->request_id)}, {"shot", cancel->attempt}};
+  } else if (const auto* probe = std::get_if<HealthCheck>(&action)) {
     out = {{"type", "CHECK"}, {"endpoint", place(probe->endpoint)}};
-  } else if (const auto* wake = std::get_if<SetWake>(&action)) {
-    out = {{"type", "SET_TIMER"}, {"dueAtS", wake->at}, {"label", wake->label}};
-  } else if (const auto* watch = std::get_if<WatchList>(&action)) {
-    out = {{"type", "STREAM_CHANGES"}, {"active", watch->on}};
-  } else if (const auto* close = std::get_if<CloseConnections>(&action)) {
+  } else if (const auto* wake = std::get_if<SetTimer>(&action)) {
+    out = {{"type", "SET_TIMER"}, {"dueAtS", wake->due}, {"label", wake->timer_id}};
+  } else if (const auto* watch = std::get_if<WatchEndpointList>(&action)) {
+    out = {{"type", "STREAM_CHANGES"}, {"active", watch->enabled}};
+  } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
     out = {{"type", "DISCONNECT"}, {"endpoint", place(close->endpoint)}};
-  } else if (const auto* tell = std::get_if<TellPeers>(&action)) {
-    out = {{"type", "ANNOUNCE"}, {"body", net::EncodeBase64(tell->bytes)}};
+  } else if (const auto* tell = std::get_if<SendGossip>(&action)) {
+    out = {{"type", "ANNOUNCE"}, {"body", net::EncodeBase64(tell->payload)}};
     out["recipient"] = tell->peer ? json(*tell->peer) : json(nullptr);
   } else {
     out = {{"type", "TRACE"}, {"message", std::get<Log>(action).text}};
@@ -227,15 +226,15 @@
 }
 
 void Instance::WriteActions(json& decisions) {
-  std::vector<MessageId> named;
+  std::vector<RequestId> named;
   for (const Action& action : actions_) {
     decisions.push_back(Translate(action));
-    if (const auto* refuse = std::get_if<Refuse>(&action)) named.push_back(refuse->message);
-    if (const auto* fail = std::get_if<Fail>(&action)) named.push_back(fail->message);
-    if (const auto* cancel = std::get_if<Cancel>(&action)) named.push_back(cancel->message);
+    if (const auto* refuse = std::get_if<Reject>(&action)) named.push_back(refuse->request_id);
+    if (const auto* fail = std::get_if<Fail>(&action)) named.push_back(fail->request_id);
+    if (const auto* cancel = std::get_if<CancelAttempt>(&action)) named.push_back(cancel->request_id);
   }
   actions_.clear();
-  for (const MessageId id : named) ForgetIfDone(id);
+  for (const RequestId id : named) ForgetIfDone(id);
 }
 
 std::string Host::Reply(const std::string& line) {
@@ -287,4 +286,4 @@
   return json{{"decisions", std::move(decisions)}}.dump();
 }
 
-}  // namespace opalroute::wire
+}  // namespace opalroute::simulator
--- a/src/wire.h
+++ b/src/simulator/adapter.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "config/fields.h"
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
-namespace opalroute::wire {
+namespace opalroute::simulator {
 
 using WireError = config::FieldError;  // says in one line what is wrong with the input, and where
 
@@ -46,17 +46,17 @@
   void TakeMembers(Seconds now, const nlohmann::json& event, const nlohmann::json* sheet);
   void TakeMessage(Seconds now, const nlohmann::json& event);
   void TakeOutcome(Seconds now, const nlohmann::json& event);
-  void ForgetIfDone(MessageId id);
+  void ForgetIfDone(RequestId id);
   int IndexOf(const std::vector<std::string>& names, const nlohmann::json& event, const char* field);
   nlohmann::json Translate(const Action& action);
 
   std::string who_;
   std::vector<std::string> classes_, tenants_, zones_, kinds_;
   Names endpoints_;
-  std::unordered_map<std::string, MessageId> ids_;
-  std::map<MessageId, Known> messages_;
-  MessageId next_id_ = 1;
-  std::unique_ptr<Courier> courier_;
+  std::unordered_map<std::string, RequestId> ids_;
+  std::map<RequestId, Known> messages_;
+  RequestId next_id_ = 1;
+  std::unique_ptr<RequestRouter> courier_;
   std::vector<Action> actions_;
 };
 
@@ -71,4 +71,4 @@
   std::map<int, nlohmann::json> sheets_;
 };
 
-}  // namespace opalroute::wire
+}  // namespace opalroute::simulator
--- a/src/drill.cpp
+++ b/src/simulator/main.cpp
@@ -3,11 +3,11 @@
 #include <iostream>
 #include <string>
 
-#include "wire.h"
+#include "simulator/adapter.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  opalroute::wire::Host host;
+  opalroute::simulator::Host host;
   std::string line;
   try {
     for (long number = 1; std::getline(std::cin, line); ++number) {
--- a/src/learning/notes.h
+++ b/src/state_transfer/datagram_exchange.h
@@ -10,18 +10,18 @@
 #include <string_view>
 #include <vector>
 
-#include "learning/codec.h"
+#include "state_transfer/codec.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
 // Least for what must not be missed: a wait in force, then an outage, then a slow start; in each the latest
 // seen or longest in force first. None: not worth a datagram.
-std::optional<double> Urgency(const Belief& belief);
+std::optional<double> Urgency(const RouteState& belief);
 
 // The urgent ones, most urgent first; with equal urgency in their own order.
-std::vector<Heard> MostUrgent(std::vector<Heard> lanes);
+std::vector<NamedRouteState> MostUrgent(std::vector<NamedRouteState> lanes);
 
-class Notes {
+class DatagramExchange {
  public:
   using Send = std::function<void(int peer, const std::string& bytes)>;
   struct Bounds {
@@ -30,26 +30,27 @@
     Seconds answer_time = 2;
   };
 
-  Notes(const Bounds& bounds, std::uint32_t nonce, Send send) : bounds_(bounds), nonce_(nonce), send_(send) {}
+  DatagramExchange(const Bounds& bounds, std::uint32_t nonce, Send send)
+      : bounds_(bounds), nonce_(nonce), send_(send) {}
 
   // Asks some of the peers 0 to `peers` - 1, drawn by the nonce, and never `self`.
-  void AskSome(Seconds now, int peers, int self);
+  void RequestSome(Seconds now, int peers, int self);
   // Tells a peer that asked as much as fits.
-  void Answer(int peer, std::uint32_t nonce, const std::vector<Heard>& urgent) const;
+  void Answer(int peer, std::uint32_t nonce, const std::vector<NamedRouteState>& urgent) const;
 
-  enum class Kind { kNotOurs, kAsks, kAnswer, kPassedOver };  // the last: not asked for, or too late
-  struct Taken {
+  enum class Kind { kNotOurs, kRequest, kAnswer, kIgnored };  // the last: not asked for, or too late
+  struct Received {
     Kind kind = Kind::kNotOurs;
-    Note note;
+    Datagram note;
   };
-  Taken Take(Seconds now, int peer, std::string_view bytes) const;
+  Received Receive(Seconds now, int peer, std::string_view bytes) const;
 
  private:
   const Bounds bounds_;
   const std::uint32_t nonce_;
   Send send_;
-  std::set<int> asked_;
-  Seconds asked_at_ = 0;
+  std::set<int> requested_peers_;
+  Seconds requested_at_ = 0;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/learner.h
+++ b/src/state_transfer/snapshot_client.h
@@ -8,19 +8,19 @@
 #include <vector>
 
 #include "config/limits.h"
-#include "learning/stream.h"
 #include "net/connection.h"
+#include "state_transfer/stream.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
-class Learner {
+class SnapshotClient {
  public:
   struct Report {
     sockaddr_in address{};
     std::string name;  // the donor's; empty: it said none
-    std::string end =
+    std::string result =
         "late";  // whole; or why not: late, refused, cut, garbled, newer, older, itself, too_much
-    std::uint64_t lanes = 0;
+    std::uint64_t route_count = 0;
     std::size_t bytes = 0;
     int out_of_range = 0;
     Seconds running = 0;  // the donor's, as it says
@@ -30,14 +30,14 @@
    public:
     virtual ~Owner() = default;
     // One belief of that donor, as it was at the time `made` by this relay's clock.
-    virtual void OnHeard(int donor, const Heard& heard, Seconds made) = 0;
-    virtual void OnAllEnded(const std::vector<Report>& reports) = 0;  // last
+    virtual void OnRouteState(int donor, const NamedRouteState& heard, Seconds made) = 0;
+    virtual void OnSnapshotsEnded(const std::vector<Report>& reports) = 0;  // last
   };
 
   // `time`: seconds from now until it ends in any case.
-  Learner(net::EventLoop& loop, const std::vector<sockaddr_in>& donors, std::string name, Seconds time,
-          const Limits& limits, Owner& owner);
-  ~Learner();
+  SnapshotClient(net::EventLoop& loop, const std::vector<sockaddr_in>& donors, std::string name, Seconds time,
+                 const Limits& limits, Owner& owner);
+  ~SnapshotClient();
 
  private:
   class Session;
@@ -54,4 +54,4 @@
   net::EventLoop::TimerId timer_ = 0;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/state_file.h
+++ b/src/state_transfer/snapshot_file.h
@@ -5,26 +5,26 @@
 #include <string>
 #include <vector>
 
-#include "learning/codec.h"
+#include "state_transfer/codec.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
-class StateFile {
+class SnapshotFile {
  public:
   // Holds at most `most_bytes` on the disk, the file that takes the place of another counted too.
-  StateFile(std::string folder, std::size_t most_bytes);
+  SnapshotFile(std::string folder, std::size_t most_bytes);
 
   struct Saved {
     std::string name;
-    std::int64_t written_at = 0;  // Unix time in microseconds
-    std::vector<Heard> lanes;     // as they were then
+    std::int64_t written_at = 0;          // Unix time in microseconds
+    std::vector<NamedRouteState> routes;  // as they were then
     int out_of_range = 0;
-    std::string end = "none";  // whole; none: there is no file; cut, garbled, newer, older
+    std::string result = "none";  // whole; none: there is no file; cut, garbled, newer, older
   };
   Saved Load() const;
 
   // From the front as many as there is room for; false: the folder took nothing, and the old file stands.
-  bool Save(const std::string& name, std::int64_t now, const std::vector<Heard>& lanes) const;
+  bool Save(const std::string& name, std::int64_t now, const std::vector<NamedRouteState>& lanes) const;
   std::string path() const { return folder_ + "/learned"; }
 
  private:
@@ -32,4 +32,4 @@
   std::size_t most_;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/judge.h
+++ b/src/state_transfer/snapshot_merger.h
@@ -20,59 +20,60 @@
 #include <utility>
 #include <vector>
 
-#include "learning/codec.h"
+#include "state_transfer/codec.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
 // The mean rest of an outage that is met at any moment, for outages of 6.5 to 23 s (the operators' brief, 2.2
 // and 2.3): E[L^2] / 2E[L] = 8.1 s.
 constexpr Seconds kHealthHalfLife = 8.1;
-constexpr double kBarredWeight = 0.5;
-constexpr double kLeastWeight = 0.1;
-constexpr double kPaceRegained = 0.4;  // of the ramp: after it the module allows its even share again
-constexpr Seconds kLatencyLasts = 60;
+constexpr double kHedgingDisabledWeight = 0.5;
+constexpr double kMinWeight = 0.1;
+constexpr double kSendRateRegained = 0.4;  // of the ramp: after it the module allows its even share again
+constexpr Seconds kLatencyLifetime = 60;
 
 // 1 for what was seen just now, next to nothing (0.006) after a minute.
 double HealthWeight(Seconds age);
 
-struct Rules {
-  Seconds longest_wait = 30;
-  Seconds ramp_time = 13;
+struct MergeOptions {
+  Seconds max_retry_after = 30;
+  Seconds slow_start_duration = 13;
 };
 
 // Why a belief was left out, or how much of it counted; printed in one log line.
-struct Tally {
-  int waits = 0, outages = 0, ramps = 0, paces = 0, latencies = 0, barred = 0;  // taken
-  int stale = 0, out_of_range = 0, waits_cut = 0, contradicted = 0, too_many = 0;
+struct MergeTally {
+  int retry_afters = 0, outages = 0, recoveries = 0, send_rates = 0, latencies = 0,
+      hedging_disabled = 0;  // taken
+  int stale = 0, out_of_range = 0, retry_afters_shortened = 0, contradicted = 0, too_many = 0;
 };
 
-class Judge {
+class SnapshotMerger {
  public:
   // Keeps at most `most` lanes: what comes beyond is counted and left out.
-  Judge(const Rules& rules, std::size_t most) : rules_(rules), most_(most) {}
+  SnapshotMerger(const MergeOptions& rules, std::size_t most) : options_(rules), max_routes_(most) {}
 
   // A belief as it was at the time `made`, by the caller's clock. `donor` tells the sources apart.
-  void Add(int donor, const Heard& heard, Seconds made);
-  void OutOfRange(int count) { tally_.out_of_range += count; }
+  void Add(int donor, const NamedRouteState& heard, Seconds made);
+  void CountOutOfRange(int count) { tally_.out_of_range += count; }
 
   // What of all this counts now. Every belief is weighed on its own lane.
-  std::vector<Heard> Decide(Seconds now);
-  const Tally& tally() const { return tally_; }
-  std::size_t lanes() const { return lanes_.size(); }
+  std::vector<NamedRouteState> Merge(Seconds now);
+  const MergeTally& tally() const { return tally_; }
+  std::size_t route_count() const { return routes_.size(); }
 
  private:
-  struct Told {
+  struct Observation {
     int donor;
     Seconds made;
-    Belief belief;
+    RouteState belief;
   };
-  using Lane = std::pair<DestinationId, std::string>;
-  Belief Weigh(const std::vector<Told>& told, Seconds now);
+  using RouteKey = std::pair<DestinationId, std::string>;
+  RouteState MergeRoute(const std::vector<Observation>& told, Seconds now);
 
-  const Rules rules_;
-  const std::size_t most_;
-  std::map<Lane, std::vector<Told>> lanes_;
-  Tally tally_;
+  const MergeOptions options_;
+  const std::size_t max_routes_;
+  std::map<RouteKey, std::vector<Observation>> routes_;
+  MergeTally tally_;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/donor.cpp
+++ b/src/state_transfer/snapshot_server.cpp
@@ -1,4 +1,4 @@
-#include "learning/donor.h"
+#include "state_transfer/snapshot_server.h"
 
 #include <unistd.h>
 
@@ -7,15 +7,15 @@
 
 #include "log/log.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
-class Donor::Session : public net::Connection::Owner {
+class SnapshotServer::Session : public net::Connection::Owner {
  public:
-  explicit Session(Donor& donor) : donor_(donor) {}
+  explicit Session(SnapshotServer& donor) : donor_(donor) {}
   ~Session() override { donor_.loop_.Cancel(timer_); }
 
   bool Open(int fd) {
-    connection_ = net::Connection::Adopt(donor_.loop_, fd, *this, 4096, 4 * (kLongestFrame + 64));
+    connection_ = net::Connection::Adopt(donor_.loop_, fd, *this, 4096, 4 * (kMaxFrameBytes + 64));
     timer_ = donor_.loop_.At(donor_.loop_.Now() + donor_.limits_.learn_session, [this] {
       timer_ = 0;
       donor_.Drop(*this);  // one that asks nothing, or takes nothing in
@@ -31,9 +31,10 @@
 
   void OnData(net::Connection& connection) override {
     if (slices_) return connection.in().Consume(connection.in().size());  // it has asked already
-    reader_.Take(connection.in());
+    reader_.Append(connection.in());
     const auto message = reader_.Next();
-    if (reader_.broken() || (message && !std::holds_alternative<Ask>(*message))) return donor_.Drop(*this);
+    if (reader_.broken() || (message && !std::holds_alternative<SnapshotRequest>(*message)))
+      return donor_.Drop(*this);
     if (message) Tell();
   }
 
@@ -48,23 +49,24 @@
  private:
   void Tell() {
     began_ = donor_.loop_.Now();
-    Put(Write(Begin{kVersion, donor_.name_, began_ - donor_.started_, 0}));
-    slices_ = std::make_unique<Slices>(
-        donor_.loop_, donor_.source_, [this](std::vector<Heard> lanes) { return TellSome(std::move(lanes)); },
+    Put(EncodeFrame(SnapshotHeader{kVersion, donor_.name_, began_ - donor_.started_, 0}));
+    slices_ = std::make_unique<SnapshotSlices>(
+        donor_.loop_, donor_.source_,
+        [this](std::vector<NamedRouteState> lanes) { return TellSome(std::move(lanes)); },
         [this] { Finish(); });
   }
 
-  bool TellSome(std::vector<Heard> lanes) {
+  bool TellSome(std::vector<NamedRouteState> lanes) {
     lanes_ += lanes.size();
     std::string bytes;
     constexpr std::size_t kLanes = 128;  // of at most 350 bytes each: a frame is never too long
     for (std::size_t at = 0; at < lanes.size(); at += kLanes) {
-      Chunk chunk;
+      SnapshotChunk chunk;
       chunk.since_begin = donor_.loop_.Now() - began_;
       const std::size_t end = std::min(lanes.size(), at + kLanes);
       std::move(lanes.begin() + static_cast<std::ptrdiff_t>(at),
-                lanes.begin() + static_cast<std::ptrdiff_t>(end), std::back_inserter(chunk.lanes));
-      bytes += Write(chunk);
+                lanes.begin() + static_cast<std::ptrdiff_t>(end), std::back_inserter(chunk.routes));
+      bytes += EncodeFrame(chunk);
     }
     return Put(std::move(bytes));
   }
@@ -72,7 +74,7 @@
   void Finish() {
     over_ = true;
     donor_.longest_pause_ = std::max(donor_.longest_pause_, slices_->longest());
-    if (Put(Write(End{lanes_}))) connection_->CloseWhenWritten();
+    if (Put(EncodeFrame(SnapshotEnd{lanes_}))) connection_->CloseWhenWritten();
     log::Info("learn_told", {{"lanes", lanes_},
                              {"ms", (donor_.loop_.Now() - began_) * 1000},
                              {"longest_pause_us", static_cast<long>(slices_->longest() * 1e6)}});
@@ -86,10 +88,10 @@
     return false;
   }
 
-  Donor& donor_;
+  SnapshotServer& donor_;
   std::unique_ptr<net::Connection> connection_;
-  MessageReader reader_;
-  std::unique_ptr<Slices> slices_;
+  FrameReader reader_;
+  std::unique_ptr<SnapshotSlices> slices_;
   std::string waiting_;
   Seconds began_ = 0;
   std::uint64_t lanes_ = 0;
@@ -97,8 +99,8 @@
   net::EventLoop::TimerId timer_ = 0;
 };
 
-Donor::Donor(net::EventLoop& loop, const sockaddr_in& listen, std::string name, Source source,
-             const Limits& limits)
+SnapshotServer::SnapshotServer(net::EventLoop& loop, const sockaddr_in& listen, std::string name,
+                               RouteStateSource source, const Limits& limits)
     : loop_(loop),
       name_(std::move(name)),
       source_(std::move(source)),
@@ -106,9 +108,9 @@
       started_(loop.Now()),
       listener_(loop, listen, [this](int fd) { Accept(fd); }) {}
 
-Donor::~Donor() = default;
+SnapshotServer::~SnapshotServer() = default;
 
-void Donor::Accept(int fd) {
+void SnapshotServer::Accept(int fd) {
   if (static_cast<int>(sessions_.size()) >= limits_.learn_sessions) {
     close(fd);
     return;
@@ -118,7 +120,7 @@
   if (session->Open(fd)) sessions_.emplace(key, std::move(session));
 }
 
-void Donor::Drop(Session& session) {
+void SnapshotServer::Drop(Session& session) {
   const auto it = sessions_.find(&session);
   if (it == sessions_.end()) return;
   session.Shut();
@@ -126,4 +128,4 @@
   sessions_.erase(it);
 }
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/donor.h
+++ b/src/state_transfer/snapshot_server.h
@@ -7,17 +7,17 @@
 #include <string>
 
 #include "config/limits.h"
-#include "learning/stream.h"
 #include "net/connection.h"
 #include "net/listener.h"
+#include "state_transfer/stream.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
-class Donor {
+class SnapshotServer {
  public:
-  Donor(net::EventLoop& loop, const sockaddr_in& listen, std::string name, Source source,
-        const Limits& limits);
-  ~Donor();
+  SnapshotServer(net::EventLoop& loop, const sockaddr_in& listen, std::string name, RouteStateSource source,
+                 const Limits& limits);
+  ~SnapshotServer();
   sockaddr_in address() const { return listener_.address(); }
   Seconds longest_pause() const { return longest_pause_; }  // of the loop, for one slice of any snapshot told
 
@@ -28,7 +28,7 @@
 
   net::EventLoop& loop_;
   const std::string name_;
-  const Source source_;
+  const RouteStateSource source_;
   const Limits& limits_;
   const Seconds started_;
   Seconds longest_pause_ = 0;
@@ -36,4 +36,4 @@
   net::Listener listener_;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/stream.cpp
+++ b/src/state_transfer/stream.cpp
@@ -1,4 +1,4 @@
-#include "learning/stream.h"
+#include "state_transfer/stream.h"
 
 #include <algorithm>
 #include <limits>
@@ -6,9 +6,9 @@
 
 #include "net/framing.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
-void MessageReader::Take(net::RingBuffer& in) {
+void FrameReader::Append(net::RingBuffer& in) {
   while (!in.empty()) {
     const std::string_view front = in.Front();
     if (!broken_) bytes_.append(front);
@@ -16,21 +16,22 @@
   }
 }
 
-std::optional<Message> MessageReader::Next() {
+std::optional<Message> FrameReader::Next() {
   while (!broken_) {
-    const net::FrameRead read = net::ReadFrame(std::string_view(bytes_).substr(at_), kLongestFrame);
+    const net::FrameRead read = net::ReadFrame(std::string_view(bytes_).substr(at_), kMaxFrameBytes);
     if (read.state == net::FrameState::kBroken) broken_ = true;
     if (read.state != net::FrameState::kWhole) break;
     at_ += read.size;
     taken_ += read.size;
-    if (auto message = Read(read.record)) return message;
+    if (auto message = DecodeFrame(read.record)) return message;
   }
   bytes_.erase(0, std::exchange(at_, 0));
   return std::nullopt;
 }
 
-Slices::Slices(net::EventLoop& loop, const Source& source, std::function<bool(std::vector<Heard>)> slice,
-               std::function<void()> done)
+SnapshotSlices::SnapshotSlices(net::EventLoop& loop, const RouteStateSource& source,
+                               std::function<bool(std::vector<NamedRouteState>)> slice,
+                               std::function<void()> done)
     : loop_(loop),
       source_(source),
       slice_(std::move(slice)),
@@ -39,7 +40,7 @@
   Resume();
 }
 
-void Slices::Resume() {
+void SnapshotSlices::Resume() {
   if (timer_ != 0) return;
   timer_ = loop_.At(loop_.Now(), [this] {
     timer_ = 0;
@@ -47,13 +48,13 @@
   });
 }
 
-void Slices::Step() {
+void SnapshotSlices::Step() {
   if (!from_) return done_();
   const Seconds began = loop_.Now();
-  std::vector<Heard> heard = source_(from_, kDestinations);
+  std::vector<NamedRouteState> heard = source_(from_, kDestinations);
   const bool more = heard.empty() || slice_(std::move(heard));
   longest_ = std::max(longest_, loop_.Now() - began);
   if (more) Resume();
 }
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/learning/stream.h
+++ b/src/state_transfer/stream.h
@@ -6,20 +6,20 @@
 #include <string>
 #include <vector>
 
-#include "learning/codec.h"
 #include "net/event_loop.h"
 #include "net/ring_buffer.h"
+#include "state_transfer/codec.h"
 
-namespace opalroute::learning {
+namespace opalroute::state_transfer {
 
 using Seconds = net::Seconds;
 
 // Takes bytes in and gives messages out. What is unknown is passed over; after a broken frame nothing
 // follows.
-class MessageReader {
+class FrameReader {
  public:
-  void Take(net::RingBuffer& in);
-  void Take(std::string_view bytes) { bytes_.append(bytes); }
+  void Append(net::RingBuffer& in);
+  void Append(std::string_view bytes) { bytes_.append(bytes); }
   std::optional<Message> Next();
   bool broken() const { return broken_; }
   bool empty() const { return bytes_.empty(); }
@@ -32,19 +32,20 @@
 };
 
 // What a relay believes, by destination: up to `most` of them from `from` on, which is then where to go on.
-using Source = std::function<std::vector<Heard>(std::optional<DestinationId>& from, int most)>;
+using RouteStateSource =
+    std::function<std::vector<NamedRouteState>(std::optional<DestinationId>& from, int most)>;
 
 // Reads all of a source, one slice a turn of the event loop, so that no slice holds up the relay's own work.
-class Slices {
+class SnapshotSlices {
  public:
   static constexpr int kDestinations = 128;  // a slice; measured in docs/learning.md
 
   // `slice` says whether the next may follow; else Resume has to be called. `done` comes last.
-  Slices(net::EventLoop& loop, const Source& source, std::function<bool(std::vector<Heard>)> slice,
-         std::function<void()> done);
-  ~Slices() { loop_.Cancel(timer_); }
-  Slices(const Slices&) = delete;
-  Slices& operator=(const Slices&) = delete;
+  SnapshotSlices(net::EventLoop& loop, const RouteStateSource& source,
+                 std::function<bool(std::vector<NamedRouteState>)> slice, std::function<void()> done);
+  ~SnapshotSlices() { loop_.Cancel(timer_); }
+  SnapshotSlices(const SnapshotSlices&) = delete;
+  SnapshotSlices& operator=(const SnapshotSlices&) = delete;
   void Resume();
   Seconds longest() const { return longest_; }  // a slice has taken
 
@@ -52,12 +53,12 @@
   void Step();
 
   net::EventLoop& loop_;
-  const Source& source_;
-  std::function<bool(std::vector<Heard>)> slice_;
+  const RouteStateSource& source_;
+  std::function<bool(std::vector<NamedRouteState>)> slice_;
   std::function<void()> done_;
   std::optional<DestinationId> from_;
   Seconds longest_ = 0;
   net::EventLoop::TimerId timer_ = 0;
 };
 
-}  // namespace opalroute::learning
+}  // namespace opalroute::state_transfer
--- a/src/relay/server_flow.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -1,4 +1,4 @@
-#include "relay/server_flow.h"
+#include "upstream/upstream_call.h"
 
 #include <algorithm>
 #include <charconv>
@@ -34,8 +34,8 @@
 }
 
 // "TEXT x0=0.4, x1=25". One that can't be read whole is ignored whole.
-LimitReport ReportIn(const net::HttpMessage& answer) {
-  LimitReport report;
+LoadReport ReportIn(const net::HttpMessage& answer) {
+  LoadReport report;
   const std::string* text = answer.Header("X-Pressure");
   if (text == nullptr) return report;
   std::string_view rest = *text;
@@ -48,7 +48,7 @@
     if (equals == std::string_view::npos) return {};
     const auto value = FigureIn(field.substr(equals + 1));
     if (!value) return {};
-    if (field.substr(0, equals) == "x0") report.share_left = value;
+    if (field.substr(0, equals) == "x0") report.remaining_share = value;
     if (field.substr(0, equals) == "x1") report.calls_per_second = value;
   }
   return report;
@@ -58,8 +58,8 @@
 
 }  // namespace
 
-ServerFlow::ServerFlow(net::EventLoop& loop, HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
-                       std::vector<Member> members, Owner& owner)
+UpstreamCall::UpstreamCall(net::EventLoop& loop, HttpClient& client, EndpointId endpoint,
+                           const sockaddr_in& to, std::vector<Member> members, Owner& owner)
     : loop_(loop),
       client_(client),
       endpoint_(endpoint),
@@ -68,69 +68,69 @@
       owner_(owner),
       started_(loop.Now()) {}
 
-ServerFlow::~ServerFlow() {
+UpstreamCall::~UpstreamCall() {
   for (Member& m : members_) loop_.Cancel(m.timer);
-  if (!over_) client_.Abandon(*this);
+  if (!ended_) client_.Abandon(*this);
 }
 
-void ServerFlow::Start() {
+void UpstreamCall::Start() {
   for (Member& member : members_) {
     Member* m = &member;
-    m->timer = loop_.At(m->until, [this, m] {
+    m->timer = loop_.At(m->timeout_at, [this, m] {
       m->timer = 0;
-      GiveUp(*m, Outcome::kTimeout, Outcome::kConnectFailed);
+      Abandon(*m, Outcome::kTimeout, Outcome::kConnectFailed);
     });
   }
   client_.Start({to_, endpoint_}, *this);
 }
 
-bool ServerFlow::AnyWaits() const {
-  return std::any_of(members_.begin(), members_.end(), [](const Member& m) { return m.waits; });
+bool UpstreamCall::AnyPending() const {
+  return std::any_of(members_.begin(), members_.end(), [](const Member& m) { return m.pending; });
 }
 
-void ServerFlow::EndIfSettled() {
-  if (over_ || AnyWaits()) return;
-  over_ = true;
-  owner_.OnFlowOver(*this);
+void UpstreamCall::EndIfSettled() {
+  if (ended_ || AnyPending()) return;
+  ended_ = true;
+  owner_.OnCallEnded(*this);
 }
 
-void ServerFlow::Settle(Member& member, Outcome outcome, Seconds wait, bool over) {
-  if (!member.waits) return;
+void UpstreamCall::Settle(Member& member, Outcome outcome, Seconds wait, bool over) {
+  if (!member.pending) return;
   // Danger: the loop takes bytes before timers. An answer read in the turn in which its time has ended is
   // late for the platform, which then waits for an end that nobody gives.
-  if (outcome == Outcome::kServed && answered_ >= std::min(member.until, stated_until_))
+  if (outcome == Outcome::kServed && answered_ >= std::min(member.timeout_at, stated_until_))
     outcome = Outcome::kTimeout;
-  member.waits = false;
+  member.pending = false;
   loop_.Cancel(member.timer);
   AttemptOutcome result;
-  result.message = member.message;
+  result.request_id = member.request_id;
   result.attempt = member.attempt;
   result.endpoint = endpoint_;
   result.outcome = outcome;
   result.duration = loop_.Now() - started_;
-  result.wait = outcome == Outcome::kFull ? wait : 0;
-  result.over = over || outcome == Outcome::kServed;
-  result.report = report_;
+  result.retry_after = outcome == Outcome::kRejected ? wait : 0;
+  result.request_ended = over || outcome == Outcome::kServed;
+  result.load_report = report_;
   owner_.OnOutcome(*this, member, result);
 }
 
-void ServerFlow::SettleAll(Outcome outcome, Seconds wait, bool over) {
+void UpstreamCall::SettleAll(Outcome outcome, Seconds wait, bool over) {
   for (Member& m : members_) Settle(m, outcome, wait, over);
   EndIfSettled();
 }
 
-void ServerFlow::Cancel(MessageId message, int attempt) {
+void UpstreamCall::Cancel(RequestId message, int attempt) {
   for (Member& m : members_)
-    if (m.message == message && m.attempt == attempt)
-      return GiveUp(m, Outcome::kCancelled, Outcome::kNotSent);
+    if (m.request_id == message && m.attempt == attempt)
+      return Abandon(m, Outcome::kCancelled, Outcome::kNotSent);
 }
 
 // Others in the call may go on waiting. With the last one the call itself ends; what was not written whole
 // by then has not run.
-void ServerFlow::GiveUp(Member& member, Outcome if_written, Outcome if_not) {
-  if (over_ || !member.waits) return;
+void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not) {
+  if (ended_ || !member.pending) return;
   const bool last =
-      std::count_if(members_.begin(), members_.end(), [](const Member& m) { return m.waits; }) == 1;
+      std::count_if(members_.begin(), members_.end(), [](const Member& m) { return m.pending; }) == 1;
   const auto state = last ? client_.Abandon(*this) : HttpClient::Abandoned{begun_, 0};
   if (state.status == 200 && !batch_) {
     Settle(member, Outcome::kServed);
@@ -140,44 +140,44 @@
   EndIfSettled();
 }
 
-std::string ServerFlow::OnReady() {
+std::string UpstreamCall::OnReady() {
   for (Member& m : members_)
-    if (m.waits && !owner_.MayLeave(*this, m)) Settle(m, Outcome::kNotSent);
+    if (m.pending && !owner_.MaySend(*this, m)) Settle(m, Outcome::kNotSent);
   for (Member& m : members_)
-    if (m.waits && !owner_.RecordAttempt(*this, m)) Settle(m, Outcome::kNotLeft);
+    if (m.pending && !owner_.RecordAttempt(*this, m)) Settle(m, Outcome::kLocalShortage);
   std::vector<const Member*> leave;
   for (const Member& m : members_)
-    if (m.waits) leave.push_back(&m);
+    if (m.pending) leave.push_back(&m);
   if (leave.empty()) {
     EndIfSettled();
     return {};
   }
   begun_ = true;
-  left_ = static_cast<int>(leave.size());
+  requests_sent_ = static_cast<int>(leave.size());
   batch_ = leave.size() > 1;
   // Danger: the platform ends a call with the time of its first message, and what is answered after that is
   // late for all of them. So the first is the one that waits longest, and the time stated is its own.
   std::stable_sort(leave.begin(), leave.end(),
-                   [](const Member* a, const Member* b) { return a->until > b->until; });
-  const long remaining = Milliseconds(leave.front()->until - loop_.Now());
+                   [](const Member* a, const Member* b) { return a->timeout_at > b->timeout_at; });
+  const long remaining = Milliseconds(leave.front()->timeout_at - loop_.Now());
   stated_until_ = loop_.Now() + static_cast<double>(remaining) / 1000;
   return batch_ ? WriteBatch(leave, remaining) : WriteSingle(*leave.front(), remaining);
 }
 
-bool ServerFlow::Suffices(int status) {
+bool UpstreamCall::Suffices(int status) {
   if (status != 200 || batch_) return false;
   answered_ = loop_.Now();
   return true;
 }
 
-std::string ServerFlow::WriteSingle(const Member& m, long remaining) const {
+std::string UpstreamCall::WriteSingle(const Member& m, long remaining) const {
   net::Headers headers = {{"Host", net::FormatAddress(to_)}, {"X-Txn", m.id}};
   if (!m.key.empty()) headers.emplace_back("Idempotency-Key", m.key);
   headers.emplace_back("X-Remaining-Ms", std::to_string(remaining));
   return net::WriteRequest("POST", "/hook", headers, m.body);
 }
 
-std::string ServerFlow::WriteBatch(const std::vector<const Member*>& members, long remaining) const {
+std::string UpstreamCall::WriteBatch(const std::vector<const Member*>& members, long remaining) const {
   json items = json::array();
   for (const Member* m : members) {
     items.push_back({{"id", m->id}, {"body", net::EncodeBase64(m->body)}});
@@ -190,22 +190,22 @@
                            items.dump());
 }
 
-void ServerFlow::OnAnswer(net::HttpMessage& answer) {
+void UpstreamCall::OnAnswer(net::HttpMessage& answer) {
   const Seconds wait = WaitIn(answer);
   report_ = ReportIn(answer);
   if (answered_ < 0) answered_ = loop_.Now();
   switch (answer.status) {
     case 200:
-      if (batch_) return TakeStates(answer, wait);
+      if (batch_) return ReadBatchStates(answer, wait);
       return SettleAll(Outcome::kServed);
     case 429:
-      return SettleAll(Outcome::kFull, wait);
+      return SettleAll(Outcome::kRejected, wait);
     case 503: {
       const std::string* over_slots = answer.Header("X-Over-Slots");
       const bool slots = over_slots != nullptr && *over_slots == "1";
       if (slots) return SettleAll(Outcome::kNotSent);
       // It ends the connection that it has just been offered: it is short of connections, not over its limit.
-      return SettleAll(answer.keep_alive || wait > 0 ? Outcome::kFull : Outcome::kCrowded, wait);
+      return SettleAll(answer.keep_alive || wait > 0 ? Outcome::kRejected : Outcome::kOutOfConnections, wait);
     }
     case 504:
       return SettleAll(Outcome::kNotSent);
@@ -220,7 +220,7 @@
   }
 }
 
-void ServerFlow::TakeStates(const net::HttpMessage& answer, Seconds wait) {
+void UpstreamCall::ReadBatchStates(const net::HttpMessage& answer, Seconds wait) {
   std::unordered_map<std::string, std::string> states;
   const json list = json::parse(answer.body, nullptr, false);
   if (list.is_array()) {
@@ -235,12 +235,12 @@
   }
   for (Member& m : members_) {
     const std::string& state = states[m.id];
-    if (!m.waits) {
-      if (state == "done") owner_.OnServedLate(m.message);
+    if (!m.pending) {
+      if (state == "done") owner_.OnServedLate(m.request_id);
     } else if (state == "done") {
       Settle(m, Outcome::kServed);
     } else if (state == "busy") {
-      Settle(m, Outcome::kFull, wait);
+      Settle(m, Outcome::kRejected, wait);
     } else if (state == "used_up" || state == "void") {
       Settle(m, Outcome::kNotSent, 0, state == "void");
     } else {
@@ -250,30 +250,30 @@
   EndIfSettled();
 }
 
-void ServerFlow::OnBroken(HttpClient::Broken how, int status) {
-  if (how == HttpClient::Broken::kNoRoom) return SettleAll(Outcome::kNotLeft);
+void UpstreamCall::OnBroken(HttpClient::Broken how, int status) {
+  if (how == HttpClient::Broken::kNoRoom) return SettleAll(Outcome::kLocalShortage);
   if (how != HttpClient::Broken::kReset) return SettleAll(Outcome::kConnectFailed);
   // A first line with 200 is a delivery, whatever becomes of the rest; of several the whole answer counts.
   SettleAll(status == 200 && !batch_ ? Outcome::kServed : Outcome::kReset);
 }
 
-Probing::Probing(net::EventLoop& loop, HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
-                 Seconds longest, MayLeave may_leave, Done done)
+HealthCheckCall::HealthCheckCall(net::EventLoop& loop, HttpClient& client, EndpointId endpoint,
+                                 const sockaddr_in& to, Seconds longest, MaySend may_leave, Done done)
     : loop_(loop),
       client_(client),
       endpoint_(endpoint),
       to_(to),
       longest_(longest),
       started_(loop.Now()),
-      may_leave_(std::move(may_leave)),
+      may_send_(std::move(may_leave)),
       done_(std::move(done)) {}
 
-Probing::~Probing() {
+HealthCheckCall::~HealthCheckCall() {
   loop_.Cancel(timer_);
-  if (!over_) client_.Abandon(*this);
+  if (!ended_) client_.Abandon(*this);
 }
 
-void Probing::Start() {
+void HealthCheckCall::Start() {
   timer_ = loop_.At(started_ + longest_, [this] {
     timer_ = 0;
     client_.Abandon(*this);
@@ -283,31 +283,31 @@
 }
 
 // A probe counts as a call: a drain or a wait that was told while its connection came up binds it as well.
-std::string Probing::OnReady() {
-  if (!may_leave_()) {
+std::string HealthCheckCall::OnReady() {
+  if (!may_send_()) {
     Finish(Outcome::kNotSent);
     return {};
   }
   return net::WriteRequest("GET", "/health/live", {{"Host", net::FormatAddress(to_)}}, "");
 }
 
-void Probing::OnAnswer(net::HttpMessage& answer) {
+void HealthCheckCall::OnAnswer(net::HttpMessage& answer) {
   const bool turned_away = answer.status == 503 || answer.status == 429;
   Finish(answer.status == 200 ? Outcome::kServed
-         : turned_away        ? Outcome::kFull
+         : turned_away        ? Outcome::kRejected
                               : Outcome::kError,
          ReportIn(answer));
 }
 
-void Probing::OnBroken(HttpClient::Broken how, int) {
+void HealthCheckCall::OnBroken(HttpClient::Broken how, int) {
   Finish(how == HttpClient::Broken::kReset    ? Outcome::kReset
-         : how == HttpClient::Broken::kNoRoom ? Outcome::kNotLeft
+         : how == HttpClient::Broken::kNoRoom ? Outcome::kLocalShortage
                                               : Outcome::kConnectFailed);
 }
 
-void Probing::Finish(Outcome outcome, const LimitReport& report) {
+void HealthCheckCall::Finish(Outcome outcome, const LoadReport& report) {
   loop_.Cancel(timer_);
-  over_ = true;
+  ended_ = true;
   done_(*this, {endpoint_, outcome, loop_.Now() - started_, report});
 }
 
--- a/src/zones/codec.h
+++ b/src/zone_failover/zone_gossip.h
@@ -16,19 +16,20 @@
 #include <string_view>
 #include <vector>
 
-#include "zones/agreement.h"
-#include "zones/orders.h"
-#include "zones/stages.h"
+#include "zone_failover/operator_override.h"
+#include "zone_failover/zone_consensus.h"
+#include "zone_failover/zone_evacuation.h"
 
-namespace opalroute::zones {
+namespace opalroute::zone_failover {
 
-struct Said {
-  std::vector<Stage> stages;  // `since` as an age
+struct ZoneGossip {
+  std::vector<EvacuationState> stages;  // `since` as an age
   std::optional<Report> report;
-  std::vector<HandOrder> orders;  // `until` as what is left; empty: none
+  std::vector<OperatorOverride> overrides;  // `until` as what is left; empty: none
 };
 
-std::string WriteSaid(const Said& said);
-std::optional<Said> ReadSaid(std::string_view bytes);  // nothing for bytes that are no such text, whole
+std::string EncodeZoneGossip(const ZoneGossip& said);
+std::optional<ZoneGossip> DecodeZoneGossip(
+    std::string_view bytes);  // nothing for bytes that are no such text, whole
 
-}  // namespace opalroute::zones
+}  // namespace opalroute::zone_failover
--- a/tests/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -6,7 +6,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "config/operator_options.h"
+#include "cli/operator_options.h"
 #include "log/log.h"
 
 namespace opalroute {
--- a/tests/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -1,13 +1,13 @@
 // The lease on the endpoint list, on a clock of the test's own: tries to renew it come in time, whatever
 // fails, and never in a rush.
-#include "decisions/endpoint_list_lease.h"
+#include "decision/endpoint_list_lease.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 #include <vector>
 
-#include "fixture.h"
+#include "tests/decision/fixture.h"
 
 namespace opalroute {
 namespace {
@@ -19,8 +19,8 @@
 
 Settings ListSettings(int relays, std::uint64_t seed) {
   Settings s = TestSettings();
-  s.couriers = relays;
-  s.ask_for_list = true;
+  s.relay_count = relays;
+  s.poll_endpoint_list = true;
   s.list_heartbeat = 2;
   s.seed = seed;
   return s;
@@ -34,7 +34,7 @@
   for (Seconds now = from; now < to; now += kStep) {
     if (now >= fails_at) {
       fails_at = kNever;
-      lease.Heed(ListScope::kRefused, now);
+      lease.Heed(ListScope::kWatchFailed, now);
     }
     if (!lease.TakeDueTry(now)) continue;
     tries.push_back(now);
@@ -54,7 +54,7 @@
     for (const Seconds fails_after : {-1.0, 0.0, 0.5, 1.0, 3.0}) {
       const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
       EndpointListLease lease(s);
-      lease.Heed(ListScope::kRemembered, 100);
+      lease.Heed(ListScope::kCached, 100);
       TriesOf(lease, 100, 130, 0.5);  // a long outage, then four moves as in the incident
       for (const Seconds at : {130.0, 130.3, 130.7}) {
         lease.Moved(at);
@@ -64,7 +64,7 @@
       const std::vector<Seconds> tries = TriesOf(lease, 131.6, 141.6, fails_after);
       ASSERT_FALSE(tries.empty());
       EXPECT_NEAR(tries.front(), 131.6, kStep);
-      EXPECT_GE(CountWithin(tries, 131.6 + s.list_told_after_move), GetParam() <= 20 ? 4 : 2);
+      EXPECT_GE(CountWithin(tries, 131.6 + s.list_notification_time_after_move), GetParam() <= 20 ? 4 : 2);
       for (std::size_t i = 1; i < tries.size(); ++i)
         EXPECT_LE(tries[i] - tries[i - 1], kLongestGap + kStep) << "seed " << seed;
     }
@@ -75,9 +75,9 @@
   for (int seed = 1; seed <= kSeeds; ++seed) {
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
-    lease.Heed(ListScope::kWhole, 100);
-    const std::vector<Seconds> tries = TriesOf(lease, 100, 100 + s.list_told_within + s.drain_grace);
-    EXPECT_GE(CountWithin(tries, 100 + s.list_told_within), GetParam() <= 20 ? 2 : 1);
+    lease.Heed(ListScope::kComplete, 100);
+    const std::vector<Seconds> tries = TriesOf(lease, 100, 100 + s.list_notification_time + s.drain_grace);
+    EXPECT_GE(CountWithin(tries, 100 + s.list_notification_time), GetParam() <= 20 ? 2 : 1);
     EXPECT_GE(tries.size(), 2U);
     EXPECT_GT(tries.front(), 100 + s.list_heartbeat);
   }
@@ -89,17 +89,17 @@
     std::uniform_real_distribution<double> after(0, 4);
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
-    lease.Heed(ListScope::kRemembered, 100);
+    lease.Heed(ListScope::kCached, 100);
     std::vector<Seconds> tries;
     for (Seconds now = 100, fails_at = 100; now < 160; now += kStep) {
       if (now >= fails_at) {
-        lease.Heed(ListScope::kRefused, now);
+        lease.Heed(ListScope::kWatchFailed, now);
         fails_at = now + after(draw);
       }
       if (lease.TakeDueTry(now)) tries.push_back(now);
     }
     ASSERT_GE(tries.size(), 60 / kLongestGap - 1);
-    EXPECT_LE(tries.size(), 60 / (s.list_told_after_move / 4) + 1);
+    EXPECT_LE(tries.size(), 60 / (s.list_notification_time_after_move / 4) + 1);
     for (std::size_t i = 1; i < tries.size(); ++i) EXPECT_LE(tries[i] - tries[i - 1], kLongestGap + kStep);
   }
 }
@@ -108,7 +108,7 @@
 
 TEST(EndpointListLeaseTest, AWatchInOrderIsLeftAlone) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kWhole, 100);
+  lease.Heed(ListScope::kComplete, 100);
   for (Seconds now = 102; now < 200; now += 2) {
     EXPECT_FALSE(lease.TakeDueTry(now));
     lease.Confirm(now);
@@ -118,13 +118,13 @@
 // Guards against a rush at a discovery that hands out its list and closes.
 TEST(EndpointListLeaseTest, WatchesThatEndAsSoonAsTheyStandAreNotOpenedInARush) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kRemembered, 100);
+  lease.Heed(ListScope::kCached, 100);
   int tries = 0;
   for (Seconds now = 100; now < 160; now += kStep) {
     if (!lease.TakeDueTry(now)) continue;
     ++tries;
-    lease.Heed(ListScope::kWhole, now);
-    lease.Heed(ListScope::kRefused, now);
+    lease.Heed(ListScope::kComplete, now);
+    lease.Heed(ListScope::kWatchFailed, now);
   }
   EXPECT_GE(tries, 40);
   EXPECT_LE(tries, 61);
@@ -136,27 +136,27 @@
   EndpointListLease lease(s);
   lease.Heed(ListScope::kChanges, 100);
   EXPECT_EQ(lease.next_try(), kNever);
-  lease.Heed(ListScope::kRefused, 200);
+  lease.Heed(ListScope::kWatchFailed, 200);
   EXPECT_LE(lease.next_try(), 201.3);
 }
 
 TEST(EndpointListLeaseTest, ChangesThatComeByThemselvesNeedNoWatchUnlessTheyComeOverOne) {
   Settings s = ListSettings(300, 1);
-  s.ask_for_list = false;
+  s.poll_endpoint_list = false;
   EndpointListLease watched(s);
-  watched.Heed(ListScope::kRemembered, 100);
+  watched.Heed(ListScope::kCached, 100);
   EXPECT_EQ(watched.next_try(), 100);  // what is published binds from the first moment
   s.list_heartbeat = 0;
   EndpointListLease pushed(s);
-  pushed.Heed(ListScope::kRemembered, 100);
+  pushed.Heed(ListScope::kCached, 100);
   EXPECT_EQ(pushed.next_try(), kNever);
 }
 
 TEST(EndpointListLeaseTest, AsksMoreOftenWhereTheSettingsWantItAskedSooner) {
   Settings s = ListSettings(6, 1);
-  s.ask_within = 2;
+  s.max_poll_interval = 2;
   EndpointListLease lease(s);
-  lease.Heed(ListScope::kRemembered, 100);
+  lease.Heed(ListScope::kCached, 100);
   const std::vector<Seconds> tries = TriesOf(lease, 100, 110);
   EXPECT_GE(CountWithin(tries, 102), 4);
   EXPECT_LE(tries.size(), 21U);
@@ -165,7 +165,7 @@
 
 TEST(EndpointListLeaseTest, SaysOnceThatItHasRunOutAndOnceThatItIsCurrentAgain) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kWhole, 100);
+  lease.Heed(ListScope::kComplete, 100);
   EXPECT_EQ(lease.TakeChange(105.9), std::nullopt);
   EXPECT_EQ(lease.TakeChange(106.1), true);
   EXPECT_EQ(lease.TakeChange(107), std::nullopt);
--- a/tests/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -6,8 +6,8 @@
 #include <random>
 #include <set>
 
-#include "fixture.h"
-#include "lane_note.h"
+#include "decision/route_gossip.h"
+#include "tests/decision/fixture.h"
 
 namespace opalroute {
 namespace {
@@ -24,13 +24,13 @@
     bool peers_cut_off = false;          // no note arrives
   };
 
-  Fleet(const Settings& settings, std::vector<ListEntry> list, Endpoint endpoint)
+  Fleet(const Settings& settings, std::vector<ListedEndpoint> list, Endpoint endpoint)
       : endpoint_(endpoint), list_(std::move(list)) {
-    for (int i = 0; i < settings.couriers; ++i) {
+    for (int i = 0; i < settings.relay_count; ++i) {
       Settings own = settings;
       own.seed = static_cast<std::uint64_t>(i) + 1;
       members_.emplace_back(own);
-      Play(members_.back(), ListUpdate{ListScope::kWhole, list_});
+      Play(members_.back(), ListUpdate{ListScope::kComplete, list_});
     }
   }
 
@@ -42,15 +42,15 @@
       for (; next <= now_; next += gap(draw_)) {
         Member& m = members_[one(draw_)];
         ++handed_in;
-        Play(m, NewMessage{m.next++, kSafeClass, {}, "", 20, list_.front().destination});
-        Play(m, TurnEnd{});
+        Play(m, NewRequest{m.next++, kSafeClass, {}, "", 20, list_.front().destination});
+        Play(m, BatchEnd{});
       }
       Answer();
       for (Member& m : members_) {
         const auto wake = m.Due(now_);
         if (!wake) continue;
         Play(m, *wake);
-        Play(m, TurnEnd{});
+        Play(m, BatchEnd{});
       }
     }
   }
@@ -76,19 +76,19 @@
     std::vector<Action> actions;
     m.courier.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetWake>(&action)) {
+      if (const auto* wake = std::get_if<SetTimer>(&action)) {
         m.Heed(*wake);
       } else if (const auto* send = std::get_if<Send>(&action)) {
         Place(m, *send);
-      } else if (const auto* close = std::get_if<CloseConnections>(&action)) {
+      } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
         open_[close->endpoint] -= static_cast<std::size_t>(std::exchange(m.idle[close->endpoint], 0));
-      } else if (std::holds_alternative<Probe>(action)) {
+      } else if (std::holds_alternative<HealthCheck>(action)) {
         ++probes;
-      } else if (const auto* tell = std::get_if<TellPeers>(&action)) {
+      } else if (const auto* tell = std::get_if<SendGossip>(&action)) {
         ++notes;
         if (endpoint_.peers_cut_off) continue;
         for (Member& other : members_)
-          if (&other != &m) notes_out_.insert({now_ + kTick, {&other, {0, tell->bytes}}});
+          if (&other != &m) notes_out_.insert({now_ + kTick, {&other, {0, tell->payload}}});
       }
     }
   }
@@ -96,8 +96,8 @@
   void Place(Member& m, const Send& send) {
     ++calls;
     AttemptOutcome r;
-    r.message = send.message;
-    r.attempt = m.attempts[send.message]++;
+    r.request_id = send.request_id;
+    r.attempt = m.attempts[send.request_id]++;
     r.endpoint = send.endpoint;
     r.outcome = Outcome::kServed;
     r.duration = kCall;
@@ -108,7 +108,7 @@
       ++open_[send.endpoint];
       ++handshakes;
     } else {
-      r.outcome = Outcome::kCrowded;
+      r.outcome = Outcome::kOutOfConnections;
       r.duration = kTick;
       connected = false;
       ++unconnected;
@@ -125,7 +125,7 @@
     if (connected) came.push_back(now_);
     while (!came.empty() && came.front() <= now_ - 1) came.pop_front();
     if (connected && static_cast<double>(came.size()) > endpoint_.limit) {
-      r.outcome = Outcome::kFull;
+      r.outcome = Outcome::kRejected;
       ++refused;
     }
     calls_out_.insert({now_ + r.duration, {&m, r, connected}});
@@ -143,35 +143,35 @@
       if (call.connected) ++call.from->idle[call.outcome.endpoint];
       if (call.outcome.outcome == Outcome::kServed) {
         ++served;
-        call.outcome.over = true;
+        call.outcome.request_ended = true;
       }
       Play(*call.from, call.outcome);
-      Play(*call.from, TurnEnd{});
+      Play(*call.from, BatchEnd{});
     }
   }
 
   Endpoint endpoint_;
-  std::vector<ListEntry> list_;
+  std::vector<ListedEndpoint> list_;
   std::mt19937_64 draw_{5};
   Seconds now_ = 100;
   std::deque<Member> members_;
   std::map<EndpointId, std::size_t> open_;
   std::map<EndpointId, std::deque<Seconds>> came_;
   std::multimap<Seconds, Call> calls_out_;
-  std::multimap<Seconds, std::pair<Member*, PeerNote>> notes_out_;
+  std::multimap<Seconds, std::pair<Member*, GossipReceived>> notes_out_;
 };
 
 Settings FleetSettings(int couriers) {
   Settings s = TestSettings();
-  s.couriers = couriers;
-  s.rating = RatingMeaning::kRough;
+  s.relay_count = couriers;
+  s.listed_rate_accuracy = ListedRateAccuracy::kRough;
   return s;
 }
 
 // An idle connection of each of a hundred fills every table: then most calls find no connection, whatever
 // the limit leaves. Seen on the fleet days: 12 tables of 6 to 16, 8 calls in 10 turned away.
 TEST(FleetTest, IdleConnectionsOfManyCouriersDoNotFillAnEndpointsTable) {
-  Fleet fleet(FleetSettings(100), {{1, 0, 0, 1, Listing::kInService, 60}}, {12});
+  Fleet fleet(FleetSettings(100), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
   fleet.RunTo(120, 40);
   EXPECT_LT(fleet.unconnected, fleet.calls / 20);
   EXPECT_GT(fleet.served, fleet.handed_in * 9 / 10);
@@ -181,30 +181,30 @@
 // their connections: each new one costs.
 TEST(FleetTest, ToldOfATableThatIsFullAllCloseAndElsewhereTheyKeepTheirs) {
   Settings s = FleetSettings(100);
-  s.may_tell_peers = true;
-  Fleet full(s, {{1, 0, 0, 1, Listing::kInService, 60}}, {12});
+  s.may_gossip = true;
+  Fleet full(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
   full.RunTo(120, 40);
   EXPECT_LT(full.unconnected, full.calls / 20);
   EXPECT_GT(full.served, full.handed_in * 9 / 10);
-  Fleet roomy(s, {{1, 0, 0, 1, Listing::kInService, 60}}, {200});
+  Fleet roomy(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {200});
   roomy.RunTo(120, 40);
   EXPECT_LT(roomy.handshakes, 150);
 }
 
 // Three couriers keep theirs: a table bears them, and each new connection costs.
 TEST(FleetTest, FewCouriersKeepTheirConnections) {
-  Fleet fleet(FleetSettings(3), {{1, 0, 0, 1, Listing::kInService, 60}}, {30});
+  Fleet fleet(FleetSettings(3), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {30});
   fleet.RunTo(120, 40);
   EXPECT_LT(fleet.handshakes, fleet.calls / 20);
 }
 
 // The same messages cost endpoints about the same, whether three couriers bring them or a hundred.
 TEST(FleetTest, WhatAMessageCostsAnEndpointDoesNotGrowWithTheTier) {
-  std::vector<ListEntry> list;
-  for (EndpointId id = 1; id <= 8; ++id) list.push_back({id, 0, 0, 1, Listing::kInService, 60});
+  std::vector<ListedEndpoint> list;
+  for (EndpointId id = 1; id <= 8; ++id) list.push_back({id, 0, 0, 1, EndpointStatus::kInService, 60});
   for (const int couriers : {3, 30, 100}) {
     Settings s = FleetSettings(couriers);
-    s.may_tell_peers = true;
+    s.may_gossip = true;
     Fleet fleet(s, list, {40, 60});
     fleet.RunTo(130, 150);
     const double each = 1 / (30.0 * 8);
@@ -225,10 +225,10 @@
 // under it, which takes each courier a refusal unless the first one refused tells the others.
 TEST(FleetTest, OneRefusalTellsAllCouriersThatTheLimitIsLower) {
   Settings s = FleetSettings(100);
-  const std::vector<ListEntry> list = {{1, 0, 0, 1, Listing::kInService, 60}};
+  const std::vector<ListedEndpoint> list = {{1, 0, 0, 1, EndpointStatus::kInService, 60}};
   Fleet silent(s, list, {1000, 40});
   silent.RunTo(130, 60);
-  s.may_tell_peers = true;
+  s.may_gossip = true;
   Fleet telling(s, list, {1000, 40});
   telling.RunTo(130, 60);
   EXPECT_LT(telling.refused, silent.refused * 2 / 3);
@@ -240,10 +240,10 @@
 // never less than one in overload_for, refused calls alone would use up nearly all (154 served of 1,200).
 TEST(FleetTest, HundredsOfCouriersFindALimitThatIsLowerThanACallInOverloadForOfEach) {
   Settings s = FleetSettings(300);
-  s.may_tell_peers = true;
-  s.overload_for = 2;
-  s.ramp_time = 13;
-  Fleet fleet(s, {{1, 0, 1, 1, Listing::kInService, 60}}, {1000, 30});
+  s.may_gossip = true;
+  s.overload_window = 2;
+  s.slow_start_duration = 13;
+  Fleet fleet(s, {{1, 0, 1, 1, EndpointStatus::kInService, 60}}, {1000, 30});
   fleet.RunTo(140, 60);
   EXPECT_GT(fleet.served, 40 * 30 / 4);
 }
@@ -253,12 +253,12 @@
 // suffer nothing from it.
 TEST(FleetTest, CutOffFromOneAnotherCouriersDoNotTellTenTimesAsMuch) {
   Settings s = FleetSettings(300);
-  s.may_tell_peers = true;
-  std::vector<ListEntry> list;
-  for (EndpointId id = 1; id <= 4; ++id) list.push_back({id, 0, 1, 1, Listing::kInService, 60});
+  s.may_gossip = true;
+  std::vector<ListedEndpoint> list;
+  for (EndpointId id = 1; id <= 4; ++id) list.push_back({id, 0, 1, 1, EndpointStatus::kInService, 60});
   Fleet cut_off(s, list, {1000, 30, 0, 0, true});
   cut_off.RunTo(130, 300);
-  const double spans = 30 / (0.2 * s.overload_for);
+  const double spans = 30 / (0.2 * s.overload_window);
   EXPECT_GT(cut_off.refused, 1000);
   EXPECT_LE(cut_off.notes, 2 * 300 + static_cast<int>(spans * 4));  // two each may have been saved
 }
@@ -268,11 +268,11 @@
 // cold.
 TEST(FleetTest, ToldOfAReturnAllWarmAPartnerSoonAndWithinWhatItBears) {
   Settings s = FleetSettings(100);
-  s.rating = RatingMeaning::kExact;
-  s.may_copy = false;
-  const std::vector<ListEntry> list = {{1, 0, 0, 1, Listing::kInService, 300}};
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.may_hedge = false;
+  const std::vector<ListedEndpoint> list = {{1, 0, 0, 1, EndpointStatus::kInService, 300}};
   const auto calls_after = [&](bool told) {
-    s.may_tell_peers = told;
+    s.may_gossip = told;
     Fleet fleet(s, list, {1000, 1e6, 110, 116});
     fleet.RunTo(126, 200);
     return fleet.since_return;
@@ -283,9 +283,10 @@
   };
   EXPECT_GT(first(told, 5), first(silent, 5) * 5 / 4);
   for (auto last = told.begin(); last != told.end(); ++last) {
-    const double warm = s.cold_from + (1 - s.cold_from) * std::min(1.0, *last / s.ramp_time);
-    const auto from = std::lower_bound(told.begin(), last, *last - s.overload_for);
-    EXPECT_LE(static_cast<double>(last - from + 1), s.overload_factor * warm * 300 * s.overload_for)
+    const double warm = s.slow_start_initial_share +
+                        (1 - s.slow_start_initial_share) * std::min(1.0, *last / s.slow_start_duration);
+    const auto from = std::lower_bound(told.begin(), last, *last - s.overload_window);
+    EXPECT_LE(static_cast<double>(last - from + 1), s.overload_factor * warm * 300 * s.overload_window)
         << "at " << *last << " s after the return";
   }
 }
@@ -293,33 +294,33 @@
 // Couriers that start at once with the list as they last held it. Discovery answers one call after another,
 // each in `answer`; what has waited for 2 s is refused.
 struct Release {
-  Release(Settings s, Seconds answer, const std::vector<ListEntry>& known) : answer_time(answer) {
-    s.ask_for_list = true;
-    for (int i = 0; i < s.couriers; ++i) {
+  Release(Settings s, Seconds answer, const std::vector<ListedEndpoint>& known) : answer_time(answer) {
+    s.poll_endpoint_list = true;
+    for (int i = 0; i < s.relay_count; ++i) {
       s.seed = static_cast<std::uint64_t>(i) + 1;
       members.emplace_back(s);
-      Play(members.back(), ListUpdate{ListScope::kRemembered, known});
+      Play(members.back(), ListUpdate{ListScope::kCached, known});
     }
   }
 
   void Play(Member& m, const Event& event) {
     std::vector<Action> actions;
     m.courier.Handle(now, event, actions);
-    m.courier.Handle(now, TurnEnd{}, actions);
+    m.courier.Handle(now, BatchEnd{}, actions);
     for (const Action& action : actions) {
-      if (std::holds_alternative<WatchList>(action)) line.emplace_back(now, &m);
-      if (const auto* wake = std::get_if<SetWake>(&action)) m.Heed(*wake);
+      if (std::holds_alternative<WatchEndpointList>(action)) line.emplace_back(now, &m);
+      if (const auto* wake = std::get_if<SetTimer>(&action)) m.Heed(*wake);
       if (const auto* send = std::get_if<Send>(&action)) sent.emplace_back(now, send->endpoint);
     }
   }
 
   // Each message goes to any courier; `changes` is what discovery has to tell.
-  void RunTo(Seconds end, double rate, const std::vector<ListEntry>& changes) {
+  void RunTo(Seconds end, double rate, const std::vector<ListedEndpoint>& changes) {
     std::uniform_int_distribution<std::size_t> one(0, members.size() - 1);
     for (; now < end; now += kTick) {
       for (owed += rate * kTick; owed >= 1; owed -= 1) {
         Member& m = members[one(draw)];
-        Play(m, NewMessage{m.next++, kSafeClass, {}, "", 20, 1});
+        Play(m, NewRequest{m.next++, kSafeClass, {}, "", 20, 1});
       }
       for (Member& m : members)
         if (const auto wake = m.Due(now)) Play(m, *wake);
@@ -327,7 +328,7 @@
         const auto [since, m] = line.front();
         line.pop_front();
         if (since + 2 <= now) {
-          Play(*m, ListUpdate{ListScope::kRefused, {}});
+          Play(*m, ListUpdate{ListScope::kWatchFailed, {}});
         } else {
           free_at = now + answer_time;
           watching.insert(m);
@@ -348,7 +349,7 @@
 
 // Discovery bears six calls a second. Asked and asked again in step it would be idle between the rounds.
 TEST(FleetTest, CouriersReleasedTogetherAskForTheListSpreadOut) {
-  Release release(FleetSettings(100), 0.16, {{1, 0, 0, 1, Listing::kInService, 60}});
+  Release release(FleetSettings(100), 0.16, {{1, 0, 0, 1, EndpointStatus::kInService, 60}});
   release.RunTo(120, 0, {});
   EXPECT_GE(release.watching.size(), 95U);
 }
@@ -358,10 +359,10 @@
 // rule.
 TEST(FleetTest, HundredsOfCouriersBackFromARestartHearOfADrainBeforeItBinds) {
   Settings s = FleetSettings(300);
-  const ListEntry stays{2, 0, 0, 1, Listing::kInService, 200};
-  ListEntry drains{1, 0, 0, 1, Listing::kInService, 200};
+  const ListedEndpoint stays{2, 0, 0, 1, EndpointStatus::kInService, 200};
+  ListedEndpoint drains{1, 0, 0, 1, EndpointStatus::kInService, 200};
   Release release(s, 0.01, {drains, stays});
-  drains.listing = Listing::kDraining;
+  drains.status = EndpointStatus::kDraining;
   release.RunTo(120, 150, {drains});
   const auto late = [](const std::pair<Seconds, EndpointId>& send) {
     return send.second == 1 && send.first > 98 + 6 + 2;
@@ -392,20 +393,21 @@
 
 TEST(LaneNoteTest, ANoteOnARouteCutsThatRouteAlone) {
   Settings s = FleetSettings(100);
-  s.overload_for = 2;
-  s.may_copy = false;
-  Courier courier(s);
+  s.overload_window = 2;
+  s.may_hedge = false;
+  RequestRouter courier(s);
   std::vector<Action> actions;
-  const std::vector<ListEntry> list = {{1, 0, 1, 1, Listing::kInService, 400, TagOf("one")},
-                                       {2, 0, 1, 1, Listing::kInService, 400, TagOf("two")}};
-  courier.Handle(100, ListUpdate{ListScope::kWhole, list}, actions);
-  courier.Handle(100, PeerNote{3, WriteLaneNote({LaneNote::Kind::kRefused, 1, TagOf("two")})}, actions);
+  const std::vector<ListedEndpoint> list = {{1, 0, 1, 1, EndpointStatus::kInService, 400, HashName("one")},
+                                            {2, 0, 1, 1, EndpointStatus::kInService, 400, HashName("two")}};
+  courier.Handle(100, ListUpdate{ListScope::kComplete, list}, actions);
+  courier.Handle(100, GossipReceived{3, WriteLaneNote({LaneNote::Kind::kRefused, 1, HashName("two")})},
+                 actions);
   std::optional<DestinationId> from = 0;
-  const auto beliefs = courier.Beliefs(100, from, 10);
+  const auto beliefs = courier.ExportRouteStates(100, from, 10);
   ASSERT_EQ(beliefs.size(), 2U);
-  EXPECT_GT(beliefs[0].pace, beliefs[1].pace);
-  EXPECT_FALSE(beliefs[0].refused);
-  EXPECT_TRUE(beliefs[1].refused);
+  EXPECT_GT(beliefs[0].send_rate, beliefs[1].send_rate);
+  EXPECT_FALSE(beliefs[0].rejection_age);
+  EXPECT_TRUE(beliefs[1].rejection_age);
 }
 
 }  // namespace
--- a/tests/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -3,7 +3,7 @@
 #include <map>
 #include <random>
 
-#include "fixture.h"
+#include "tests/decision/fixture.h"
 
 namespace opalroute {
 namespace {
@@ -30,7 +30,7 @@
   static DestinationId DestinationOf(EndpointId id) { return id / 4; }
 
   void CheckSend(const Send& send) {
-    Held& m = held_.at(send.message);
+    Held& m = held_.at(send.request_id);
     ASSERT_FALSE(m.over) << "rule 1: sent after its end";
     ASSERT_EQ(DestinationOf(send.endpoint), m.destination);
     ASSERT_EQ(drained_.count(send.endpoint), 0U) << "rule 3";
@@ -44,8 +44,8 @@
       }
     }
     if (m.message_class == kOrderedClass) {
-      for (const MessageId id : lines_[m.key]) {
-        if (id == send.message) break;
+      for (const RequestId id : lines_[m.key]) {
+        if (id == send.request_id) break;
         const Held& earlier = held_.at(id);
         const bool out =
             std::any_of(earlier.tries.begin(), earlier.tries.end(), [](const Try& t) { return t.out; });
@@ -53,10 +53,10 @@
       }
       ASSERT_TRUE(!m.tries.empty() || now_ + 1e-9 >= rests_[m.key]) << "rule 6: no rest";
     }
-    m.tries.push_back({send.endpoint, now_, true, false, send.until > 0 ? send.until : m.deadline});
+    m.tries.push_back({send.endpoint, now_, true, false, send.timeout_at > 0 ? send.timeout_at : m.deadline});
   }
 
-  void CheckEnd(MessageId id, bool refused) {
+  void CheckEnd(RequestId id, bool refused) {
     Held& m = held_.at(id);
     ASSERT_FALSE(m.over) << "rule 1: answered twice";
     m.over = true;
@@ -69,8 +69,8 @@
     for (; checked_ < actions_.size(); ++checked_) {
       const Action action = actions_[checked_];
       if (const auto* send = std::get_if<Send>(&action)) CheckSend(*send);
-      if (const auto* refuse = std::get_if<Refuse>(&action)) CheckEnd(refuse->message, true);
-      if (const auto* fail = std::get_if<Fail>(&action)) CheckEnd(fail->message, false);
+      if (const auto* refuse = std::get_if<Reject>(&action)) CheckEnd(refuse->request_id, true);
+      if (const auto* fail = std::get_if<Fail>(&action)) CheckEnd(fail->request_id, false);
       if (HasFatalFailure()) return;
     }
     for (const auto& [id, m] : held_) {
@@ -79,7 +79,7 @@
   }
 
   // Draws whether an attempt that is out comes to its outcome now.
-  void MaybeFinish(MessageId id, std::mt19937_64& draw) {
+  void MaybeFinish(RequestId id, std::mt19937_64& draw) {
     Held& m = held_.at(id);
     for (std::size_t i = 0; i < m.tries.size(); ++i) {
       Try& t = m.tries[i];
@@ -87,31 +87,31 @@
       const bool timed_out = now_ >= t.until - 1e-9;
       if (!timed_out && draw() % 20 != 0) continue;
       static const std::vector<Outcome> kOutcomes = {
-          Outcome::kServed, Outcome::kServed, Outcome::kServed, Outcome::kServed,
-          Outcome::kError,  Outcome::kFull,   Outcome::kReset,  Outcome::kConnectFailed};
+          Outcome::kServed, Outcome::kServed,   Outcome::kServed, Outcome::kServed,
+          Outcome::kError,  Outcome::kRejected, Outcome::kReset,  Outcome::kConnectFailed};
       AttemptOutcome r;
-      r.message = id;
+      r.request_id = id;
       r.attempt = static_cast<int>(i);
       r.endpoint = t.endpoint;
       r.duration = now_ - t.sent;
       r.outcome = timed_out ? Outcome::kTimeout : kOutcomes[draw() % kOutcomes.size()];
-      if (r.outcome == Outcome::kFull && draw() % 2 == 0) r.wait = 0.3;
+      if (r.outcome == Outcome::kRejected && draw() % 2 == 0) r.retry_after = 0.3;
       t.out = false;
-      t.may_have_run = r.outcome != Outcome::kFull && r.outcome != Outcome::kConnectFailed;
+      t.may_have_run = r.outcome != Outcome::kRejected && r.outcome != Outcome::kConnectFailed;
       if (m.message_class == kOrderedClass &&
           (r.outcome == Outcome::kTimeout || r.outcome == Outcome::kReset)) {
         rests_[m.key] = now_ + 1.5;
       }
-      if (r.wait > 0) new_waits_.push_back({m.destination, now_ + r.wait});
+      if (r.retry_after > 0) new_waits_.push_back({m.destination, now_ + r.retry_after});
       if (r.outcome == Outcome::kServed) m.over = true;
-      r.over = m.over;
+      r.request_ended = m.over;
       Play(r);
       return;
     }
   }
 
-  std::map<MessageId, Held> held_;
-  std::map<std::string, std::vector<MessageId>> lines_;
+  std::map<RequestId, Held> held_;
+  std::map<std::string, std::vector<RequestId>> lines_;
   std::map<std::string, Seconds> rests_;
   std::map<DestinationId, Seconds> waits_;
   std::vector<std::pair<DestinationId, Seconds>> new_waits_;
@@ -122,17 +122,17 @@
 TEST_P(LegalRunTest, KeepsTheRulesAtEveryStep) {
   std::mt19937_64 draw(static_cast<std::uint64_t>(GetParam()));
   Settings s = TestSettings();
-  s.may_copy = GetParam() % 2 == 0;
+  s.may_hedge = GetParam() % 2 == 0;
   Start(s);
-  std::vector<ListEntry> entries;
+  std::vector<ListedEndpoint> entries;
   for (EndpointId id = 4; id < 16; ++id) entries.push_back(Entry(id, DestinationOf(id), ZoneOf(id)));
   List(entries);
-  MessageId next = 1;
+  RequestId next = 1;
   std::size_t answered = 0;
   for (int step = 0; step < 4000; ++step) {
     now_ += 0.01;
-    for (const SetWake& wake : All<SetWake>()) {
-      if (wake.at <= now_ && wake.at > now_ - 0.01) Play(Wake{wake.label});
+    for (const SetTimer& wake : All<SetTimer>()) {
+      if (wake.due <= now_ && wake.due > now_ - 0.01) Play(TimerFired{wake.timer_id});
     }
     if (step < 3000 && draw() % 4 == 0) {
       const int message_class = static_cast<int>(draw() % 4);
@@ -144,10 +144,10 @@
       ++next;
     }
     if (step == 1000) {
-      List({Entry(5, 1, 1, 0, Listing::kDraining)}, ListScope::kChanges);
+      List({Entry(5, 1, 1, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
       drained_[5] = now_;
     }
-    for (MessageId id = next > 400 ? next - 400 : 1; id < next; ++id) MaybeFinish(id, draw);
+    for (RequestId id = next > 400 ? next - 400 : 1; id < next; ++id) MaybeFinish(id, draw);
     EndTurn();
     CheckActions();
     if (HasFatalFailure()) return;
@@ -157,8 +157,8 @@
     if (step % 500 == 499) {  // wakes long past need not be looked through again
       actions_.erase(std::remove_if(actions_.begin(), actions_.end(),
                                     [this](const Action& a) {
-                                      const auto* wake = std::get_if<SetWake>(&a);
-                                      return wake == nullptr || wake->at < now_;
+                                      const auto* wake = std::get_if<SetTimer>(&a);
+                                      return wake == nullptr || wake->due < now_;
                                     }),
                      actions_.end());
       checked_ = actions_.size();
