--- a/tests/rules_test.cpp
+++ b/tests/decision/request_router_test.cpp
@@ -3,8 +3,8 @@
 #include <map>
 #include <set>
 
-#include "fixture.h"
-#include "lane_note.h"
+#include "decision/route_gossip.h"
+#include "tests/decision/fixture.h"
 
 namespace opalroute {
 namespace {
@@ -13,8 +13,8 @@
  protected:
   void SetUp() override { Start(TestSettings()); }
 
-  void ServeSafely(MessageId from, int count, DestinationId destination = 1) {
-    for (MessageId id = from; id < from + static_cast<MessageId>(count); ++id) {
+  void ServeSafely(RequestId from, int count, DestinationId destination = 1) {
+    for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
       Take(id, kUnsafeClass, destination);
       EndTurn();
       const auto sends = SendsOf(id);
@@ -39,7 +39,7 @@
 
 TEST_F(RulesTest, CopiesStayWithinATenthOfFirstSends) {
   List({Entry(1, 1), Entry(2, 1)});
-  for (MessageId id = 1; id <= 200; ++id) {
+  for (RequestId id = 1; id <= 200; ++id) {
     Take(id, kSafeClass);
     EndTurn();
     now_ += 0.1;
@@ -60,7 +60,7 @@
   ASSERT_EQ(sends.size(), 2U);
   EXPECT_NE(sends[0].endpoint, sends[1].endpoint);
   Tell(50, 1, sends[1].endpoint, Outcome::kServed);
-  const auto cancels = All<Cancel>();
+  const auto cancels = All<CancelAttempt>();
   ASSERT_EQ(cancels.size(), 1U);
   EXPECT_EQ(cancels[0].attempt, 0);
 }
@@ -83,7 +83,7 @@
   ServeSafely(1, 20);
   Take(50, kUnsafeClass);
   EndTurn();
-  Tell(50, 0, SendsOf(50)[0].endpoint, Outcome::kFull);
+  Tell(50, 0, SendsOf(50)[0].endpoint, Outcome::kRejected);
   RunTo(now_ + 5);
   Take(51, kSafeClass);
   EndTurn();
@@ -93,7 +93,7 @@
 TEST_F(RulesTest, KeyedCopyStaysInsideItsZone) {
   List({Entry(1, 1, 0), Entry(2, 1, 1)});
   ServeSafely(1, 30);
-  for (MessageId id = 50; id < 60; ++id) {
+  for (RequestId id = 50; id < 60; ++id) {
     Take(id, kKeyedClass);
     EndTurn();
     ASSERT_EQ(SendsOf(id).size(), 1U);
@@ -111,10 +111,10 @@
 
 TEST_F(RulesTest, OneDrawServesABundle) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1, 0, 2), Entry(2, 1, 0, 2)});
-  for (MessageId id = 1; id <= 5; ++id) Take(id, kSafeClass);
+  for (RequestId id = 1; id <= 5; ++id) Take(id, kSafeClass);
   EndTurn();
   std::set<EndpointId> used;
   for (const Send& send : All<Send>()) used.insert(send.endpoint);
@@ -143,9 +143,9 @@
   Take(1, kSafeClass, 1, "", 5);
   EndTurn();
   RunTo(104.9);
-  EXPECT_EQ(All<Refuse>().size(), 0U);
+  EXPECT_EQ(All<Reject>().size(), 0U);
   RunTo(106);
-  EXPECT_EQ(All<Refuse>().size(), 1U);
+  EXPECT_EQ(All<Reject>().size(), 1U);
 }
 
 TEST_F(RulesTest, AListThatComesLateStillServesAHeldMessage) {
@@ -177,7 +177,7 @@
   RunTo(now_ + 1);
   EXPECT_EQ(SendsOf(1).size(), 1U);
   EXPECT_EQ(All<Fail>().size(), 1U);
-  EXPECT_EQ(All<Refuse>().size(), 0U);
+  EXPECT_EQ(All<Reject>().size(), 0U);
 }
 
 TEST_F(RulesTest, AnUnsafeMessageThatProvablyDidNotRunIsSentAgain) {
@@ -191,7 +191,7 @@
 
 TEST_F(RulesTest, AKeyedRepeatGoesToTheSameZoneOnly) {
   List({Entry(1, 1, 0), Entry(2, 1, 1), Entry(3, 1, 1)});
-  for (MessageId id = 1; id <= 20; ++id) {
+  for (RequestId id = 1; id <= 20; ++id) {
     Take(id, kKeyedClass);
     EndTurn();
     const EndpointId first = SendsOf(id)[0].endpoint;
@@ -212,7 +212,7 @@
   Take(1, kKeyedClass);
   EndTurn();
   const EndpointId first = SendsOf(1)[0].endpoint;
-  List({Entry(first, 1, 0, 0, Listing::kDraining)}, ListScope::kChanges);
+  List({Entry(first, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
   Tell(1, 0, first, Outcome::kReset);
   RunTo(107.1);  // a tenth of the window is kept for its way, as no usual time is known
   EXPECT_EQ(All<Fail>().size(), 0U);
@@ -224,7 +224,7 @@
 
 TEST_F(RulesTest, NothingGoesToADrainingEndpoint) {
   List({Entry(1, 1), Entry(2, 1)});
-  List({Entry(1, 1, 0, 0, Listing::kDraining)}, ListScope::kChanges);
+  List({Entry(1, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
   ServeSafely(1, 30);
   for (const Send& send : All<Send>()) EXPECT_EQ(send.endpoint, 2U);
 }
@@ -240,10 +240,10 @@
 
 TEST_F(RulesTest, AReturnFromAnOutageFindsNoBurst) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(s);
-  List({Entry(1, 1, 0, 0, Listing::kInService, 10)});
-  MessageId id = 1;
+  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 10)});
+  RequestId id = 1;
   std::size_t told = 0;
   const Seconds returns = 115;
   std::vector<Seconds> arrived;
@@ -253,14 +253,14 @@
     const auto sends = All<Send>();
     for (; told < sends.size(); ++told) {
       if (now_ >= returns) arrived.push_back(now_);
-      const int attempt = static_cast<int>(SendsOf(sends[told].message).size()) - 1;
-      Tell(sends[told].message, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
+      const int attempt = static_cast<int>(SendsOf(sends[told].request_id).size()) - 1;
+      Tell(sends[told].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
     RunTo(now_ + 0.1);
     for (const auto all = All<Send>(); told < all.size(); ++told) {
       if (now_ >= returns) arrived.push_back(now_);
-      const int attempt = static_cast<int>(SendsOf(all[told].message).size()) - 1;
-      Tell(all[told].message, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
+      const int attempt = static_cast<int>(SendsOf(all[told].request_id).size()) - 1;
+      Tell(all[told].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
   }
   // Cold capacity is 2 a second and 4.4 after 3 s, if it warms evenly: twice that makes 19 in 3 s.
@@ -276,7 +276,7 @@
   List({Entry(1, 1), Entry(2, 1), Entry(3, 2)});
   Take(1, kUnsafeClass);
   EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kFull, 1.0);
+  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kRejected, 1.0);
   EndTurn();
   Take(2, kUnsafeClass, 1);
   Take(3, kUnsafeClass, 2);
@@ -293,7 +293,7 @@
   Take(1, kUnsafeClass);
   EndTurn();
   const EndpointId first = SendsOf(1)[0].endpoint;
-  Tell(1, 0, first, Outcome::kFull, 2.0);
+  Tell(1, 0, first, Outcome::kRejected, 2.0);
   EndTurn();
   ASSERT_EQ(SendsOf(1).size(), 2U);
   EXPECT_NE(SendsOf(1)[1].endpoint, first);
@@ -302,14 +302,14 @@
 // A bundle's refusals may each tell another wait; judging only the first broke the rule.
 TEST_F(RulesTest, TheLongestWaitOfABundleCounts) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1, 0, 2)});
   Take(1, kUnsafeClass);
   Take(2, kUnsafeClass);
   EndTurn();
-  Tell(1, 0, 1, Outcome::kFull, 0.5);
-  Tell(2, 0, 1, Outcome::kFull, 1.5);
+  Tell(1, 0, 1, Outcome::kRejected, 0.5);
+  Tell(2, 0, 1, Outcome::kRejected, 1.5);
   EndTurn();
   RunTo(101.49);
   EXPECT_EQ(All<Send>().size(), 2U);
@@ -319,7 +319,7 @@
 
 TEST_F(RulesTest, MessagesOfOneKeyGoOneAtATimeInTheOrderTaken) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1), Entry(2, 1)});
   Take(1, kOrderedClass, 1, "k");
@@ -336,8 +336,8 @@
 
 TEST_F(RulesTest, AKeyRestsAfterAnAttemptThatMayStillRun) {
   Settings s = TestSettings();
-  s.may_copy = false;
-  s.most_tries = 1;
+  s.may_hedge = false;
+  s.max_attempts = 1;
   Start(s);
   List({Entry(1, 1), Entry(2, 1)});
   ServeSafely(11, 30);  // in good standing: only the key holds the next one back
@@ -357,7 +357,7 @@
 
 TEST_F(RulesTest, TheWorthierMessageGoesFirstWhenASlotIsFree) {
   Settings s = TestSettings();
-  s.slots = 1;
+  s.concurrency_limit = 1;
   Start(s);
   List({Entry(1, 1)});
   Take(1, kUnsafeClass);
@@ -373,11 +373,11 @@
 
 TEST_F(RulesTest, FreeSlotsGoToTheDestinationWithFewestCallsOut) {
   Settings s = TestSettings();
-  s.slots = 3;
-  s.may_copy = false;
+  s.concurrency_limit = 3;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1), Entry(2, 2)});
-  for (MessageId id = 1; id <= 4; ++id) Take(id, kUnsafeClass, 1);
+  for (RequestId id = 1; id <= 4; ++id) Take(id, kUnsafeClass, 1);
   EndTurn();
   Take(9, kUnsafeClass, 2);
   Tell(1, 0, 1, Outcome::kServed);
@@ -388,22 +388,22 @@
 // Hung calls of unsafe messages have no time-out: they must not keep every slot until their deadline.
 TEST_F(RulesTest, ACallStuckWhereAllIsOutLosesItsSlotToOthers) {
   Settings s = TestSettings();
-  s.slots = 3;
-  s.may_copy = false;
+  s.concurrency_limit = 3;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1), Entry(2, 2)});
   ServeSafely(1, 5, 1);
   ServeSafely(11, 5, 2);
-  for (MessageId id = 21; id <= 23; ++id) Take(id, kUnsafeClass, 1);
+  for (RequestId id = 21; id <= 23; ++id) Take(id, kUnsafeClass, 1);
   EndTurn();
   now_ += 3;
   Take(30, kUnsafeClass, 1);
   Take(31, kUnsafeClass, 2);
   EndTurn();  // no slot is free: nothing is known of the stall yet, or a call is called off at once
   EndTurn();
-  ASSERT_GE(All<Cancel>().size(), 1U);
-  const Cancel cancel = All<Cancel>().front();
-  Tell(cancel.message, cancel.attempt, 1, Outcome::kCancelled);
+  ASSERT_GE(All<CancelAttempt>().size(), 1U);
+  const CancelAttempt cancel = All<CancelAttempt>().front();
+  Tell(cancel.request_id, cancel.attempt, 1, Outcome::kCancelled);
   EndTurn();
   EXPECT_EQ(SendsOf(31).size(), 1U);
 }
@@ -411,8 +411,8 @@
 // A few calls lost everywhere leave every circuit closed; their slots must come back all the same.
 TEST_F(RulesTest, ALostCallLosesItsSlotThoughOthersAreServedThere) {
   Settings s = TestSettings();
-  s.slots = 2;
-  s.may_copy = false;
+  s.concurrency_limit = 2;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1), Entry(2, 2)});
   ServeSafely(1, 5, 1);
@@ -423,19 +423,19 @@
   EndTurn();
   Take(41, kUnsafeClass, 2);
   EndTurn();
-  ASSERT_EQ(All<Cancel>().size(), 1U);
-  EXPECT_EQ(All<Cancel>()[0].message, 20U);
+  ASSERT_EQ(All<CancelAttempt>().size(), 1U);
+  EXPECT_EQ(All<CancelAttempt>()[0].request_id, 20U);
 }
 
 // With many couriers a budget's interval is tens of seconds: a false alarm must not last that long.
 TEST_F(RulesTest, AFalseAlarmOfAnOutageEndsSoon) {
   Settings s = TestSettings();
-  s.couriers = 12;
-  s.rating = RatingMeaning::kExact;
+  s.relay_count = 12;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(s);
-  List({Entry(1, 1, 0, 0, Listing::kInService, 24)});
+  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 24)});
   ServeSafely(50, 1);
-  MessageId id = 1;
+  RequestId id = 1;
   for (; id <= 3; ++id) {
     Take(id, kUnsafeClass);
     RunTo(now_ + 0.5);
@@ -452,13 +452,13 @@
 // Endpoints in trouble share a part of the slots; none of them may be kept from ever trying again.
 TEST_F(RulesTest, AnEndpointInTroubleIsStillTriedWhileOthersAreStuck) {
   Settings s = TestSettings();
-  s.classes[kUnsafeClass].aim = 0.05;  // every answer is late: all endpoints are slow
-  s.may_copy = false;
+  s.classes[kUnsafeClass].latency_objective = 0.05;  // every answer is late: all endpoints are slow
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1), Entry(2, 2)});
   ServeSafely(1, 3, 1);
   ServeSafely(11, 3, 2);
-  for (MessageId id = 21; id <= 26; ++id) Take(id, kUnsafeClass, 1);
+  for (RequestId id = 21; id <= 26; ++id) Take(id, kUnsafeClass, 1);
   EndTurn();
   Take(30, kUnsafeClass, 2);
   EndTurn();
@@ -471,35 +471,35 @@
   ServeSafely(1, 5, 1);
   Take(20, kUnsafeClass, 1);
   EndTurn();
-  Tell(20, 0, 1, Outcome::kCrowded, 0, 0.01);
+  Tell(20, 0, 1, Outcome::kOutOfConnections, 0, 0.01);
   RunTo(now_ + 0.2);
   ASSERT_EQ(SendsOf(20).size(), 2U);  // it never ran: it goes again, at once but for a short backoff
   Tell(20, 1, 1, Outcome::kServed);
   EndTurn();
-  const std::size_t closed = All<CloseConnections>().size();
+  const std::size_t closed = All<CloseIdleConnections>().size();
   EXPECT_GE(closed, 1U);
   ServeSafely(30, 1, 2);
-  EXPECT_EQ(All<CloseConnections>().size(), closed);
+  EXPECT_EQ(All<CloseIdleConnections>().size(), closed);
 }
 
 // Short of connections is neither out nor over its limit: what follows is neither paused nor on trial.
 TEST_F(RulesTest, ShortOfConnectionsCastsNoDoubtAndCutsNoPace) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
-  s.couriers = 100;
-  s.may_tell_peers = true;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.relay_count = 100;
+  s.may_gossip = true;
   Start(s);
-  List({Entry(1, 1, 0, 0, Listing::kInService, 400)});
+  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 400)});
   ServeSafely(1, 1, 1);
   Take(20, kUnsafeClass, 1);
   RunTo(now_ + 1);
   for (int attempt = 0; attempt < 4; ++attempt) {
     ASSERT_EQ(SendsOf(20).size(), static_cast<std::size_t>(attempt) + 1);
-    Tell(20, attempt, 1, Outcome::kCrowded, 0, 0.01);
+    Tell(20, attempt, 1, Outcome::kOutOfConnections, 0, 0.01);
     RunTo(now_ + 0.5);
   }
-  for (const TellPeers& tell : All<TellPeers>())
-    EXPECT_EQ(ReadLaneNote(tell.bytes)->kind, LaneNote::Kind::kCrowded);
+  for (const SendGossip& tell : All<SendGossip>())
+    EXPECT_EQ(ReadLaneNote(tell.payload)->kind, LaneNote::Kind::kCrowded);
 }
 
 // What is down refuses connects: after its return connections are kept.
@@ -512,36 +512,36 @@
   RunTo(now_ + 1);
   Tell(20, 1, 1, Outcome::kServed);
   EndTurn();
-  EXPECT_EQ(All<CloseConnections>().size(), 0U);
+  EXPECT_EQ(All<CloseIdleConnections>().size(), 0U);
 }
 
 TEST_F(RulesTest, TheLongestLineMakesRoom) {
   Settings s = TestSettings();
-  s.room = 20;
+  s.request_capacity = 20;
   Start(s);
   List({Entry(1, 2)});
-  for (MessageId id = 1; id <= 25; ++id) Take(id, kSafeClass, 1);
+  for (RequestId id = 1; id <= 25; ++id) Take(id, kSafeClass, 1);
   Take(40, kSafeClass, 2);
   EndTurn();
-  EXPECT_GE(All<Refuse>().size(), 6U);
-  for (const Refuse& refuse : All<Refuse>()) EXPECT_NE(refuse.message, 40U);
+  EXPECT_GE(All<Reject>().size(), 6U);
+  for (const Reject& refuse : All<Reject>()) EXPECT_NE(refuse.request_id, 40U);
 }
 
 TEST_F(RulesTest, PaceFallsAfterRefusals) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
-  s.couriers = 4;
-  s.slots = 100;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.relay_count = 4;
+  s.concurrency_limit = 100;
   Start(s);
-  List({Entry(1, 1, 0, 0, Listing::kInService, 20)});
-  for (MessageId id = 1; id <= 150; ++id) Take(id, kUnsafeClass);
+  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 20)});
+  for (RequestId id = 1; id <= 150; ++id) Take(id, kUnsafeClass);
   EndTurn();
   std::size_t told = 0;
   while (now_ < 105) {
     const auto sends = All<Send>();
     for (; told < sends.size(); ++told) {
-      const int attempt = static_cast<int>(SendsOf(sends[told].message).size()) - 1;
-      Tell(sends[told].message, attempt, 1, told % 3 == 0 ? Outcome::kFull : Outcome::kServed);
+      const int attempt = static_cast<int>(SendsOf(sends[told].request_id).size()) - 1;
+      Tell(sends[told].request_id, attempt, 1, told % 3 == 0 ? Outcome::kRejected : Outcome::kServed);
     }
     EndTurn();
     RunTo(now_ + 0.05);
@@ -553,18 +553,18 @@
 // An N-th of a limit was a call in many seconds for each of hundreds of couriers, most of them idle.
 TEST_F(RulesTest, ACourierAmongHundredsSendsItsFirstMessagesAtOnce) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
-  s.couriers = 400;
-  s.may_copy = false;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.relay_count = 400;
+  s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 0, 0, Listing::kInService, 8)});
+  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 8)});
   Take(1, kUnsafeClass);
   EndTurn();
   EXPECT_EQ(SendsOf(1).size(), 1U);
   Take(2, kUnsafeClass);
   RunTo(now_ + 0.2);
   EXPECT_EQ(SendsOf(2).size(), 1U);
-  Tell(1, 0, 1, Outcome::kFull);  // and after a refusal it does not wait for an N-th of the limit
+  Tell(1, 0, 1, Outcome::kRejected);  // and after a refusal it does not wait for an N-th of the limit
   RunTo(now_ + 7);
   EXPECT_EQ(SendsOf(1).size(), 2U);
 }
@@ -572,10 +572,10 @@
 // Dozens of couriers that knock every second push over what is coming back; no courier sees the others.
 TEST_F(RulesTest, ALaneThatGoesOnRefusingIsTriedEverMoreSeldom) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
-  s.couriers = 80;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.relay_count = 80;
   Start(s);
-  List({Entry(1, 1, 0, 1, Listing::kInService, 2)});
+  List({Entry(1, 1, 0, 1, EndpointStatus::kInService, 2)});
   Take(1, kUnsafeClass);
   EndTurn();
   std::vector<Seconds> sent;
@@ -583,7 +583,7 @@
     const auto sends = SendsOf(1);
     for (std::size_t i = sent.size(); i < sends.size(); ++i) {
       sent.push_back(now_);
-      Tell(1, static_cast<int>(i), 1, Outcome::kFull, i % 2 == 0 ? 0.3 : 0);  // told waits or not
+      Tell(1, static_cast<int>(i), 1, Outcome::kRejected, i % 2 == 0 ? 0.3 : 0);  // told waits or not
     }
     RunTo(now_ + 0.01);
   }
@@ -594,11 +594,11 @@
 // Hundreds of couriers that each find out at each endpoint send a crashed destination many times its traffic.
 TEST_F(RulesTest, AQuietCourierTriesADestinationThatIsOutSeldom) {
   Settings s = TestSettings();
-  s.rating = RatingMeaning::kExact;
-  s.couriers = 400;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.relay_count = 400;
   Start(s);
   for (EndpointId id = 1; id <= 4; ++id)
-    List({Entry(id, 1, 0, 0, Listing::kInService, 8)}, ListScope::kChanges);
+    List({Entry(id, 1, 0, 0, EndpointStatus::kInService, 8)}, ListScope::kChanges);
   Take(1, kUnsafeClass);
   EndTurn();
   std::size_t told = 0;
@@ -613,7 +613,7 @@
 
 TEST_F(RulesTest, AServedTrialClearsWhatWasOnlySuspected) {
   Settings s = TestSettings();
-  s.couriers = 400;
+  s.relay_count = 400;
   Start(s);
   List({Entry(1, 1), Entry(2, 1), Entry(3, 1)});
   Take(1, kUnsafeClass);
@@ -622,21 +622,21 @@
   RunTo(now_ + 1.5);
   ASSERT_EQ(SendsOf(1).size(), 2U);
   Tell(1, 1, SendsOf(1)[1].endpoint, Outcome::kServed);
-  for (MessageId id = 2; id <= 4; ++id) Take(id, kUnsafeClass);
+  for (RequestId id = 2; id <= 4; ++id) Take(id, kUnsafeClass);
   RunTo(now_ + 0.2);
-  for (MessageId id = 2; id <= 4; ++id) EXPECT_EQ(SendsOf(id).size(), 1U) << id;
+  for (RequestId id = 2; id <= 4; ++id) EXPECT_EQ(SendsOf(id).size(), 1U) << id;
 }
 
 // One call with many messages has one fate: counting each as a failure opened circuits all day long.
 TEST_F(RulesTest, AFailedBundleIsOneFailure) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1, 0, 2)});
   ServeSafely(50, 1);
-  for (MessageId id = 1; id <= 5; ++id) Take(id, kUnsafeClass);
+  for (RequestId id = 1; id <= 5; ++id) Take(id, kUnsafeClass);
   EndTurn();
-  for (MessageId id = 1; id <= 5; ++id) Tell(id, 0, 1, Outcome::kError);
+  for (RequestId id = 1; id <= 5; ++id) Tell(id, 0, 1, Outcome::kError);
   Take(6, kUnsafeClass);
   EndTurn();
   EXPECT_EQ(SendsOf(6).size(), 1U);
@@ -645,21 +645,21 @@
 TEST_F(RulesTest, ATenantAboveItsShareGivesWay) {
   Settings s = TestSettings();
   s.tenants = {{1}, {1}};
-  s.slots = 1;
+  s.concurrency_limit = 1;
   Start(s);
   List({Entry(1, 1)});
-  for (MessageId id = 1; id <= 20; ++id) Play(NewMessage{id, kSafeClass, 0, "", 20, 1});
+  for (RequestId id = 1; id <= 20; ++id) Play(NewRequest{id, kSafeClass, 0, "", 20, 1});
   EndTurn();
-  Play(NewMessage{30, kSafeClass, 1, "", 20, 1});
+  Play(NewRequest{30, kSafeClass, 1, "", 20, 1});
   now_ += 0.1;
-  for (MessageId id = 1; id <= 20; ++id) {
+  for (RequestId id = 1; id <= 20; ++id) {
     if (SendsOf(id).empty()) continue;
     Tell(id, 0, 1, Outcome::kServed);
   }
   EndTurn();
   for (int i = 0; i < 5; ++i) {
     const Send last = All<Send>().back();
-    Tell(last.message, 0, 1, Outcome::kServed);
+    Tell(last.request_id, 0, 1, Outcome::kServed);
     EndTurn();
   }
   EXPECT_EQ(SendsOf(30).size(), 1U);
@@ -669,31 +669,31 @@
 
 TEST_F(RulesTest, AsksForChangesAtTheStartAndAgainAfterARefusal) {
   Settings s = TestSettings();
-  s.ask_for_list = true;
+  s.poll_endpoint_list = true;
   Start(s);
-  List({Entry(1, 1)}, ListScope::kRemembered);
+  List({Entry(1, 1)}, ListScope::kCached);
   EndTurn();
-  EXPECT_EQ(All<WatchList>().size(), 1U);
-  List({}, ListScope::kRefused);
+  EXPECT_EQ(All<WatchEndpointList>().size(), 1U);
+  List({}, ListScope::kWatchFailed);
   EndTurn();
-  EXPECT_EQ(All<WatchList>().size(), 1U);
+  EXPECT_EQ(All<WatchEndpointList>().size(), 1U);
   RunTo(now_ + 2);
-  EXPECT_EQ(All<WatchList>().size(), 2U);
+  EXPECT_EQ(All<WatchEndpointList>().size(), 2U);
 }
 
 // A ban by hand, or what DNS says, is news of endpoints and none of the list's age.
 TEST_F(RulesTest, NewsOfAnotherSourceDoesNotStandForTheList) {
   Settings s = TestSettings();
-  s.ask_for_list = true;
+  s.poll_endpoint_list = true;
   s.list_heartbeat = 2;
   Start(s);
-  List({Entry(1, 1)}, ListScope::kRemembered);
+  List({Entry(1, 1)}, ListScope::kCached);
   EndTurn();
   for (int i = 0; i < 10; ++i) {
     RunTo(now_ + 0.5);
     Play(ListUpdate{ListScope::kChanges, {}, false});
   }
-  EXPECT_GE(All<WatchList>().size(), 4U);
+  EXPECT_GE(All<WatchEndpointList>().size(), 4U);
   EXPECT_EQ(All<Log>().size(), 0U);
   RunTo(now_ + 2);
   ASSERT_EQ(All<Log>().size(), 1U);
@@ -706,31 +706,31 @@
 // Guards against a lack of connections here, or a drain told meanwhile, that counts as an endpoint's failure.
 TEST_F(RulesTest, AProbeThatWasNotSentSaysNothingOfItsEndpoint) {
   Settings s = TestSettings();
-  s.may_probe = true;
+  s.may_health_check = true;
   Start(s);
   List({Entry(1, 1)});
   Take(20, kSafeClass);
   EndTurn();
   Tell(20, 0, 1, Outcome::kReset);
-  for (int i = 0; i < 400 && All<Probe>().empty(); ++i) RunTo(now_ + 0.1);
-  ASSERT_EQ(All<Probe>().size(), 1U);
+  for (int i = 0; i < 400 && All<HealthCheck>().empty(); ++i) RunTo(now_ + 0.1);
+  ASSERT_EQ(All<HealthCheck>().size(), 1U);
   const auto out_since = [this] {
     std::optional<DestinationId> from = 0;
-    return courier_->Beliefs(now_, from, 10).at(0).out;
+    return courier_->ExportRouteStates(now_, from, 10).at(0).failure_age;
   };
   const std::optional<Seconds> before = out_since();
   ASSERT_GT(before.value_or(0), 0);
-  Play(ProbeOutcome{1, Outcome::kNotSent, 0.1, {}});
+  Play(HealthCheckOutcome{1, Outcome::kNotSent, 0.1, {}});
   EXPECT_EQ(out_since(), before);
   RunTo(now_ + 60);
-  EXPECT_GT(All<Probe>().size(), 1U);
+  EXPECT_GT(All<HealthCheck>().size(), 1U);
 }
 
 TEST_F(RulesTest, UnknownOutcomesAndEndsArePassedOver) {
   List({Entry(1, 1)});
   Tell(77, 0, 1, Outcome::kServed);
-  Play(Withdrawn{77});
-  Play(Wake{99});
+  Play(RequestAborted{77});
+  Play(TimerFired{99});
   EndTurn();
   EXPECT_EQ(All<Send>().size(), 0U);
 }
@@ -739,7 +739,7 @@
 // served, and say nothing of its return.
 TEST_F(CourierTest, ACallServedAfterALongWaitWasToldIsNoReturn) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1)});
   Take(20, kSafeClass);
@@ -749,27 +749,27 @@
   Take(1, kSafeClass);
   Take(2, kSafeClass);
   EndTurn();
-  Tell(1, 0, 1, Outcome::kFull, 6, 0.05);
+  Tell(1, 0, 1, Outcome::kRejected, 6, 0.05);
   now_ += 0.1;
   Tell(2, 0, 1, Outcome::kServed, 0, 0.15);  // sent before the refusal
   const auto belief = [this] {
     std::optional<DestinationId> from = 0;
-    return courier_->Beliefs(now_, from, 10).at(0);
+    return courier_->ExportRouteStates(now_, from, 10).at(0);
   };
-  EXPECT_TRUE(belief().out);
-  for (MessageId id = 3; id <= 12; ++id) Take(id, kSafeClass, 1, "", 200);
+  EXPECT_TRUE(belief().failure_age);
+  for (RequestId id = 3; id <= 12; ++id) Take(id, kSafeClass, 1, "", 200);
   while (All<Send>().size() < 4 && now_ < 140) RunTo(now_ + 0.1);
   const Send trial = All<Send>().back();
-  Tell(trial.message, 0, 1, Outcome::kServed);
-  EXPECT_FALSE(belief().out);
-  EXPECT_TRUE(belief().back);  // a slow start
+  Tell(trial.request_id, 0, 1, Outcome::kServed);
+  EXPECT_FALSE(belief().failure_age);
+  EXPECT_TRUE(belief().recovery_age);  // a slow start
 }
 
 // Rule 2 binds a repeat's first byte; the call may wait for its connection until then.
 TEST_F(RulesTest, ARepeatSaysWhenItsFirstByteMustHaveLeft) {
   List({Entry(1, 1)});
   for (const int message_class : {kSafeClass, kKeyedClass}) {
-    const MessageId id = 100 + static_cast<MessageId>(message_class);
+    const RequestId id = 100 + static_cast<RequestId>(message_class);
     Take(id, message_class);
     EndTurn();
     ASSERT_EQ(SendsOf(id).size(), 1U);
@@ -778,7 +778,7 @@
     Tell(id, 0, 1, Outcome::kReset);
     RunTo(now_ + 1);
     ASSERT_EQ(SendsOf(id).size(), 2U);
-    const Seconds leave_by = SendsOf(id)[1].leave_by;
+    const Seconds leave_by = SendsOf(id)[1].send_deadline;
     EXPECT_EQ(leave_by > 1e9, message_class == kSafeClass);
     // Of the window of 8 s a tenth is kept for the repeat's way, once a call has been served its time.
     const Seconds kept = 0.1;
@@ -798,7 +798,7 @@
   Tell(1, 0, 1, Outcome::kReset);
   RunTo(now_ + 1);
   ASSERT_EQ(SendsOf(1).size(), 2U);
-  EXPECT_NEAR(SendsOf(1)[1].leave_by, first + 8 - 0.8, 0.011);
+  EXPECT_NEAR(SendsOf(1)[1].send_deadline, first + 8 - 0.8, 0.011);
 }
 
 // ---- the tier and its zones --------------------------------------------------------------------
@@ -809,16 +809,16 @@
   std::vector<std::size_t> sent;
   for (const double parts : {3.0, 1.0}) {
     Settings s = TestSettings();
-    s.couriers = 3;
-    s.rating = RatingMeaning::kExact;
-    s.slots = 100;
+    s.relay_count = 3;
+    s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+    s.concurrency_limit = 100;
     Start(s);
-    List({Entry(1, 1, 0, 0, Listing::kInService, 6)});
-    Play(TierSize{parts});
-    MessageId id = 1;
+    List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 6)});
+    Play(FleetSize{parts});
+    RequestId id = 1;
     for (; id <= 100; ++id) Take(id, kSafeClass);
     EndTurn();
-    Tell(All<Send>().front().message, 0, 1, Outcome::kFull);
+    Tell(All<Send>().front().request_id, 0, 1, Outcome::kRejected);
     const Seconds until = now_ + 8;
     RunTo(until);
     sent.push_back(All<Send>().size());
@@ -828,7 +828,7 @@
 
 TEST_F(RulesTest, AZoneThatAllHaveLeftGetsNoCallWhereThereIsAnother) {
   List({Entry(1, 1, 0, 1), Entry(2, 1, 1, 1), Entry(3, 2, 1, 1)});
-  Play(ZoneShare{1, 0, false});
+  Play(ZoneTrafficShare{1, 0, false});
   ServeSafely(1, 40);
   for (const Send& send : All<Send>()) EXPECT_EQ(send.endpoint, 1U);
   // Never the last zone of a destination, and not while the other one does not serve either.
@@ -836,11 +836,11 @@
   EndTurn();
   ASSERT_EQ(SendsOf(50).size(), 1U);
   EXPECT_EQ(SendsOf(50)[0].endpoint, 3U);
-  Belief out;
+  RouteState out;
   out.destination = out.endpoint = 1;
-  out.out = 0;
+  out.failure_age = 0;
   now_ += 1;
-  Play(Learned{{out}});
+  Play(TransferredState{{out}});
   Take(70, kUnsafeClass);
   RunTo(now_ + 1);
   ASSERT_FALSE(SendsOf(70).empty());
@@ -849,7 +849,7 @@
 
 TEST_F(RulesTest, AShareOfAZonesCallsIsDrawn) {
   List({Entry(1, 1, 0), Entry(2, 1, 1)});
-  Play(ZoneShare{1, 0.25, false});
+  Play(ZoneTrafficShare{1, 0.25, false});
   ServeSafely(1, 400);
   int there = 0;
   for (const Send& send : All<Send>()) there += send.endpoint == 2;
@@ -860,8 +860,8 @@
 // While another zone is in question, the one that has been left is not a way out.
 TEST_F(RulesTest, AZoneThatIsOutGetsNoCallWhileAnotherIsBeingLeft) {
   List({Entry(1, 1, 0, 1), Entry(2, 1, 1, 1)});
-  Play(ZoneShare{1, 0, false});
-  Play(ZoneShare{0, 0.5, false});
+  Play(ZoneTrafficShare{1, 0, false});
+  Play(ZoneTrafficShare{0, 0.5, false});
   ServeSafely(1, 100);
   EXPECT_EQ(All<Send>().size(), 100U);
   for (const Send& send : All<Send>()) EXPECT_EQ(send.endpoint, 1U);
@@ -870,12 +870,13 @@
 TEST_F(RulesTest, AScoutTriesALeftZoneNowAndThenAndNoOtherDoes) {
   for (const bool scout : {false, true}) {
     Settings s = TestSettings();
-    s.couriers = 30;
-    s.may_copy = false;
+    s.relay_count = 30;
+    s.may_hedge = false;
     Start(s);
-    List({Entry(1, 1, 0, 1, Listing::kInService, 100), Entry(2, 1, 1, 1, Listing::kInService, 100)});
-    Play(ZoneShare{1, 0, scout});
-    MessageId id = 1;
+    List({Entry(1, 1, 0, 1, EndpointStatus::kInService, 100),
+          Entry(2, 1, 1, 1, EndpointStatus::kInService, 100)});
+    Play(ZoneTrafficShare{1, 0, scout});
+    RequestId id = 1;
     for (const Seconds end = now_ + 20; now_ < end;) {
       Take(id, kUnsafeClass);
       RunTo(now_ + 0.1);
@@ -894,15 +895,15 @@
 // All of them come back at one moment, to endpoints that nobody has called meanwhile.
 TEST_F(RulesTest, AZoneThatAllReturnToStartsSlowly) {
   Settings s = TestSettings();
-  s.couriers = 10;
-  s.rating = RatingMeaning::kExact;
-  s.slots = 100;
-  s.may_copy = false;
+  s.relay_count = 10;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.concurrency_limit = 100;
+  s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 1, 1, Listing::kInService, 20)});
-  Play(ZoneShare{1, 0, false});
-  Play(ZoneShare{1, 0.2, false});
-  for (MessageId id = 1; id <= 100; ++id) Take(id, kSafeClass);
+  List({Entry(1, 1, 1, 1, EndpointStatus::kInService, 20)});
+  Play(ZoneTrafficShare{1, 0, false});
+  Play(ZoneTrafficShare{1, 0.2, false});
+  for (RequestId id = 1; id <= 100; ++id) Take(id, kSafeClass);
   RunTo(now_ + 3);
   // Two thirds of twice a fifth of 20 a second for 3 s, a tenth of it: 1.6, and one that was saved.
   EXPECT_LE(All<Send>().size(), 4U);
@@ -913,31 +914,31 @@
 // zone back that takes nobody else.
 TEST_F(RulesTest, AZoneThatIsLeftKeepsNoConnections) {
   Settings s = TestSettings();
-  s.may_copy = false;
+  s.may_hedge = false;
   Start(s);
   List({Entry(1, 1, 0, 1), Entry(2, 1, 1, 1)});
   Take(1, kUnsafeClass);
   Take(2, kUnsafeClass);
   Take(3, kUnsafeClass);
   EndTurn();
-  Play(ZoneShare{1, 0, true});
+  Play(ZoneTrafficShare{1, 0, true});
   EndTurn();
   const auto closed = [this](EndpointId id) {
-    const auto all = All<CloseConnections>();
+    const auto all = All<CloseIdleConnections>();
     return std::count_if(all.begin(), all.end(),
-                         [id](const CloseConnections& c) { return c.endpoint == id; });
+                         [id](const CloseIdleConnections& c) { return c.endpoint == id; });
   };
   long calls = 0;
   for (const Send& send : All<Send>()) {
     if (send.endpoint != 2) continue;
     ++calls;
     EXPECT_EQ(closed(2), 0);  // what is out is not cut
-    Tell(send.message, 0, 2, Outcome::kServed);
+    Tell(send.request_id, 0, 2, Outcome::kServed);
     EndTurn();
   }
   const long before = closed(2);
   EXPECT_GE(before, 1);
-  for (MessageId id = 10; id < 60; ++id) {  // its trials open a new one each
+  for (RequestId id = 10; id < 60; ++id) {  // its trials open a new one each
     Take(id, kUnsafeClass);
     RunTo(now_ + 0.2);
     for (const Send& send : SendsOf(id)) Tell(id, 0, send.endpoint, Outcome::kServed);
--- a/tests/learned_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 #include <random>
 
-#include "fixture.h"
+#include "tests/decision/fixture.h"
 
 namespace opalroute {
 namespace {
@@ -12,23 +12,23 @@
  protected:
   void Listed(double rating = 0, int kind = 0) {
     Settings s = TestSettings();
-    s.rating = rating > 0 ? RatingMeaning::kExact : RatingMeaning::kNone;
-    s.couriers = 3;
+    s.listed_rate_accuracy = rating > 0 ? ListedRateAccuracy::kExact : ListedRateAccuracy::kNone;
+    s.relay_count = 3;
     Start(s);
-    List({Entry(1, 1, 0, kind, Listing::kInService, rating),
-          Entry(2, 1, 0, kind, Listing::kInService, rating)});
+    List({Entry(1, 1, 0, kind, EndpointStatus::kInService, rating),
+          Entry(2, 1, 0, kind, EndpointStatus::kInService, rating)});
   }
-  std::vector<Belief> Beliefs() const {
+  std::vector<RouteState> Beliefs() const {
     std::optional<DestinationId> from = std::numeric_limits<DestinationId>::min();
-    return courier_->Beliefs(now_, from, 1000);
+    return courier_->ExportRouteStates(now_, from, 1000);
   }
-  Belief Of(DestinationId destination) const {
-    for (const Belief& b : Beliefs())
+  RouteState Of(DestinationId destination) const {
+    for (const RouteState& b : Beliefs())
       if (b.destination == destination) return b;
     return {};
   }
-  static Belief For(DestinationId destination) {
-    Belief b;
+  static RouteState For(DestinationId destination) {
+    RouteState b;
     b.destination = destination;
     return b;
   }
@@ -36,13 +36,13 @@
 
 TEST_F(LearnedTest, AWaitByHearsayIsHeldToItsEndAndNoLonger) {
   Listed();
-  Belief b = For(1);
-  b.wait = 1.5;
-  Play(Learned{{b}});
+  RouteState b = For(1);
+  b.retry_after = 1.5;
+  Play(TransferredState{{b}});
   Take(1, kSafeClass);
   RunTo(now_ + 1.48);
   EXPECT_TRUE(All<Send>().empty());
-  EXPECT_FALSE(courier_->MayLeave(now_, 1));
+  EXPECT_FALSE(courier_->MaySend(now_, 1));
   RunTo(now_ + 0.06);
   EXPECT_EQ(SendsOf(1).size(), 1U);
 }
@@ -51,29 +51,29 @@
   Listed();
   Take(1, kSafeClass);
   EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kFull, 2);
-  Belief b = For(1);
-  b.wait = 0.1;
-  Play(Learned{{b}});
-  EXPECT_NEAR(Of(1).wait, 2, 0.02);
+  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kRejected, 2);
+  RouteState b = For(1);
+  b.retry_after = 0.1;
+  Play(TransferredState{{b}});
+  EXPECT_NEAR(Of(1).retry_after, 2, 0.02);
   RunTo(now_ + 1.9);
   EXPECT_EQ(SendsOf(1).size(), 1U);
 }
 
 TEST_F(LearnedTest, AnOutageByHearsayIsTriedByOneCallAndThenStartedSlowly) {
   Listed(6);
-  Belief b = For(1);
-  b.out = 1;
-  Play(Learned{{b}});
-  for (MessageId id = 1; id <= 40; ++id) Take(id, kSafeClass, 1, "", 200);
-  RunTo(now_ + TestSettings().overload_for + 0.1);
+  RouteState b = For(1);
+  b.failure_age = 1;
+  Play(TransferredState{{b}});
+  for (RequestId id = 1; id <= 40; ++id) Take(id, kSafeClass, 1, "", 200);
+  RunTo(now_ + TestSettings().overload_window + 0.1);
   ASSERT_EQ(All<Send>().size(), 1U);  // the trial
   const Send trial = All<Send>()[0];
-  Tell(trial.message, 0, trial.endpoint, Outcome::kServed);
+  Tell(trial.request_id, 0, trial.endpoint, Outcome::kServed);
   const Seconds back = now_;
   RunTo(back + 1);
   EXPECT_LE(All<Send>().size(), 3U);
-  EXPECT_NEAR(*Of(1).back, 1, 0.02);
+  EXPECT_NEAR(*Of(1).recovery_age, 1, 0.02);
 }
 
 // Guards against a lie that keeps a healthy partner from traffic: a trial leaves within overload_for of a
@@ -82,15 +82,15 @@
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Settings s = TestSettings();
     s.seed = seed;
-    s.couriers = 200;
+    s.relay_count = 200;
     Start(s);
     List({Entry(1, 1)});
-    Belief b = For(1);
-    b.out = 0;
-    Play(Learned{{b}});
+    RouteState b = For(1);
+    b.failure_age = 0;
+    Play(TransferredState{{b}});
     RunTo(now_ + 5);  // nothing to send at first: the trial that was due has lapsed
     Take(1, kSafeClass);
-    RunTo(now_ + s.overload_for + 0.02);
+    RunTo(now_ + s.overload_window + 0.02);
     EXPECT_EQ(SendsOf(1).size(), 1U) << "seed " << seed;
   }
 }
@@ -100,57 +100,57 @@
   Take(1, kSafeClass);
   EndTurn();
   Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kServed);
-  Belief b = For(1);
-  b.out = 0.5;  // seen before
-  Play(Learned{{b}});
+  RouteState b = For(1);
+  b.failure_age = 0.5;  // seen before
+  Play(TransferredState{{b}});
   Take(2, kSafeClass);
   EndTurn();
   EXPECT_EQ(SendsOf(2).size(), 1U);
 }
 
 TEST_F(LearnedTest, HearsayGetsNoYoungerHoweverOftenItIsPassedOn) {
-  Belief told = For(1);
-  told.out = 5;
-  told.barred = 4;
+  RouteState told = For(1);
+  told.failure_age = 5;
+  told.hedging_disabled_age = 4;
   for (int hop = 0; hop < 4; ++hop) {
     Listed();
-    Play(Learned{{told}});
+    Play(TransferredState{{told}});
     now_ += 1;
-    const Belief next = Of(1);
-    ASSERT_TRUE(next.out && next.barred);
-    EXPECT_NEAR(*next.out, *told.out + 1, 1e-6);
-    EXPECT_NEAR(*next.barred, *told.barred + 1, 1e-6);
+    const RouteState next = Of(1);
+    ASSERT_TRUE(next.failure_age && next.hedging_disabled_age);
+    EXPECT_NEAR(*next.failure_age, *told.failure_age + 1, 1e-6);
+    EXPECT_NEAR(*next.hedging_disabled_age, *told.hedging_disabled_age + 1, 1e-6);
     told = next;
   }
 }
 
 TEST_F(LearnedTest, BeliefsOfRoutesApartNameTheirEndpoint) {
   Listed(0, 1);
-  Belief b = For(1);
+  RouteState b = For(1);
   b.endpoint = 2;
-  b.wait = 3;
-  Play(Learned{{b}});
-  EXPECT_TRUE(courier_->MayLeave(now_, 1));
-  EXPECT_FALSE(courier_->MayLeave(now_, 2));
+  b.retry_after = 3;
+  Play(TransferredState{{b}});
+  EXPECT_TRUE(courier_->MaySend(now_, 1));
+  EXPECT_FALSE(courier_->MaySend(now_, 2));
   b.endpoint = 0;  // the destination as a whole is no lane here
-  Play(Learned{{b}});
-  EXPECT_TRUE(courier_->MayLeave(now_, 1));
+  Play(TransferredState{{b}});
+  EXPECT_TRUE(courier_->MaySend(now_, 1));
   b.endpoint = 9;  // never listed
   b.destination = 4;
-  Play(Learned{{b}});
+  Play(TransferredState{{b}});
   EXPECT_EQ(Beliefs().size(), 2U);
 }
 
 TEST_F(LearnedTest, AllAreToldInSlices) {
   Start(TestSettings());
-  std::vector<ListEntry> entries;
+  std::vector<ListedEndpoint> entries;
   for (EndpointId id = 1; id <= 1000; ++id) entries.push_back(Entry(id, id));
   List(entries);
   std::optional<DestinationId> from = std::numeric_limits<DestinationId>::min();
   std::size_t told = 0;
   int slices = 0;
   while (from) {
-    told += courier_->Beliefs(now_, from, 64).size();
+    told += courier_->ExportRouteStates(now_, from, 64).size();
     ++slices;
   }
   EXPECT_EQ(told, 1000U);
@@ -166,29 +166,29 @@
   const auto unit = [&] { return std::uniform_real_distribution<double>(0, 1)(draw); };
   std::vector<Seconds> due;
   for (int i = 0; i < 30; ++i) due.push_back(100 + 10 * unit());
-  Belief b;
+  RouteState b;
   b.destination = 1;
-  if (unit() < 0.4) b.wait = 3 * unit();
-  if (unit() < 0.4) b.out = 30 * unit();
-  if (unit() < 0.4) b.back = 15 * unit();
-  if (unit() < 0.4) b.refused = 5 * unit();
-  b.pace = 20 * unit();
-  if (unit() < 0.4) b.measured = 5 * unit();
+  if (unit() < 0.4) b.retry_after = 3 * unit();
+  if (unit() < 0.4) b.failure_age = 30 * unit();
+  if (unit() < 0.4) b.recovery_age = 15 * unit();
+  if (unit() < 0.4) b.rejection_age = 5 * unit();
+  b.send_rate = 20 * unit();
+  if (unit() < 0.4) b.latency_age = 5 * unit();
   b.latency = 100 * unit();
-  if (unit() < 0.4) b.barred = 5 * unit();
+  if (unit() < 0.4) b.hedging_disabled_age = 5 * unit();
   std::vector<std::vector<Seconds>> sent(2);
   for (int with = 0; with < 2; ++with) {
     Settings s = TestSettings();
-    s.couriers = 3;
-    s.rating = RatingMeaning::kExact;
-    s.may_copy = false;
+    s.relay_count = 3;
+    s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+    s.may_hedge = false;
     now_ = 100;
     Start(s);
-    List({Entry(1, 1, 0, 0, Listing::kInService, 10)});
-    if (with == 1) Play(Learned{{b}});
+    List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 10)});
+    if (with == 1) Play(TransferredState{{b}});
     std::vector<std::pair<Seconds, Send>> out;
     std::size_t seen = 0;
-    MessageId next = 1;
+    RequestId next = 1;
     for (int tick = 0; tick < 1200; ++tick) {
       for (const Seconds at : due)
         if (at > now_ - 0.01 && at <= now_) Take(next++, kSafeClass, 1, "", 20);
@@ -197,11 +197,11 @@
           ++i;
           continue;
         }
-        Tell(out[i].second.message, 0, 1, Outcome::kServed, 0, 0.1);
+        Tell(out[i].second.request_id, 0, 1, Outcome::kServed, 0, 0.1);
         out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
       }
-      for (const SetWake& wake : All<SetWake>())
-        if (wake.at > now_ - 0.01 && wake.at <= now_) Play(Wake{wake.label});
+      for (const SetTimer& wake : All<SetTimer>())
+        if (wake.due > now_ - 0.01 && wake.due <= now_) Play(TimerFired{wake.timer_id});
       EndTurn();
       const auto sends = All<Send>();
       for (; seen < sends.size(); ++seen) {
--- a/tests/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -13,8 +13,8 @@
 #include <string>
 #include <vector>
 
-#include "discovery_stand_in.h"
 #include "lab/sockets/relay_process.h"
+#include "tests/support/discovery_stand_in.h"
 
 namespace opalroute {
 namespace {
--- a/tests/merge_test.cpp
+++ b/tests/discovery/endpoint_merge_test.cpp
@@ -1,6 +1,6 @@
 // The rule that joins sources: every row of its table, identity, ratings, and long random lives against an
 // oracle that knows the rule's promises and nothing of its code.
-#include "pool/merge.h"
+#include "discovery/endpoint_merge.h"
 
 #include <doctest/doctest.h>
 
@@ -17,18 +17,18 @@
 namespace {
 
 constexpr long long kDestination = 7;
-using State = PoolMember::State;
+using State = EndpointRecord::Status;
 
 sockaddr_in AddressOf(char letter) {
   return *net::ParseAddress("127.0.0." + std::to_string(letter - 'a' + 1) + ":80");
 }
-PoolMember MemberOf(char letter, State state = State::kReady, double weight = 10) {
+EndpointRecord MemberOf(char letter, State state = State::kInService, double weight = 10) {
   return {"e" + std::string(1, letter), "z", "apart", AddressOf(letter), kDestination, state, weight};
 }
 
-MergeRules Rules() {
-  MergeRules rules;
-  rules.kinds_apart = {"apart"};
+MergeOptions Rules() {
+  MergeOptions rules;
+  rules.kinds_with_endpoint_limits = {"apart"};
   rules.added_zone = "z";
   rules.added_kind = "apart";
   return rules;
@@ -37,16 +37,16 @@
 // Plays a row's steps and follows what is told, as a relay does.
 class Stage {
  public:
-  Stage() : merge(Rules()) { merge.Own(kDestination, AddressOf('x')); }
+  Stage() : merge(Rules()) { merge.SetOwner(kDestination, AddressOf('x')); }
   void Play(const std::string& steps) {
     std::istringstream all(steps);
     for (std::string step; std::getline(all, step, ';');) Step(step);
   }
-  void Take(const PoolNews& news) {
-    if (news.whole) told.clear();
-    for (const PoolMember& member : news.members) {
+  void Take(const EndpointListUpdate& news) {
+    if (news.complete) told.clear();
+    for (const EndpointRecord& member : news.endpoints) {
       told[member.id] = member;
-      if (member.state == State::kGone) told.erase(member.id);
+      if (member.status == State::kRemoved) told.erase(member.id);
     }
   }
   // As in the table, and checked against what the relay was told.
@@ -55,16 +55,16 @@
     const auto rows = merge.Rows();
     CHECK(rows.size() == told.size());
     for (const auto& row : rows) {
-      REQUIRE(told.count(row.member.id) == 1);
-      CHECK(told.at(row.member.id).state == row.member.state);
-      const char letter = static_cast<char>('a' + (ntohl(row.member.address.sin_addr.s_addr) & 255) - 1);
-      text += std::string(text.empty() ? "" : ", ") + (row.member.state == State::kReady ? "+" : "-") +
+      REQUIRE(told.count(row.endpoint.id) == 1);
+      CHECK(told.at(row.endpoint.id).status == row.endpoint.status);
+      const char letter = static_cast<char>('a' + (ntohl(row.endpoint.address.sin_addr.s_addr) & 255) - 1);
+      text += std::string(text.empty() ? "" : ", ") + (row.endpoint.status == State::kInService ? "+" : "-") +
               letter + " " + NameOf(row.verdict);
     }
     return text;
   }
-  PoolMerge merge;
-  std::map<std::string, PoolMember> told;
+  EndpointMerge merge;
+  std::map<std::string, EndpointRecord> told;
   double now = 100;
   std::string target = "host";
 
@@ -80,12 +80,12 @@
     } else if (verb == "as") {
       words >> target;
     } else if (verb == "list" || verb == "drain" || verb == "gone") {
-      PoolNews news;
-      news.whole = verb == "list";
+      EndpointListUpdate news;
+      news.complete = verb == "list";
       while (words >> word)
-        news.members.push_back(MemberOf(word[0], verb == "list"    ? State::kReady
-                                                 : verb == "drain" ? State::kDraining
-                                                                   : State::kGone));
+        news.endpoints.push_back(MemberOf(word[0], verb == "list"    ? State::kInService
+                                                   : verb == "drain" ? State::kDraining
+                                                                     : State::kRemoved));
       Take(merge.OnList(now, news));
     } else if (verb == "srv" || verb == "part") {
       std::vector<SrvTarget> targets;
@@ -99,7 +99,7 @@
       Take(merge.OnNotOffered(now, kDestination));
     } else {
       REQUIRE((verb == "silent" || verb == "expired"));
-      Take(merge.OnSilence(now, kDestination, verb == "expired"));
+      Take(merge.OnNoAnswer(now, kDestination, verb == "expired"));
     }
   }
 };
@@ -132,10 +132,10 @@
   const std::string first = stage.told.begin()->first;
   stage.Play("list x");
   CHECK(stage.told.begin()->first == first);  // what the relay knows of it goes on
-  PoolMember moved = MemberOf('x');
+  EndpointRecord moved = MemberOf('x');
   moved.address = AddressOf('b');
-  PoolNews news;
-  news.members = {moved};
+  EndpointListUpdate news;
+  news.endpoints = {moved};
   stage.Take(stage.merge.OnList(stage.now, news));
   REQUIRE(stage.told.size() == 1);
   CHECK(stage.told.begin()->first == "ex");
@@ -162,15 +162,15 @@
 TEST_CASE("merge: an id that moves to another destination leaves the first") {
   Stage stage;
   stage.Play("list a b");
-  PoolMember moved = MemberOf('a');
+  EndpointRecord moved = MemberOf('a');
   moved.destination = 8;
-  PoolNews news;
-  news.members = {moved};
-  const PoolNews changes = stage.merge.OnList(stage.now, news);
-  REQUIRE(changes.members.size() == 2);
-  CHECK(changes.members[0].destination == kDestination);
-  CHECK(changes.members[0].state == State::kGone);
-  CHECK(changes.members[1].destination == 8);
+  EndpointListUpdate news;
+  news.endpoints = {moved};
+  const EndpointListUpdate changes = stage.merge.OnList(stage.now, news);
+  REQUIRE(changes.endpoints.size() == 2);
+  CHECK(changes.endpoints[0].destination == kDestination);
+  CHECK(changes.endpoints[0].status == State::kRemoved);
+  CHECK(changes.endpoints[1].destination == 8);
 }
 
 // ---- long random lives -----------------------------------------------------------------------------------
@@ -202,11 +202,11 @@
     const char letter = static_cast<char>('a' + (ntohl(member.address.sin_addr.s_addr) & 255) - 1);
     // No endpoint but the partner's own.
     CHECK((oracle.list.count(letter) > 0 || letter == 'x'));
-    after[letter] = member.state == State::kReady;
-    serving += member.state == State::kReady;
+    after[letter] = member.status == State::kInService;
+    serving += member.status == State::kInService;
   }
   for (const auto& [letter, state] : oracle.list) {
-    in_list += state == State::kReady;
+    in_list += state == State::kInService;
     // The list's own drain is told at once, whatever SRV says.
     REQUIRE(after.count(letter) == 1);
     if (state == State::kDraining) CHECK(!after[letter]);
@@ -217,7 +217,7 @@
   for (const auto& [letter, served] : before) {
     if (!served || after.count(letter) == 0 || after[letter]) continue;
     const auto listed = oracle.list.find(letter);
-    if (listed != oracle.list.end() && listed->second != State::kReady) continue;
+    if (listed != oracle.list.end() && listed->second != State::kInService) continue;
     // Taken out by SRV: by an answer alone, and unconfirmed only in a stated share.
     CHECK((step.rfind("srv", 0) == 0 || step == "dot"));
     if (oracle.Confirmed(letter, stage.now)) continue;
@@ -243,7 +243,7 @@
       std::map<char, bool> before;
       for (const auto& [id, member] : stage.told)
         before[static_cast<char>('a' + (ntohl(member.address.sin_addr.s_addr) & 255) - 1)] =
-            member.state == State::kReady;
+            member.status == State::kInService;
       std::string step;
       const auto some = [&](std::uint32_t of) {
         std::string chosen;
@@ -258,7 +258,7 @@
           for (const char letter : letters) {
             if (random(3) != 0) {
               step += std::string(" ") + letter;
-              oracle.list[letter] = State::kReady;
+              oracle.list[letter] = State::kInService;
             }
             if (oracle.list.count(letter) != old.count(letter)) oracle.said.erase(letter);  // another machine
           }
@@ -289,10 +289,10 @@
           break;
       }
       const bool answer = step.rfind("srv", 0) == 0 || step == "dot" || step.rfind("part", 0) == 0;
-      const bool names =
-          answer && std::any_of(oracle.list.begin(), oracle.list.end(), [&](const auto& p) {
-            return p.second == State::kReady && step.find(std::string(" ") + p.first) != std::string::npos;
-          });
+      const bool names = answer && std::any_of(oracle.list.begin(), oracle.list.end(), [&](const auto& p) {
+                           return p.second == State::kInService &&
+                                  step.find(std::string(" ") + p.first) != std::string::npos;
+                         });
       if (step == "dot") oracle.dot = true;
       if (step == "expired" || (answer && step != "dot" && (names || step.find(" x") != std::string::npos)))
         oracle.dot = false;
@@ -308,7 +308,7 @@
         };
         int best = priority('x');
         for (const auto& [letter, state] : oracle.list)
-          if (state == State::kReady) best = std::min(best, priority(letter));
+          if (state == State::kInService) best = std::min(best, priority(letter));
         for (const char letter : letters + "x")
           oracle.said[letter].emplace_back(stage.now, priority(letter) < 9 && priority(letter) <= best);
       }
--- a/tests/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -8,7 +8,8 @@
 #include <fstream>
 #include <set>
 
-#include "config/operator_options.h"
+#include "cli/operator_options.h"
+#include "discovery/merged_endpoint_source.h"
 #include "lab/clock.h"
 #include "lab/dns/name_server.h"
 #include "lab/load.h"
@@ -17,7 +18,6 @@
 #include "lab/scenario.h"
 #include "lab/sockets/process.h"
 #include "lab/sockets/relay_config.h"
-#include "pool/joined_pool.h"
 #include "relay/relay.h"
 
 namespace opalroute {
@@ -29,7 +29,7 @@
 using dns::Record;
 using dns::Type;
 using lab::NameServer;
-using State = PoolMember::State;
+using State = EndpointRecord::Status;
 
 constexpr long long kDestination = 7;
 const std::string kName = "_api._tcp.p7.example";
@@ -53,11 +53,11 @@
   entry.answers = {{N(host), Type::kA, dns::kInternet, lifetime, ip}};
   return entry;
 }
-PoolMember Member(const std::string& id, const std::string& address) {
-  return {id, "z0", "plain", *net::ParseAddress(address), kDestination, State::kReady, 10};
+EndpointRecord Member(const std::string& id, const std::string& address) {
+  return {id, "z0", "plain", *net::ParseAddress(address), kDestination, State::kInService, 10};
 }
 
-struct Stage : PoolSource::Listener {
+struct Stage : EndpointSource::Listener {
   Stage() : loop(clock), server(loop) {
     config.zones = {"z0"};
     config.kinds = {"plain"};
@@ -68,30 +68,30 @@
     server.Set(Host("b.example"), At("b.example", "127.0.0.2", 5));
   }
   void Start() {
-    pool = std::make_unique<JoinedPool>(loop, config, settings, *this);
-    Take(pool->Remembered({true, true, {Member("a", "127.0.0.1:80"), Member("b", "127.0.0.2:80")}}));
+    pool = std::make_unique<MergedEndpointSource>(loop, config, settings, *this);
+    Take(pool->ApplyCached({true, true, {Member("a", "127.0.0.1:80"), Member("b", "127.0.0.2:80")}}));
   }
-  void Take(const PoolNews& news) {
-    if (news.whole) told.clear();
-    for (const PoolMember& m : news.members) {
+  void Take(const EndpointListUpdate& news) {
+    if (news.complete) told.clear();
+    for (const EndpointRecord& m : news.endpoints) {
       told[m.id] = m;
-      if (m.state == State::kGone) told.erase(m.id);
+      if (m.status == State::kRemoved) told.erase(m.id);
     }
   }
-  void OnPoolNews(const PoolNews& news) override { Take(news); }
-  void OnPoolFailed() override {}
+  void OnEndpointList(const EndpointListUpdate& news) override { Take(news); }
+  void OnWatchFailed() override {}
   void Play(double seconds) { lab::PlayUntil(loop, clock, clock.Now() + seconds); }
   bool Serves(const std::string& id) const {
     const auto it = told.find(id);
-    return it != told.end() && it->second.state == State::kReady;
+    return it != told.end() && it->second.status == State::kInService;
   }
   lab::Clock clock;
   net::EventLoop loop;
   NameServer server;
   Config config;
   Operator settings;
-  std::unique_ptr<JoinedPool> pool;
-  std::map<std::string, PoolMember> told;
+  std::unique_ptr<MergedEndpointSource> pool;
+  std::map<std::string, EndpointRecord> told;
 };
 
 TEST_CASE("srv: what an answer no longer names is drained within its lifetime, and comes back in time") {
@@ -99,7 +99,7 @@
   s.server.Set(Srv(), Services({{"a.example", 80}, {"b.example", 80}}, 5));
   s.Start();
   s.Play(0.2);
-  CHECK(s.pool->unheard() == 0);
+  CHECK(s.pool->unanswered() == 0);
   CHECK(s.Serves("a"));
   CHECK(s.Serves("b"));
   s.server.Set(Srv(), Services({{"a.example", 80}}, 5));
@@ -239,8 +239,8 @@
   }
   s.server.Set(Host("a.example"), At("a.example", "127.0.0.1", 3600));
   s.Start();
-  for (int i = 0; i < 500 && s.pool->unheard() > 0; ++i) s.Play(0.02);
-  REQUIRE(s.pool->unheard() == 0);
+  for (int i = 0; i < 500 && s.pool->unanswered() > 0; ++i) s.Play(0.02);
+  REQUIRE(s.pool->unanswered() == 0);
   std::map<int, int> by_second;
   const long before = s.server.datagrams();
   const double from = s.clock.Now();
--- a/tests/example/main.cpp
+++ b/tests/example/main.cpp
@@ -3,7 +3,7 @@
 #include <variant>
 #include <vector>
 
-#include "opalroute/rules.h"
+#include "opalroute/request_router.h"
 
 int main() {
   opalroute::Settings settings;
--- a/tests/journal_faults_test.cpp
+++ b/tests/journal/journal_faults_test.cpp
@@ -20,10 +20,10 @@
 #include <system_error>
 #include <utility>
 
+#include "hot_restart/process_lock.h"
+#include "hot_restart/shared_retry_after.h"
 #include "journal/journal.h"
 #include "journal/persistent_clock.h"
-#include "operation/seats.h"
-#include "operation/shared_waits.h"
 
 namespace {
 
@@ -121,7 +121,7 @@
 JournalEntry Message(const std::string& id, std::size_t size = 40) {
   JournalEntry entry;
   entry.id = id;
-  entry.message_class = "payment";
+  entry.request_class = "payment";
   entry.body = std::string(size, 'b');
   entry.destination = 7;
   entry.deadline = 5'000'000;
@@ -141,7 +141,7 @@
       const NoFaults after;
       {
         Journal journal(folder.path(), kDisk);
-        for (const char* id : {"a", "b", "c", "d", "e"}) REQUIRE(journal.TakeOn(Message(id, 30'000)));
+        for (const char* id : {"a", "b", "c", "d", "e"}) REQUIRE(journal.RecordAccepted(Message(id, 30'000)));
       }
       const std::string before = folder.Bytes();
       for (const int passes : {0, 1, 2}) {  // the first piece of the file, one in its midst, the end
@@ -158,7 +158,7 @@
 TEST_CASE("a file that can't be read at all refuses the start, and stays as it is") {
   const Folder folder;
   const NoFaults after;
-  { REQUIRE(Journal(folder.path(), kDisk).TakeOn(Message("a"))); }
+  { REQUIRE(Journal(folder.path(), kDisk).RecordAccepted(Message("a"))); }
   const std::string before = folder.Bytes();
   reads.Plan(0, kForEver, EIO);
   CHECK_THROWS_AS(Journal(folder.path(), kDisk), std::system_error);
@@ -190,16 +190,16 @@
 
  private:
   void Take(const std::string& id) {
-    if (journal_.TakeOn(Message(id))) owed_.insert(id);
+    if (journal_.RecordAccepted(Message(id))) owed_.insert(id);
   }
   void Try(const std::string& id) {
-    if (owed_.count(id) > 0) journal_.Attempt(id, {"e1", "ground", 17, true});
+    if (owed_.count(id) > 0) journal_.RecordAttempt(id, {"e1", "ground", 17, true});
   }
   void EndWithNotice(const std::string& id) {
-    if (owed_.count(id) > 0) journal_.EndWith(id, "notice");
+    if (owed_.count(id) > 0) journal_.RecordEndWithNotification(id, "notice");
   }
   void End(const std::string& id) {
-    if (owed_.erase(id) > 0) journal_.End(id);
+    if (owed_.erase(id) > 0) journal_.RecordEnd(id);
   }
 
   Journal& journal_;
@@ -229,7 +229,7 @@
             script.Play();
             writes = cuts = Faults{};
             owed = script.owed();
-            REQUIRE(journal.TakeOn(Message("last")));
+            REQUIRE(journal.RecordAccepted(Message("last")));
             owed.insert("last");
             CHECK(Owed(journal) == owed);
           }
@@ -247,14 +247,14 @@
   const Folder folder;
   const NoFaults after;
   Journal journal(folder.path(), kDisk);
-  REQUIRE(journal.TakeOn(Message("a")));
+  REQUIRE(journal.RecordAccepted(Message("a")));
   writes.Plan(0, 2, ENOSPC, 5'000);
   cuts.Plan(0, kForEver, EIO);
-  CHECK_FALSE(journal.TakeOn(Message("long", 10'000)));
+  CHECK_FALSE(journal.RecordAccepted(Message("long", 10'000)));
   writes = Faults{};
-  CHECK_FALSE(journal.TakeOn(Message("short")));
+  CHECK_FALSE(journal.RecordAccepted(Message("short")));
   cuts = Faults{};
-  CHECK(journal.TakeOn(Message("short")));
+  CHECK(journal.RecordAccepted(Message("short")));
   CHECK(Owed(Journal(folder.path(), kDisk)) == std::set<std::string>{"a", "short"});
 }
 
@@ -262,26 +262,26 @@
   const Folder folder;
   const NoFaults after;
   Journal journal(folder.path(), kDisk);
-  REQUIRE(journal.TakeOn(Message("kept")));
+  REQUIRE(journal.RecordAccepted(Message("kept")));
   for (int i = 0; i < 60; ++i) {
     const std::string id = "m" + std::to_string(i);
     if (i % 7 == 3) writes.Plan(0, 2, EIO);
-    if (!journal.TakeOn(Message(id, 60'000))) continue;
-    journal.End(id);
+    if (!journal.RecordAccepted(Message(id, 60'000))) continue;
+    journal.RecordEnd(id);
     if (i % 5 == 0) CHECK(Owed(Journal(folder.path(), kDisk)).count("kept") == 1);
   }
   writes = Faults{};
-  REQUIRE(journal.TakeOn(Message("last")));
+  REQUIRE(journal.RecordAccepted(Message("last")));
   CHECK(Owed(Journal(folder.path(), kDisk)) == std::set<std::string>{"kept", "last"});
 }
 
 TEST_CASE("files of the state folder that can't be opened for a while do not refuse the start") {
   const net::SystemClock clock;
   const auto start = [&](const std::string& folder) {
-    const operation::Seats seats(folder, true);
-    PersistentClock(clock, folder).Keep();
+    const hot_restart::ProcessLock seats(folder, true);
+    PersistentClock(clock, folder).Persist();
     const Journal journal(folder, kDisk);
-    const operation::SharedWaits waits(folder, seats.own(), seats.other(), 8);
+    const hot_restart::SharedRetryAfterTable waits(folder, seats.own(), seats.other(), 8);
   };
   constexpr int kOpened = 6;  // two seats, the clock, the journal, two files of waits
   for (const int error : {EIO, ENOSPC, EMFILE, ENFILE, EINTR})
@@ -305,25 +305,26 @@
   explicit Waits(const std::string& folder) : folder_(folder), second_(folder, 1, 0, kMost) { Restart(); }
   void Restart() {
     first_.reset();
-    first_ = std::make_unique<operation::SharedWaits>(folder_, 0, 1, kMost);
+    first_ = std::make_unique<hot_restart::SharedRetryAfterTable>(folder_, 0, 1, kMost);
   }
   void Tell(std::int64_t destination, std::int64_t until) {
-    first_->Tell({destination, 0, until});
+    first_->Publish({destination, 0, until});
     told_[destination] = std::max(told_[destination], until);
   }
-  void EndTurn() { first_->HasNews(); }
+  void EndTurn() { first_->HasChanges(); }
   // As a relay does at the end of each turn.
   void Heed() {
-    if (!second_.HasNews()) return;
-    for (const operation::SharedWait& wait : second_.Holding(0)) heeded_[wait.destination] = wait.until;
+    if (!second_.HasChanges()) return;
+    for (const hot_restart::SharedRetryAfter& wait : second_.Active(0))
+      heeded_[wait.destination] = wait.until;
   }
   bool AllHeeded() const { return heeded_ == told_; }
 
  private:
   static constexpr std::size_t kMost = 8;
   const std::string folder_;
-  std::unique_ptr<operation::SharedWaits> first_;
-  operation::SharedWaits second_;
+  std::unique_ptr<hot_restart::SharedRetryAfterTable> first_;
+  hot_restart::SharedRetryAfterTable second_;
   std::map<std::int64_t, std::int64_t> told_, heeded_;
 };
 
--- a/tests/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -30,7 +30,7 @@
 JournalEntry Message(const std::string& id, std::size_t size) {
   JournalEntry entry;
   entry.id = id;
-  entry.message_class = "order";
+  entry.request_class = "order";
   entry.tenant = "nord";
   entry.key = "key-" + id;
   entry.body = std::string(size, 'b');
@@ -43,16 +43,16 @@
   Folder folder;
   {
     Journal journal(folder.path, 3'000'000);
-    REQUIRE(journal.TakeOn(Message("a", 100)));
-    REQUIRE(journal.TakeOn(Message("b", 100)));
-    REQUIRE(journal.TakeOn(Message("c", 0)));
-    CHECK_FALSE(journal.TakeOn(Message("a", 1)));  // it is held already
-    REQUIRE(journal.Attempt("a", {"e1", "ground", 17, true}));
-    REQUIRE(journal.Attempt("a", {"e2", "first", 18, true}));
-    REQUIRE(journal.NeverRan("a", 0));
-    REQUIRE(journal.End("b"));
-    REQUIRE(journal.EndWith("c", "notice"));
-    CHECK_FALSE(journal.End("b"));
+    REQUIRE(journal.RecordAccepted(Message("a", 100)));
+    REQUIRE(journal.RecordAccepted(Message("b", 100)));
+    REQUIRE(journal.RecordAccepted(Message("c", 0)));
+    CHECK_FALSE(journal.RecordAccepted(Message("a", 1)));  // it is held already
+    REQUIRE(journal.RecordAttempt("a", {"e1", "ground", 17, true}));
+    REQUIRE(journal.RecordAttempt("a", {"e2", "first", 18, true}));
+    REQUIRE(journal.RecordNotExecuted("a", 0));
+    REQUIRE(journal.RecordEnd("b"));
+    REQUIRE(journal.RecordEndWithNotification("c", "notice"));
+    CHECK_FALSE(journal.RecordEnd("b"));
   }
   const Journal journal(folder.path, 3'000'000);
   REQUIRE(journal.entries().size() == 2);
@@ -64,7 +64,7 @@
   CHECK_FALSE(a.attempts[0].may_have_run);
   CHECK(a.attempts[1].may_have_run);
   CHECK(a.attempts[1].zone == "first");
-  CHECK(std::next(journal.entries().begin())->second.notice == "notice");
+  CHECK(std::next(journal.entries().begin())->second.notification == "notice");
 }
 
 // SIGKILL may come at any byte: whatever the length of the tail that is left, recovery stops cleanly, keeps
@@ -74,8 +74,8 @@
   {
     Journal journal(folder.path, 3'000'000);
     for (const char* id : {"a", "b", "c"}) {
-      REQUIRE(journal.TakeOn(Message(id, 20)));
-      REQUIRE(journal.Attempt(id, {"e1", "ground", 17, true}));
+      REQUIRE(journal.RecordAccepted(Message(id, 20)));
+      REQUIRE(journal.RecordAttempt(id, {"e1", "ground", 17, true}));
     }
   }
   std::ifstream file(folder.path / "journal", std::ios::binary);
@@ -86,7 +86,7 @@
     Journal journal(folder.path, 3'000'000);
     CHECK(journal.entries().size() >= before);
     before = journal.entries().size();
-    REQUIRE(journal.TakeOn(Message("z", 5)));
+    REQUIRE(journal.RecordAccepted(Message("z", 5)));
     CHECK(Journal(folder.path, 3'000'000).entries().size() == before + 1);
   }
   CHECK(before == 3);
@@ -110,15 +110,15 @@
   std::size_t most = 0, rejected = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "m" + std::to_string(i);
-    if (journal.TakeOn(Message(id, i % 3 == 0 ? 65536 : 200))) {
+    if (journal.RecordAccepted(Message(id, i % 3 == 0 ? 65536 : 200))) {
       open.push_back(id);
     } else {
       ++rejected;
       REQUIRE_FALSE(open.empty());
       for (int attempt = 0; attempt < 12; ++attempt)
-        REQUIRE(journal.Attempt(open.front(), {"endpoint-with-a-long-name", "ground", 17, true}));
-      REQUIRE(journal.EndWith(open.front(), std::string(150, 'n')));
-      REQUIRE(journal.End(open.front()));
+        REQUIRE(journal.RecordAttempt(open.front(), {"endpoint-with-a-long-name", "ground", 17, true}));
+      REQUIRE(journal.RecordEndWithNotification(open.front(), std::string(150, 'n')));
+      REQUIRE(journal.RecordEnd(open.front()));
       open.erase(open.begin());
     }
     most = std::max(most, folder.Blocks());
@@ -136,10 +136,11 @@
   Journal journal(folder.path, 3'000'000);
   for (int round = 0; round < 3; ++round) {
     for (int i = 0; i < 1000; ++i)
-      REQUIRE(journal.TakeOn(Message("0123456789abcdef" + std::to_string(i), 212)));
+      REQUIRE(journal.RecordAccepted(Message("0123456789abcdef" + std::to_string(i), 212)));
     for (int i = 0; i < 1000; ++i)
-      REQUIRE(journal.Attempt("0123456789abcdef" + std::to_string(i), {"s-5be2a07c", "ground", 17, true}));
-    for (int i = 0; i < 1000; ++i) REQUIRE(journal.End("0123456789abcdef" + std::to_string(i)));
+      REQUIRE(
+          journal.RecordAttempt("0123456789abcdef" + std::to_string(i), {"s-5be2a07c", "ground", 17, true}));
+    for (int i = 0; i < 1000; ++i) REQUIRE(journal.RecordEnd("0123456789abcdef" + std::to_string(i)));
     CHECK(folder.Blocks() <= 3'000'000);
   }
 }
@@ -147,7 +148,7 @@
 // A compaction that the process did not live to end leaves its file: the old one stands.
 TEST_CASE("a half-written compaction is dropped") {
   Folder folder;
-  { REQUIRE(Journal(folder.path, 3'000'000).TakeOn(Message("a", 10))); }
+  { REQUIRE(Journal(folder.path, 3'000'000).RecordAccepted(Message("a", 10))); }
   std::ofstream(folder.path / "journal.new") << "half";
   CHECK(Journal(folder.path, 3'000'000).entries().size() == 1);
   CHECK_FALSE(fs::exists(folder.path / "journal.new"));
--- a/tests/persistent_clock_test.cpp
+++ b/tests/journal/persistent_clock_test.cpp
@@ -44,7 +44,7 @@
 TEST_CASE_FIXTURE(ClockFixture, "clock: steps of the wall clock move no time, in one process or the next") {
   PersistentClock first = Process();
   CHECK(!first.resumed());
-  REQUIRE(first.Keep());
+  REQUIRE(first.Persist());
   const std::int64_t began = first.Micros();
   for (const std::int64_t step : {kHour, -2 * kHour, std::int64_t{5'000'000}}) {
     machine_.wall += step;
@@ -59,37 +59,37 @@
 
 TEST_CASE_FIXTURE(ClockFixture, "clock: after a boot it goes by the wall clock") {
   PersistentClock first = Process();
-  REQUIRE(first.Keep());
+  REQUIRE(first.Persist());
   const std::int64_t before = first.Micros();
   machine_.Run(100);
   machine_.now = 1000;  // monotonic clocks may start anywhere
   PersistentClock next = Process("boot-2");
   CHECK(!next.resumed());
   CHECK(next.Micros() - before == 100'000'000);
-  REQUIRE(next.Keep());
+  REQUIRE(next.Persist());
   machine_.wall += kHour;
   CHECK(Process("boot-2").Micros() == next.Micros());
 }
 
 TEST_CASE_FIXTURE(ClockFixture, "clock: another monotonic clock, or no boot's id, is not resumed") {
-  REQUIRE(Process().Keep());
+  REQUIRE(Process().Persist());
   machine_.now = 49;
   CHECK(!Process().resumed());
   machine_.now = 51;
   CHECK(Process().resumed());
   CHECK(!Process("").resumed());
-  REQUIRE(Process("").Keep());
+  REQUIRE(Process("").Persist());
   CHECK(!Process("").resumed());
 }
 
 TEST_CASE_FIXTURE(ClockFixture, "clock: a damaged file is none, and is replaced") {
-  REQUIRE(Process().Keep());
+  REQUIRE(Process().Persist());
   const std::string whole = *ReadFileIfThere(folder_ + "/clock");
   for (std::size_t size = 0; size < whole.size(); ++size) {
     std::ofstream(folder_ + "/clock", std::ios::trunc) << whole.substr(0, size);
     CHECK(!Process().resumed());
   }
-  REQUIRE(Process().Keep());
+  REQUIRE(Process().Persist());
   CHECK(Process().resumed());
 }
 
@@ -97,9 +97,9 @@
   PersistentClock clock = Process();
   const std::string away = folder_ + ".away";
   fs::rename(folder_, away);
-  CHECK(!clock.Keep());
+  CHECK(!clock.Persist());
   fs::rename(away, folder_);
-  CHECK(clock.Keep());
+  CHECK(clock.Persist());
   CHECK(Process().resumed());
   CHECK(!fs::exists(folder_ + "/clock.new"));
 }
--- a/tests/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -23,7 +23,7 @@
 #include "lab/sockets/relay_process.h"
 #include "net/address.h"
 #include "net/http.h"
-#include "program.h"
+#include "tests/support/program.h"
 
 namespace opalroute::lab {
 namespace {
--- a/tests/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -179,11 +179,11 @@
 class Audit {
  public:
   Audit() {
-    MessageClass safe, keyed, unsafe;
-    keyed.effect = Effect::kKeyed;
-    keyed.key_window = 12;
-    unsafe.effect = Effect::kUnsafe;
-    auditor = std::make_unique<Auditor>(Auditor::Rules{}, std::vector<MessageClass>{safe, keyed, unsafe});
+    RequestClass safe, keyed, unsafe;
+    keyed.idempotency = Idempotency::kIdempotencyKey;
+    keyed.deduplication_window = 12;
+    unsafe.idempotency = Idempotency::kNonIdempotent;
+    auditor = std::make_unique<Auditor>(Auditor::Rules{}, std::vector<RequestClass>{safe, keyed, unsafe});
     auditor->Listed(1, 7, 1);
     auditor->Listed(2, 7, 1);
     auditor->Listed(3, 8, 3);
@@ -341,9 +341,9 @@
 }
 
 TEST_CASE("lab: the auditor catches what goes out of turn, or while its key rests") {
-  MessageClass keyed;
-  keyed.effect = Effect::kKeyed;
-  keyed.key_window = 12;
+  RequestClass keyed;
+  keyed.idempotency = Idempotency::kIdempotencyKey;
+  keyed.deduplication_window = 12;
   Auditor::Rules rules;
   rules.key_rest = 1;
   Auditor a(rules, {keyed});
@@ -428,7 +428,7 @@
 
 TEST_CASE("lab: what two tenants send is by their shares, and orders go by key") {
   Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/tenants.json");
-  scenario.classes[1].rules.in_order = true;
+  scenario.classes[1].rules.ordered_by_key = true;
   scenario.load.order_keys = 3;
   const World world(scenario, 1);
   Traffic traffic(world, 1);
--- a/tests/tier_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -6,54 +6,56 @@
 #include <fstream>
 #include <sstream>
 
-#include "relay/tier_state.h"
-#include "tier_stage.h"
+#include "relay/membership_file.h"
+#include "tests/membership/membership_fixture.h"
 
 namespace opalroute {
 namespace {
 
-using tier::Life;
+using membership::MemberState;
 
-zones::MemberRules RulesFor(int size) {
-  zones::MemberRules rules;
-  rules.tier.size = size;
+zone_failover::FailoverOptions RulesFor(int size) {
+  zone_failover::FailoverOptions rules;
+  rules.membership.fleet_size = size;
   rules.zones = 2;
-  rules.leave = false;
+  rules.evacuate_zones = false;
   return rules;
 }
 
 TEST_CASE("tier: a note is read as it was written, cut anywhere it is refused") {
-  tier::Note note;
-  note.kind = tier::NoteKind::kAnswer;
-  note.life = 1'764'000'000'000'000;
-  note.number = 300;
-  note.echo = 77;
-  note.first = 5;
-  note.zones = "zones";
+  membership::Message note;
+  note.kind = membership::MessageKind::kAck;
+  note.incarnation = 1'764'000'000'000'000;
+  note.sequence = 300;
+  note.acked_sequence = 77;
+  note.first_peer = 5;
+  note.zone_payload = "zones";
   for (int i = 0; i < 200; ++i)
-    note.told.push_back({static_cast<tier::Told::Of>(i % 3), i % 3 == 0 ? 0 : 0.7 + i % 7});
-  const std::string bytes = WriteNote(note, 256);
+    note.peer_reports.push_back(
+        {static_cast<membership::PeerReport::Kind>(i % 3), i % 3 == 0 ? 0 : 0.7 + i % 7});
+  const std::string bytes = EncodeMessage(note, 256);
   CHECK(bytes.size() <= 256);
-  const auto read = tier::ReadNote(bytes);
+  const auto read = membership::DecodeMessage(bytes);
   REQUIRE(read);
-  CHECK(read->life == note.life);
-  CHECK(read->number == 300);
-  CHECK(read->echo == 77);
-  CHECK(read->first == 5);
-  CHECK(read->zones == "zones");
-  REQUIRE(read->told.size() == 200);
+  CHECK(read->incarnation == note.incarnation);
+  CHECK(read->sequence == 300);
+  CHECK(read->acked_sequence == 77);
+  CHECK(read->first_peer == 5);
+  CHECK(read->zone_payload == "zones");
+  REQUIRE(read->peer_reports.size() == 200);
   for (std::size_t i = 0; i < 200; ++i) {
-    CHECK(read->told[i].of == note.told[i].of);
-    CHECK(read->told[i].age >= note.told[i].age);  // never younger than it is
-    CHECK(read->told[i].age <= note.told[i].age + 12.0 / 7);
+    CHECK(read->peer_reports[i].kind == note.peer_reports[i].kind);
+    CHECK(read->peer_reports[i].age >= note.peer_reports[i].age);  // never younger than it is
+    CHECK(read->peer_reports[i].age <= note.peer_reports[i].age + 12.0 / 7);
   }
-  for (std::size_t size = 0; size < bytes.size(); ++size) CHECK(!tier::ReadNote(bytes.substr(0, size)));
-  CHECK(!tier::ReadNote(bytes + "x"));
-  CHECK(!tier::ReadNote("Lr\x01"));
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    CHECK(!membership::DecodeMessage(bytes.substr(0, size)));
+  CHECK(!membership::DecodeMessage(bytes + "x"));
+  CHECK(!membership::DecodeMessage("Lr\x01"));
   std::string newer = bytes;
   newer[1] = 2;
-  CHECK(!tier::ReadNote(newer));  // of another version
-  CHECK(WriteNote(note, 60).size() <= 60);
+  CHECK(!membership::DecodeMessage(newer));  // of another version
+  CHECK(EncodeMessage(note, 60).size() <= 60);
 }
 
 TEST_CASE("tier: those whose machines refuse are gone within seconds, and their parts go to the rest") {
@@ -66,7 +68,7 @@
     const int left = std::max(2, size * 3 / 10);
     for (int relay = left; relay < size; ++relay) s.Kill(relay);
     s.PlayTo(s.now + 25);
-    CHECK(s[0].tier().LifeOf(s.now, size - 1) == Life::kGone);
+    CHECK(s[0].membership().StateOf(s.now, size - 1) == MemberState::kDead);
     CHECK(s.Parts() > 0.9);
     CHECK(s.most_parts < 1 + 1e-9);
     // They come back at once: what was theirs is let go before it is taken.
@@ -83,9 +85,9 @@
   s.PlayTo(s.now + 2);
   s.cut = [](int from, int to) { return (from < 4) != (to < 4); };
   s.PlayTo(s.now + 120);
-  for (int relay = 0; relay < 10; ++relay) CHECK(s[relay].tier().Parts(s.now) == 10);
-  CHECK(s[0].tier().LifeOf(s.now, 9) == Life::kUnheard);
-  CHECK(s[0].tier().Live(s.now).size() == 4);
+  for (int relay = 0; relay < 10; ++relay) CHECK(s[relay].membership().ShareCount(s.now) == 10);
+  CHECK(s[0].membership().StateOf(s.now, 9) == MemberState::kUnknown);
+  CHECK(s[0].membership().AliveMembers(s.now).size() == 4);
 }
 
 TEST_CASE(
@@ -95,15 +97,15 @@
   s.PlayTo(s.now + 2);
   for (int relay = 5; relay < 10; ++relay) s.Kill(relay);
   s.PlayTo(s.now + 20);
-  CHECK(s[0].tier().Parts(s.now) == 5);
+  CHECK(s[0].membership().ShareCount(s.now) == 5);
   s.cut = [](int from, int to) { return (from < 5) != (to < 5); };
   for (int relay = 5; relay < 10; ++relay) s.Start(relay);
   s.PlayTo(s.now + 1);
-  CHECK(s[0].tier().Parts(s.now) == 5);    // it can't know
-  CHECK(s[9].tier().Parts(s.now) == 100);  // so they hold back
+  CHECK(s[0].membership().ShareCount(s.now) == 5);    // it can't know
+  CHECK(s[9].membership().ShareCount(s.now) == 100);  // so they hold back
   s.PlayTo(s.now + 20);
-  CHECK(s[0].tier().Parts(s.now) == 10);
-  CHECK(s[9].tier().Parts(s.now) == 10);
+  CHECK(s[0].membership().ShareCount(s.now) == 10);
+  CHECK(s[9].membership().ShareCount(s.now) == 10);
   CHECK(s.most_parts < 1.1 + 1e-9);
 }
 
@@ -113,38 +115,39 @@
   s.PlayTo(s.now + 2);
   s.cut = [](int from, int) { return from == 7; };  // it hears, and is not heard
   s.PlayTo(s.now + 30);
-  CHECK(s[0].tier().Parts(s.now) == 8);
-  CHECK(s[7].tier().Parts(s.now) == 8);
+  CHECK(s[0].membership().ShareCount(s.now) == 8);
+  CHECK(s[7].membership().ShareCount(s.now) == 8);
   s.cut = nullptr;
   s.Freeze(3, s.now + 10);
   s.PlayTo(s.now + 9);
-  CHECK(s[0].tier().Parts(s.now) == 8);  // silent is not gone
+  CHECK(s[0].membership().ShareCount(s.now) == 8);  // silent is not gone
   s.PlayTo(s.now + 5);
   s.Leave(2);
   s.PlayTo(s.now + 10);
-  CHECK(s[0].tier().LifeOf(s.now, 2) == Life::kGone);
+  CHECK(s[0].membership().StateOf(s.now, 2) == MemberState::kDead);
   CHECK(s.most_parts < 1 + 1e-9);
 }
 
 TEST_CASE("tier: a refusal of one that is heard proves nothing, and replays and strangers are passed over") {
-  tier::Rules rules;
-  rules.size = 4;
-  tier::Tier t(rules, 10, 1, 0);
-  std::vector<tier::Tier::Out> out;
+  membership::Options rules;
+  rules.fleet_size = 4;
+  membership::Membership t(rules, 10, 1, 0);
+  std::vector<membership::Membership::OutgoingMessage> out;
   for (double now = 0; now < 0.5; now += 0.05) t.Tick(now, out);
   REQUIRE(!out.empty());
-  CHECK(!t.Take(0.5, 9, {tier::NoteKind::kTold, 1, 1, 0, 0, {}, {}}, out));
-  CHECK(!t.Take(0.5, 0, {tier::NoteKind::kTold, 1, 1, 0, 0, {}, {}}, out));  // its own number
-  CHECK(t.Take(0.5, 1, {tier::NoteKind::kTold, 5, 3, 0, 0, {}, {}}, out));
-  CHECK(!t.Take(0.5, 1, {tier::NoteKind::kTold, 5, 3, 0, 0, {}, {}}, out));
-  CHECK(!t.Take(0.5, 1, {tier::NoteKind::kTold, 4, 9, 0, 0, {}, {}}, out));
-  CHECK(t.Take(0.5, 1, {tier::NoteKind::kTold, 6, 1, 0, 0, {}, {}}, out));
+  CHECK(!t.HandleMessage(0.5, 9, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}}, out));
+  CHECK(!t.HandleMessage(0.5, 0, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}},
+                         out));  // its own number
+  CHECK(t.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
+  CHECK(!t.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
+  CHECK(!t.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 4, 9, 0, 0, {}, {}}, out));
+  CHECK(t.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 6, 1, 0, 0, {}, {}}, out));
   CHECK(t.restarts() == 1);
-  CHECK(t.Take(0.5, 3, {tier::NoteKind::kTold, 6, 1, 0, 0, {}, {}}, out));
-  t.Refused(0.6, 3);  // by the path, it seems: it was heard a moment ago
-  CHECK(t.LifeOf(0.7, 3) != Life::kGone);
-  t.Refused(0.5, 7);  // nobody
-  CHECK(t.Parts(20) == 4);
+  CHECK(t.HandleMessage(0.5, 3, {membership::MessageKind::kGossip, 6, 1, 0, 0, {}, {}}, out));
+  t.OnUnreachable(0.6, 3);  // by the path, it seems: it was heard a moment ago
+  CHECK(t.StateOf(0.7, 3) != MemberState::kDead);
+  t.OnUnreachable(0.5, 7);  // nobody
+  CHECK(t.ShareCount(20) == 4);
 }
 
 TEST_CASE(
@@ -152,46 +155,49 @@
   namespace fs = std::filesystem;
   const fs::path folder = fs::temp_directory_path() / ("opalroute-tier-state-" + std::to_string(getpid()));
   fs::create_directories(folder);
-  const TierState state(folder.string());
+  const MembershipFile state(folder.string());
   const std::vector<std::string> names = {"ground", "first"};
   constexpr std::int64_t kNow = 1'764'000'000'000'000;
-  CHECK(state.Load("n1", names, kNow, 120).end == "none");
-  const std::vector<zones::Stage> stages = {{3, zones::Step::kOut, 2, 4.5}, {1, zones::Step::kIn, 0, 100}};
-  REQUIRE(state.Save("n1", names, kNow, 77, {stages, {{5, 2, zones::ByHand::kLeave, 300}, {}}}));
+  CHECK(state.Load("n1", names, kNow, 120).load_result == "none");
+  const std::vector<zone_failover::EvacuationState> stages = {
+      {3, zone_failover::EvacuationPhase::kEvacuated, 2, 4.5},
+      {1, zone_failover::EvacuationPhase::kInService, 0, 100}};
+  REQUIRE(
+      state.Save("n1", names, kNow, 77, {stages, {{5, 2, zone_failover::OverrideKind::kEvacuate, 300}, {}}}));
   const auto kept = state.Load("n1", {"first", "new", "ground"}, kNow + 2'000'000, 120);
-  CHECK(kept.end == "whole");
-  CHECK(kept.life == 77);
-  REQUIRE(kept.zones.stages.size() == 3);
-  CHECK(kept.zones.stages[2].step == zones::Step::kOut);
-  CHECK(kept.zones.stages[2].round == 3);
-  CHECK(kept.zones.stages[2].relapses == 2);
-  CHECK(kept.zones.stages[2].since == doctest::Approx(6.5));
-  CHECK(kept.zones.stages[1].step == zones::Step::kIn);
-  REQUIRE(kept.zones.orders.size() == 3);
-  CHECK(kept.zones.orders[0].number == 0);
-  CHECK(kept.zones.orders[2].number == 5);
-  CHECK(kept.zones.orders[2].what == zones::ByHand::kLeave);
-  CHECK(kept.zones.orders[2].until == doctest::Approx(298));
-  CHECK(state.Load("n2", names, kNow, 120).end == "other relay");
-  CHECK(state.Load("n2", names, kNow, 120).zones.stages.empty());
+  CHECK(kept.load_result == "whole");
+  CHECK(kept.incarnation == 77);
+  REQUIRE(kept.zones.states.size() == 3);
+  CHECK(kept.zones.states[2].phase == zone_failover::EvacuationPhase::kEvacuated);
+  CHECK(kept.zones.states[2].round == 3);
+  CHECK(kept.zones.states[2].relapses == 2);
+  CHECK(kept.zones.states[2].since == doctest::Approx(6.5));
+  CHECK(kept.zones.states[1].phase == zone_failover::EvacuationPhase::kInService);
+  REQUIRE(kept.zones.overrides.size() == 3);
+  CHECK(kept.zones.overrides[0].sequence == 0);
+  CHECK(kept.zones.overrides[2].sequence == 5);
+  CHECK(kept.zones.overrides[2].kind == zone_failover::OverrideKind::kEvacuate);
+  CHECK(kept.zones.overrides[2].expires_at == doctest::Approx(298));
+  CHECK(state.Load("n2", names, kNow, 120).load_result == "other relay");
+  CHECK(state.Load("n2", names, kNow, 120).zones.states.empty());
   for (const std::int64_t now : {kNow + 121'000'000, kNow - 1'000'000}) {  // old, or the clock was set back
-    CHECK(state.Load("n1", names, now, 120).end == "too old");
-    CHECK(state.Load("n1", names, now, 120).life == 77);  // its notes must still be newer
-    CHECK(state.Load("n1", names, now, 120).zones.stages.empty());
+    CHECK(state.Load("n1", names, now, 120).load_result == "too old");
+    CHECK(state.Load("n1", names, now, 120).incarnation == 77);  // its notes must still be newer
+    CHECK(state.Load("n1", names, now, 120).zones.states.empty());
     // An order has an end of its own: no folder grows too old for it before that.
-    CHECK(state.Load("n1", names, now, 120).zones.orders.at(0).until <= 300);
-    CHECK(state.Load("n1", names, now, 120).zones.orders.at(0).until > 178);
+    CHECK(state.Load("n1", names, now, 120).zones.overrides.at(0).expires_at <= 300);
+    CHECK(state.Load("n1", names, now, 120).zones.overrides.at(0).expires_at > 178);
   }
   std::stringstream whole;
   whole << std::ifstream(state.path(), std::ios::binary).rdbuf();
   const std::string bytes = whole.str();
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     std::ofstream(state.path(), std::ios::binary | std::ios::trunc) << bytes.substr(0, size);
-    CHECK(state.Load("n1", names, kNow, 120).end == "broken");
+    CHECK(state.Load("n1", names, kNow, 120).load_result == "broken");
     std::string wrong = bytes;
     wrong[size] = static_cast<char>(wrong[size] ^ 1);
     std::ofstream(state.path(), std::ios::binary | std::ios::trunc) << wrong;
-    CHECK(state.Load("n1", names, kNow, 120).zones.stages.empty());
+    CHECK(state.Load("n1", names, kNow, 120).zones.states.empty());
   }
   fs::permissions(folder, fs::perms::owner_read | fs::perms::owner_exec);
   if (geteuid() != 0) CHECK(!state.Save("n1", names, kNow, 78, {}));
@@ -232,7 +238,8 @@
       if (what >= 2) s.Kill(relay, s.Below(2) == 0);
     });
     for (int relay = 0; relay < size; ++relay)
-      grown += s.IsUp(relay) && s[relay].tier().Settled(s.now) && s[relay].tier().Parts(s.now) < size;
+      grown += s.IsUp(relay) && s[relay].membership().IsSettled(s.now) &&
+               s[relay].membership().ShareCount(s.now) < size;
     REQUIRE_MESSAGE(s.most_parts < 1 + 1.0 / size + 1e-9, "seed ", seed, " holds ", s.most_parts);
   }
   CHECK(grown > 300);  // and it is not that none ever grows
--- a/tests/exchange_test.cpp
+++ b/tests/relay/exchange_test.cpp
@@ -186,7 +186,7 @@
     } else if (first == "crowd") {
       for (int i = 0; i < std::stoi(second); ++i) {
         Peer& peer = peers_["crowd" + std::to_string(i)];
-        peer = Connected(relay_->door()->address());
+        peer = Connected(relay_->operations_server()->address());
         Send(peer, "GET /v1/re", false);
       }
     } else if (first == "move") {
@@ -319,7 +319,7 @@
   void Step(const std::string& name, const std::string& verb, const std::string& text,
             const std::string& line) {
     if (verb == "connect") {
-      peers_[name] = Connected(text == "door" ? relay_->door()->address() : relay_->address());
+      peers_[name] = Connected(text == "door" ? relay_->operations_server()->address() : relay_->address());
       return;
     }
     if (verb == "accepted") {
--- a/tests/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,5 +1,5 @@
 // The program as the platform runs it: signals, and a configuration that changes under it.
-#include "program.h"
+#include "tests/support/program.h"
 
 #include <doctest/doctest.h>
 #include <linux/filter.h>
--- a/tests/wire_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,11 +1,11 @@
 // The adapter as text: batches in, replies and complaints out.
-#include "wire.h"
+#include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-namespace opalroute::wire {
+namespace opalroute::simulator {
 namespace {
 
 const std::string kOptions = R"({"az":"a","balancers":1,"classes":[{"aimS":3,"deadlineS":16,
@@ -124,4 +124,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute::wire
+}  // namespace opalroute::simulator
--- a/tests/flow_test.cpp
+++ b/tests/upstream/upstream_call_test.cpp
@@ -1,4 +1,6 @@
 // A server-side flow whose message may not leave any more when its connection has come up.
+#include "upstream/upstream_call.h"
+
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <sys/socket.h>
@@ -6,21 +8,22 @@
 
 #include "net/address.h"
 #include "net/listener.h"
-#include "relay/server_flow.h"
 
 namespace opalroute {
 namespace {
 
-class Watcher : public ServerFlow::Owner {
+class Watcher : public UpstreamCall::Owner {
  public:
-  bool MayLeave(const ServerFlow&, const ServerFlow::Member& member) override { return member.id == allowed; }
-  bool RecordAttempt(const ServerFlow&, const ServerFlow::Member&) override { return records; }
-  void OnOutcome(const ServerFlow&, const ServerFlow::Member& member, const AttemptOutcome& o) override {
+  bool MaySend(const UpstreamCall&, const UpstreamCall::Member& member) override {
+    return member.id == allowed;
+  }
+  bool RecordAttempt(const UpstreamCall&, const UpstreamCall::Member&) override { return records; }
+  void OnOutcome(const UpstreamCall&, const UpstreamCall::Member& member, const AttemptOutcome& o) override {
     outcomes.emplace_back(member.id, o.outcome);
   }
   void OnWritten(int messages) override { written += messages; }
-  void OnServedLate(MessageId) override {}
-  void OnFlowOver(ServerFlow&) override { ++over; }
+  void OnServedLate(RequestId) override {}
+  void OnCallEnded(UpstreamCall&) override { ++over; }
   std::string allowed;
   bool records = true;
   std::vector<std::pair<std::string, Outcome>> outcomes;
@@ -52,13 +55,13 @@
   for (const std::string allowed : {"", "m2"}) {
     Watcher watcher;
     watcher.allowed = allowed;
-    ServerFlow::Member one, two;
-    one.message = 1;
+    UpstreamCall::Member one, two;
+    one.request_id = 1;
     one.id = "m1";
-    two.message = 2;
+    two.request_id = 2;
     two.id = "m2";
-    one.until = two.until = loop.Now() + 60;
-    ServerFlow flow(loop, client, 1, address, {one, two}, watcher);
+    one.timeout_at = two.timeout_at = loop.Now() + 60;
+    UpstreamCall flow(loop, client, 1, address, {one, two}, watcher);
     flow.Start();
     for (int i = 0; i < 2000 && watcher.outcomes.size() + allowed.size() / 2 < 2; ++i) loop.RunOnce(0.01);
     REQUIRE(watcher.outcomes.size() == 2 - allowed.size() / 2);
@@ -90,15 +93,15 @@
     Watcher watcher;
     watcher.allowed = "m1";
     watcher.records = false;
-    ServerFlow::Member member;
-    member.message = 1;
+    UpstreamCall::Member member;
+    member.request_id = 1;
     member.id = "m1";
-    member.until = loop.Now() + 60;
-    ServerFlow flow(loop, client, 1, listener.address(), {member}, watcher);
+    member.timeout_at = loop.Now() + 60;
+    UpstreamCall flow(loop, client, 1, listener.address(), {member}, watcher);
     flow.Start();
     for (int i = 0; i < 2000 && watcher.outcomes.empty(); ++i) loop.RunOnce(0.01);
     REQUIRE(watcher.outcomes.size() == 1);
-    CHECK(watcher.outcomes[0].second == Outcome::kNotLeft);
+    CHECK(watcher.outcomes[0].second == Outcome::kLocalShortage);
     CHECK(watcher.written == 0);
     CHECK(watcher.over == 1);
   }
@@ -113,9 +116,9 @@
   net::Listener listener(loop, *net::ParseAddress("127.0.0.1:0"), [&](int fd) { taken.push_back(fd); });
   net::HttpClient client(loop, BoundsOf(4));
   std::vector<Outcome> outcomes;
-  Probing probe(
+  HealthCheckCall probe(
       loop, client, 1, listener.address(), 60, [] { return false; },
-      [&](Probing&, const ProbeOutcome& outcome) { outcomes.push_back(outcome.outcome); });
+      [&](HealthCheckCall&, const HealthCheckOutcome& outcome) { outcomes.push_back(outcome.outcome); });
   probe.Start();
   for (int i = 0; i < 2000 && (taken.empty() || outcomes.empty()); ++i) loop.RunOnce(0.01);
   CHECK(outcomes == std::vector<Outcome>{Outcome::kNotSent});
--- /dev/null
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -0,0 +1,264 @@
+// Operators' orders of zones, on a fake clock: they reach all, hold while they last, and end by themselves.
+#include <doctest/doctest.h>
+
+#include <numeric>
+
+#include "admin/zone_command.h"
+#include "config/fields.h"
+#include "tests/zone_failover/zone_calls.h"
+
+namespace opalroute {
+namespace {
+
+using zone_failover::EvacuationPhase;
+using zone_failover::OverrideKind;
+
+int CountObeying(TierStage& s, int zone, OverrideKind what) {
+  int count = 0;
+  for (int relay = 0; relay < s.size(); ++relay)
+    count += s.IsUp(relay) && s[relay].ActiveOverride(s.now, zone) == what;
+  return count;
+}
+
+TEST_CASE("zones: an order to leave is told to one and reaches all; none tries the zone until it ends") {
+  for (const double loss : {0.0, 0.2, 0.6}) {
+    CAPTURE(loss);
+    lab::LinkPlan links;
+    links.loss = loss;
+    TierStage s(RulesFor(40), links, 3);
+    UpstreamCalls calls(s, 4, [](int, int, int) { return Met{}; });
+    s.StartAll();
+    calls.PlayTo(104);
+    s.Order(7, 1, OverrideKind::kEvacuate, 10);
+    CHECK(s[7].ActiveOverride(s.now, 1) == OverrideKind::kEvacuate);
+    calls.PlayTo(loss > 0.5 ? 109 : 106);
+    CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 40);
+    calls.into.clear();
+    calls.PlayTo(113.9);
+    CHECK(calls.into[1] == 0);
+    CHECK(calls.into[0] > 100);
+    calls.PlayTo(114.6);  // each hop adds a tenth of a second at most
+    CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
+    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 0);
+    calls.PlayTo(124);  // its endpoints are tried again, and serve
+    CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
+    calls.PlayTo(130);
+    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 40);
+  }
+}
+
+TEST_CASE("zones: an order to keep holds a zone that fails, and lets one return that was left") {
+  TierStage s(RulesFor(24), {}, 4);
+  const Seconds fails = 104;
+  UpstreamCalls calls(s, 4, [&](int, int, int zone) {
+    return zone == 1 && s.now >= fails ? Bad(Outcome::kConnectFailed) : Met{};
+  });
+  s.StartAll();
+  calls.PlayTo(103);
+  s.Order(0, 1, OverrideKind::kKeepInService, 7);
+  calls.PlayTo(109.9);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 24);
+  calls.PlayTo(114);  // it ends, and what calls say counts again
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 24);
+  s.Order(23, 1, OverrideKind::kKeepInService, 30);
+  calls.PlayTo(120);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 24);
+  for (const auto& change : s.changes) CHECK(change.zone == 1);
+}
+
+TEST_CASE("zones: the later order stands: revoked behind a cut, given in both halves, asleep meanwhile") {
+  lab::LinkPlan links;
+  lab::Cut cut;
+  cut.first = 0;
+  cut.last = 9;
+  cut.from = 106;
+  cut.lasts = 8;
+  links.cuts.push_back(cut);
+  TierStage s(RulesFor(20), links, 5);
+  UpstreamCalls calls(s, 4, [](int, int, int) { return Met{}; });
+  s.StartAll();
+  calls.PlayTo(103);
+  s.Order(3, 0, OverrideKind::kEvacuate, 600);
+  calls.PlayTo(105);
+  CHECK(CountIn(s, 0, EvacuationPhase::kEvacuated) == 20);
+  s.Freeze(12, 118);
+  calls.PlayTo(107);
+  s.Order(15, 0, OverrideKind::kNone, 0);             // one half hears that it is over
+  s.Order(2, 2, OverrideKind::kEvacuate, 600);        // and both are told of another zone,
+  s.Order(16, 2, OverrideKind::kKeepInService, 600);  // otherwise
+  calls.PlayTo(112);
+  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 11);  // the other half, and who is asleep
+  CHECK(CountObeying(s, 2, OverrideKind::kEvacuate) == 10);
+  calls.PlayTo(117);
+  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 1);
+  calls.PlayTo(121);
+  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 0);
+  CHECK(CountObeying(s, 2, OverrideKind::kKeepInService) ==
+        20);  // of the same number that of the greater relay
+  calls.PlayTo(145);
+  for (int zone = 0; zone < kZones; ++zone) CHECK(CountIn(s, zone, EvacuationPhase::kInService) == 20);
+}
+
+TEST_CASE("zones: an order outlives its relays, with their folders or with one that has heard it") {
+  TierStage s(RulesFor(9), {}, 6);
+  s.StartAll();
+  s.PlayTo(103);
+  s.Order(1, 1, OverrideKind::kEvacuate, 30);
+  s.PlayTo(105);
+  for (int relay = 0; relay < 9; ++relay) s.Kill(relay, relay != 4);  // one folder is left of nine
+  s.StartAll();
+  s.PlayTo(109);
+  CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 9);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 9);
+  s.PlayTo(133.6);
+  CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
+}
+
+TEST_CASE("zones: what is left of an order neither grows nor shrinks by being told on") {
+  zone_failover::OperatorOverrides first(1), second(1);
+  const Seconds ends = first.Issue(100, 0, OverrideKind::kEvacuate, 60, 2).expires_at;
+  for (Seconds now = 100; now < 159; now += 0.037) {
+    for (auto [from, to] : {std::pair(&first, &second), std::pair(&second, &first)}) {
+      zone_failover::ZoneGossip said;
+      said.stages.resize(1);
+      said.overrides = from->ForGossip(now);
+      const auto read = zone_failover::DecodeZoneGossip(zone_failover::EncodeZoneGossip(said));
+      REQUIRE(read);
+      zone_failover::OperatorOverride order = read->overrides.at(0);
+      order.expires_at += now + 0.011;
+      to->Merge(now + 0.011, 0, order);
+    }
+  }
+  CHECK(first.Of(0).expires_at == ends);
+  CHECK(second.Of(0).expires_at >= ends);
+  CHECK(second.Of(0).expires_at < ends + 0.12);
+}
+
+TEST_CASE("zones: orders merge alike in every order and with every loss; nonsense is passed over") {
+  const std::vector<zone_failover::OperatorOverride> sent = {{1, 3, OverrideKind::kEvacuate, 50},
+                                                             {1, 4, OverrideKind::kKeepInService, 60},
+                                                             {2, 0, OverrideKind::kNone, 40},
+                                                             {1, 3, OverrideKind::kEvacuate, 49.9},
+                                                             {2, 1, OverrideKind::kEvacuate, 55},
+                                                             {3, 0, OverrideKind::kKeepInService, 1e9},
+                                                             {1ULL << 60, 0, OverrideKind::kEvacuate, 50}};
+  std::vector<int> order(sent.size());
+  std::iota(order.begin(), order.end(), 0);
+  for (unsigned came = 1; came < 128; ++came) {
+    std::optional<zone_failover::OperatorOverride> expected;
+    do {
+      zone_failover::OperatorOverrides orders(1);
+      for (const int i : order)
+        if ((came >> i & 1U) != 0) orders.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
+      const zone_failover::OperatorOverride& now = orders.Of(0);
+      if (!expected) expected = now;
+      REQUIRE(now.sequence == expected->sequence);
+      REQUIRE(now.issued_by == expected->issued_by);
+      REQUIRE(now.expires_at == expected->expires_at);
+      REQUIRE(now.sequence < 3);
+    } while (std::next_permutation(order.begin(), order.end()));
+  }
+}
+
+TEST_CASE("zones: orders in a note are read as they were written; cut anywhere it is refused") {
+  zone_failover::ZoneGossip said;
+  said.stages.resize(2);
+  said.overrides = {{}, {300, 299, OverrideKind::kKeepInService, 12.34}};
+  for (const bool reports : {false, true}) {
+    if (reports) said.report = zone_failover::Report(2);
+    const std::string bytes = zone_failover::EncodeZoneGossip(said);
+    const auto read = zone_failover::DecodeZoneGossip(bytes);
+    REQUIRE(read);
+    CHECK(read->report.has_value() == reports);
+    REQUIRE(read->overrides.size() == 2);
+    CHECK(read->overrides[0].sequence == 0);
+    CHECK(read->overrides[1].sequence == 300);
+    CHECK(read->overrides[1].issued_by == 299);
+    CHECK(read->overrides[1].kind == OverrideKind::kKeepInService);
+    CHECK(read->overrides[1].expires_at == doctest::Approx(12.4));  // never less than it is
+    for (std::size_t size = 0; size < bytes.size(); ++size)
+      CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
+    CHECK(!zone_failover::DecodeZoneGossip(bytes + "x"));
+  }
+}
+
+// As a later build may say it: a part that this one does not know, told with its length.
+std::string WithLaterPart(std::string bytes, const zone_failover::ZoneGossip& said) {
+  zone_failover::ZoneGossip stages;
+  stages.stages = said.stages;
+  const std::size_t flags =
+      zone_failover::EncodeZoneGossip(stages).size() - 1;  // they stand behind the stages
+  bytes[flags] = static_cast<char>(bytes[flags] | 16);
+  return bytes + '\x03' + "new";
+}
+
+TEST_CASE("zones: what a later build adds to a note is passed over, and the rest is read") {
+  zone_failover::ZoneGossip said;
+  said.stages = {{7, EvacuationPhase::kEvacuated, 1, 2}, {}};
+  said.report = zone_failover::Report(2);
+  (*said.report)[1].failed = 9;
+  said.overrides = {{}, {3, 1, OverrideKind::kEvacuate, 5}};
+  const std::string bytes = WithLaterPart(zone_failover::EncodeZoneGossip(said), said);
+  const auto read = zone_failover::DecodeZoneGossip(bytes);
+  REQUIRE(read);
+  CHECK(read->stages[0].round == 7);
+  CHECK((*read->report)[1].failed == 9);
+  CHECK(read->overrides[1].kind == OverrideKind::kEvacuate);
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
+}
+
+// Relays 0 to 3 run an earlier build, which knows no orders; 4 to 7 a later one.
+TEST_CASE("zones: three builds in one tier leave a zone together, and return") {
+  TierStage s(RulesFor(12), {}, 23);
+  s.rewrite = [](int from, const std::string& bytes) {
+    auto note = membership::DecodeMessage(bytes);
+    const auto said = note ? zone_failover::DecodeZoneGossip(note->zone_payload) : std::nullopt;
+    if (!said || from > 7) return bytes;
+    zone_failover::ZoneGossip earlier = *said;
+    earlier.overrides.clear();
+    note->zone_payload =
+        from < 4 ? zone_failover::EncodeZoneGossip(earlier) : WithLaterPart(note->zone_payload, *said);
+    return membership::EncodeMessage(*note, 256);
+  };
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 && s.now < 112 ? Bad(Outcome::kReset) : Met{};
+  });
+  s.StartAll();
+  calls.PlayTo(108);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
+  calls.PlayTo(125);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 12);
+  for (const auto& change : s.changes) CHECK(change.zone == 1);
+}
+
+TEST_CASE("zones: an operator's words are read whole or refused by the name of what is wrong") {
+  const ZoneCommand order = ParseZoneCommand(R"({"zone":"first","order":"leave","for_s":600})");
+  CHECK(order.zone == "first");
+  CHECK(order.override_kind == OverrideKind::kEvacuate);
+  CHECK(order.duration == 600);
+  CHECK(ParseZoneCommand(R"({"zone":"first","order":"none"})").override_kind == OverrideKind::kNone);
+  const std::pair<const char*, const char*> faults[] = {
+      {"", "no JSON"},
+      {"[]", "zone"},
+      {R"({"order":"leave","for_s":1})", "zone"},
+      {R"({"zone":7,"order":"leave","for_s":1})", "zone"},
+      {R"({"zone":"a","order":"drain","for_s":1})", "order"},
+      {R"({"zone":"a","order":"leave"})", "for_s"},
+      {R"({"zone":"a","order":"keep","for_s":0})", "for_s"},
+      {R"({"zone":"a","order":"keep","for_s":86401})", "for_s"},
+      {R"({"zone":"a","order":"keep","for_s":"1"})", "for_s"},
+      {R"({"zone":"a","order":"leave","for_s":1,"until":2})", "until"}};
+  for (const auto& [body, names] : faults) {
+    CAPTURE(body);
+    const net::HttpAnswer answer = HandleZoneCommand(body, [](const ZoneCommand&) { return true; });
+    CHECK(answer.status == 400);
+    CHECK(answer.body.find(names) != std::string::npos);
+  }
+  const auto body = R"({"zone":"nowhere","order":"leave","for_s":1})";
+  CHECK(HandleZoneCommand(body, [](const ZoneCommand&) { return false; }).status == 404);
+  CHECK(HandleZoneCommand(body, [](const ZoneCommand&) { return true; }).status == 200);
+}
+
+}  // namespace
+}  // namespace opalroute
--- a/tests/zone_calls.h
+++ b/tests/zone_failover/zone_calls.h
@@ -5,18 +5,18 @@
 #include <map>
 #include <utility>
 
-#include "tier_stage.h"
+#include "tests/membership/membership_fixture.h"
 
 namespace opalroute {
 
 constexpr int kZones = 3;
 constexpr int kPartners = 12;
 
-inline zones::MemberRules RulesFor(int size) {
-  zones::MemberRules rules;
-  rules.tier.size = size;
+inline zone_failover::FailoverOptions RulesFor(int size) {
+  zone_failover::FailoverOptions rules;
+  rules.membership.fleet_size = size;
   rules.zones = kZones;
-  rules.stages.ramp = 4;
+  rules.evacuation.slow_start_duration = 4;
   return rules;
 }
 
@@ -27,10 +27,11 @@
 };
 
 // Each relay calls partners in all zones, as its shares allow.
-class Calls {
+class UpstreamCalls {
  public:
   using Truth = std::function<Met(int relay, int partner, int zone)>;
-  Calls(TierStage& stage, double rate, Truth truth) : s_(stage), rate_(rate), truth_(std::move(truth)) {}
+  UpstreamCalls(TierStage& stage, double rate, Truth truth)
+      : s_(stage), rate_(rate), truth_(std::move(truth)) {}
 
   void PlayTo(Seconds until) {
     s_.PlayTo(until, [this] { Step(); });
@@ -40,7 +41,7 @@
  private:
   struct Out {
     int relay, partner, zone;
-    zones::Member* member;
+    zone_failover::ZoneFailover* member;
     Met met;
   };
   static EndpointId EndpointOf(int partner, int zone) {
@@ -51,21 +52,24 @@
       const Out o = out_.begin()->second;
       out_.erase(out_.begin());
       if (s_.IsAwake(o.relay) && &s_[o.relay] == o.member)
-        o.member->Ended(s_.now, o.zone, o.partner, EndpointOf(o.partner, o.zone), o.met.outcome, o.met.takes);
+        o.member->OnEnded(s_.now, o.zone, o.partner, EndpointOf(o.partner, o.zone), o.met.outcome,
+                          o.met.takes);
     }
     for (int relay = 0; relay < s_.size(); ++relay) {
       if (!s_.IsAwake(relay)) continue;
-      for (double due = rate_ * zones::Member::kTick; lab::DrawUnit(s_.random()) < due; due -= 1) Call(relay);
+      for (double due = rate_ * zone_failover::ZoneFailover::kTick; lab::DrawUnit(s_.random()) < due;
+           due -= 1)
+        Call(relay);
     }
   }
   void Call(int relay) {
     const int partner = s_.Below(kPartners), zone = s_.Below(kZones);
-    const ZoneShare& share = s_.ShareOf(relay, zone);
-    if (lab::DrawUnit(s_.random()) >= (share.scout ? 0.2 : share.share))
+    const ZoneTrafficShare& share = s_.ShareOf(relay, zone);
+    if (lab::DrawUnit(s_.random()) >= (share.is_health_check_relay ? 0.2 : share.traffic_share))
       return;  // scouts try it now and then
     ++into[zone];
     const Met met = truth_(relay, partner, zone);
-    s_[relay].Sent(s_.now, zone, partner, EndpointOf(partner, zone));
+    s_[relay].OnSent(s_.now, zone, partner, EndpointOf(partner, zone));
     out_.emplace(s_.now + met.takes, Out{relay, partner, zone, &s_[relay], met});
   }
   TierStage& s_;
@@ -74,10 +78,10 @@
   std::multimap<Seconds, Out> out_;
 };
 
-inline int CountIn(TierStage& s, int zone, zones::Step step) {
+inline int CountIn(TierStage& s, int zone, zone_failover::EvacuationPhase step) {
   int count = 0;
   for (int relay = 0; relay < s.size(); ++relay)
-    count += s.IsUp(relay) && s[relay].StageOf(zone).step == step;
+    count += s.IsUp(relay) && s[relay].StateOf(zone).phase == step;
   return count;
 }
 
--- a/tests/zones_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -5,41 +5,41 @@
 #include <numeric>
 #include <set>
 
-#include "zone_calls.h"
+#include "tests/zone_failover/zone_calls.h"
 
 namespace opalroute {
 namespace {
 
-using zones::Step;
-using zones::Wrong;
+using zone_failover::EvacuationPhase;
+using zone_failover::FaultKind;
 
 TEST_CASE("zones: a zone that fails in any way is left by all within seconds, and no other is") {
   for (const Outcome how :
-       {Outcome::kConnectFailed, Outcome::kFull, Outcome::kReset, Outcome::kError, Outcome::kTimeout})
+       {Outcome::kConnectFailed, Outcome::kRejected, Outcome::kReset, Outcome::kError, Outcome::kTimeout})
     for (const int size : {3, 12, 60}) {
       CAPTURE(size);
       CAPTURE(static_cast<int>(how));
       TierStage s(RulesFor(size), {}, 5);
       const Seconds fails = 105, back = 115;
-      Calls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
+      UpstreamCalls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
         return zone == 1 && s.now >= fails && s.now < back ? Bad(how) : Met{};
       });
       s.StartAll();
       calls.PlayTo(fails);
       CHECK(s.changes.empty());
       calls.PlayTo(fails + (how == Outcome::kTimeout ? 2.6 : 2.2));
-      CHECK(CountIn(s, 1, Step::kOut) == size);
+      CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == size);
       calls.into.clear();
       calls.PlayTo(back);
       CHECK(calls.into[1] * 10 <= (calls.into[0] + calls.into[2]) * 3);  // of a small tier all are scouts
       if (size == 60) CHECK(calls.into[1] * 12 < calls.into[0]);
       calls.PlayTo(back + 8);
-      CHECK(CountIn(s, 1, Step::kOut) == 0);
+      CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
       calls.PlayTo(back + 14);
-      CHECK(CountIn(s, 1, Step::kIn) == size);
+      CHECK(CountIn(s, 1, EvacuationPhase::kInService) == size);
       for (const auto& change : s.changes) {
         CHECK(change.zone == 1);
-        CHECK(change.now.round == (change.now.step == Step::kLeaving ? 1 : 2));
+        CHECK(change.now.round == (change.now.phase == EvacuationPhase::kEvacuating ? 1 : 2));
       }
     }
 }
@@ -50,42 +50,42 @@
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
     TierStage s(RulesFor(40), links, 6);
-    Calls calls(s, 4,
-                [&](int, int, int zone) { return zone == 0 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+    UpstreamCalls calls(
+        s, 4, [&](int, int, int zone) { return zone == 0 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
     s.StartAll();
     calls.PlayTo(105);
     calls.PlayTo(108);
-    CHECK(CountIn(s, 0, Step::kOut) == 40);
+    CHECK(CountIn(s, 0, EvacuationPhase::kEvacuated) == 40);
   }
 }
 
 TEST_CASE("zones: the scouts are the same three to all, and others are drawn in the next round") {
   TierStage s(RulesFor(30), {}, 7);
-  Calls calls(s, 4,
-              [&](int, int, int zone) { return zone == 2 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+  UpstreamCalls calls(
+      s, 4, [&](int, int, int zone) { return zone == 2 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
   s.StartAll();
   calls.PlayTo(110);
   std::set<int> scouts;
   for (int relay = 0; relay < 30; ++relay)
-    if (s.ShareOf(relay, 2).scout) scouts.insert(relay);
+    if (s.ShareOf(relay, 2).is_health_check_relay) scouts.insert(relay);
   CHECK(scouts.size() >= 3);
   CHECK(scouts.size() <= 6);  // by what each has heard of others
   std::vector<int> live(30);
   std::iota(live.begin(), live.end(), 0);
-  const auto first = zones::ScoutsOf(live, 2, 2, 3);
-  CHECK(first != zones::ScoutsOf(live, 2, 3, 3));
-  CHECK(first != zones::ScoutsOf(live, 1, 2, 3));
+  const auto first = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
+  CHECK(first != zone_failover::HealthCheckRelaysOf(live, 2, 3, 3));
+  CHECK(first != zone_failover::HealthCheckRelaysOf(live, 1, 2, 3));
   for (const int scout : first) CHECK(scouts.count(scout) == 1);
   // One that goes leaves the others in their places.
   live.erase(std::find(live.begin(), live.end(), first[0]));
-  const auto without = zones::ScoutsOf(live, 2, 2, 3);
+  const auto without = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
   CHECK(without[0] == first[1]);
   CHECK(without[1] == first[2]);
 }
 
 TEST_CASE("zones: back for 300 ms each 3 s is not back") {
   TierStage s(RulesFor(12), {}, 8);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     const bool flash = std::fmod(s.now - 105, 3) >= 2.7;
     return zone == 1 && s.now >= 105 && !flash ? Bad(Outcome::kConnectFailed) : Met{Outcome::kServed, 0.05};
   });
@@ -94,14 +94,14 @@
   const std::size_t left = s.changes.size();
   calls.PlayTo(150);
   CHECK(s.changes.size() == left);
-  CHECK(CountIn(s, 1, Step::kOut) == 12);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
 TEST_CASE("zones: a relapse closes it anew, each time for longer up to a bound") {
   TierStage s(RulesFor(12), {}, 9);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     // Served for as long as scouts try it, failing under everybody.
-    const bool out = CountIn(s, 1, Step::kOut) > 6;
+    const bool out = CountIn(s, 1, EvacuationPhase::kEvacuated) > 6;
     return zone == 1 && s.now >= 105 && (!out || s.now < 107) ? Bad(Outcome::kReset)
                                                               : Met{Outcome::kServed, 0.05};
   });
@@ -109,8 +109,8 @@
   calls.PlayTo(200);
   std::map<std::uint64_t, std::pair<Seconds, Seconds>> rounds;  // out since, returning since
   for (const auto& change : s.changes) {
-    if (change.now.step == Step::kOut) rounds[change.now.round].first = change.now.since;
-    if (change.now.step == Step::kReturning) rounds[change.now.round].second = change.now.since;
+    if (change.now.phase == EvacuationPhase::kEvacuated) rounds[change.now.round].first = change.now.since;
+    if (change.now.phase == EvacuationPhase::kRecovering) rounds[change.now.round].second = change.now.since;
   }
   REQUIRE(rounds.size() >= 4);
   for (std::uint64_t round = 3; round + 1 <= rounds.rbegin()->first && rounds[round + 1].second > 0;
@@ -124,8 +124,8 @@
 
 TEST_CASE("zones: who starts, restarts or wakes in the middle learns the stage before its first send there") {
   TierStage s(RulesFor(12), {}, 10);
-  Calls calls(s, 8,
-              [&](int, int, int zone) { return zone == 1 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+  UpstreamCalls calls(
+      s, 8, [&](int, int, int zone) { return zone == 1 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
   s.StartAll();
   s.PlayTo(104);
   s.Kill(11);
@@ -135,88 +135,88 @@
   s.Kill(4, true);   // and without
   calls.PlayTo(112);
   for (const int relay : {3, 4, 11}) s.Start(relay);
-  CHECK(s[3].StageOf(1).step == Step::kOut);  // from the folder, before any word
-  CHECK(!s[4].Joined(s.now));
+  CHECK(s[3].StateOf(1).phase == EvacuationPhase::kEvacuated);  // from the folder, before any word
+  CHECK(!s[4].HasJoined(s.now));
   s.PlayTo(s.now + 0.15);
   for (const int relay : {3, 4, 11}) {
-    CHECK(s[relay].Joined(s.now));
-    CHECK(s[relay].StageOf(1).step == Step::kOut);
-    CHECK(s.ShareOf(relay, 1).share == 0);
+    CHECK(s[relay].HasJoined(s.now));
+    CHECK(s[relay].StateOf(1).phase == EvacuationPhase::kEvacuated);
+    CHECK(s.ShareOf(relay, 1).traffic_share == 0);
   }
   calls.PlayTo(125);
-  CHECK(CountIn(s, 1, Step::kOut) == 12);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
 TEST_CASE("zones: a verdict that a frozen relay wakes with counts for nothing") {
   TierStage s(RulesFor(12), {}, 11);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 108 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
   });
   s.StartAll();
   calls.PlayTo(107);
-  CHECK(CountIn(s, 1, Step::kOut) == 12);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
   s.Freeze(2, 125);
   calls.PlayTo(124);
-  CHECK(CountIn(s, 1, Step::kIn) == 11);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 11);
   const std::size_t before = s.changes.size();
   calls.PlayTo(130);
-  CHECK(CountIn(s, 1, Step::kIn) == 12);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 12);
   CHECK(s.changes.size() <= before + 2);  // its own alone
 }
 
 TEST_CASE(
     "zones: who was frozen while others agreed on a zone, and missed their notes, does not call it in") {
   TierStage s(RulesFor(12), {}, 17);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 ? Bad(Outcome::kConnectFailed) : Met{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  while (s.now < 110 && s[2].StageOf(1).step != Step::kLeaving) calls.PlayTo(s.now + 0.01);
-  REQUIRE(s[2].StageOf(1).step == Step::kLeaving);
+  while (s.now < 110 && s[2].StateOf(1).phase != EvacuationPhase::kEvacuating) calls.PlayTo(s.now + 0.01);
+  REQUIRE(s[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
   const Seconds back = s.now + 4;
   s.Freeze(2, back);
   s.cut = [&](int, int to) { return s.now < back + 0.1 && to == 2; };
   calls.PlayTo(s.now + 2);
-  CHECK(CountIn(s, 1, Step::kOut) == 11);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 11);
   calls.PlayTo(s.now + 6);
-  CHECK(CountIn(s, 1, Step::kOut) == 12);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
   int withdrawn = 0;
   for (const auto& change : s.changes) {
     CHECK(change.now.round < 3);
-    withdrawn += change.now.step == Step::kIn;
+    withdrawn += change.now.phase == EvacuationPhase::kInService;
   }
   CHECK(withdrawn == 1);  // its own, and it moves nobody
 }
 
 TEST_CASE("zones: two halves of a cut tier judge alike, and agree once they hear each other") {
   TierStage s(RulesFor(16), {}, 12);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 112 ? Bad(Outcome::kTimeout) : Met{Outcome::kServed, 0.05};
   });
   s.StartAll();
   s.cut = [&](int from, int to) { return s.now >= 104 && s.now < 110 && (from < 8) != (to < 8); };
   calls.PlayTo(108);
-  CHECK(CountIn(s, 1, Step::kOut) == 16);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 16);
   calls.PlayTo(116);
-  CHECK(CountIn(s, 1, Step::kOut) == 0);
-  CHECK(s[0].StageOf(1).round == s[15].StageOf(1).round);
+  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
+  CHECK(s[0].StateOf(1).round == s[15].StateOf(1).round);
   calls.PlayTo(124);
-  CHECK(CountIn(s, 1, Step::kIn) == 16);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 16);
 }
 
 TEST_CASE("zones: seven in ten relays are killed during the outage; the rest returns without them") {
   TierStage s(RulesFor(20), {}, 13);
-  Calls calls(s, 8, [&](int, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 114 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
   });
   s.StartAll();
   calls.PlayTo(108);
   for (int relay = 6; relay < 20; ++relay) s.Kill(relay, relay % 2 == 0);
   calls.PlayTo(130);
-  CHECK(CountIn(s, 1, Step::kIn) == 6);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 6);
   for (int relay = 6; relay < 20; ++relay) s.Start(relay);
   calls.PlayTo(s.now + 2);
-  CHECK(CountIn(s, 1, Step::kIn) == 20);
+  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 20);
 }
 
 // SIGKILL at every moment of leaving and returning, with the folder and without: it never sends where all
@@ -225,7 +225,7 @@
   for (int moment = 0; moment < 60; ++moment) {
     CAPTURE(moment);
     TierStage s(RulesFor(8), {}, 16);
-    Calls calls(s, 8, [&](int, int, int zone) {
+    UpstreamCalls calls(s, 8, [&](int, int, int zone) {
       return zone == 1 && s.now >= 105 && s.now < 110 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
     });
     s.StartAll();
@@ -233,13 +233,13 @@
     calls.PlayTo(kill);
     s.Kill(3, moment % 2 == 0);
     calls.PlayTo(kill + 0.6);
-    const bool all_out = CountIn(s, 1, Step::kOut) >= 7;
+    const bool all_out = CountIn(s, 1, EvacuationPhase::kEvacuated) >= 7;
     s.Start(3);
     s.PlayTo(s.now + 0.15);
-    CHECK(s[3].Joined(s.now));
-    if (all_out) CHECK(s.ShareOf(3, 1).share == 0);
+    CHECK(s[3].HasJoined(s.now));
+    if (all_out) CHECK(s.ShareOf(3, 1).traffic_share == 0);
     calls.PlayTo(125);
-    CHECK(CountIn(s, 1, Step::kIn) == 8);
+    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 8);
   }
 }
 
@@ -257,7 +257,7 @@
     TierStage s(RulesFor(size), links, seed);
     pcg32 chance(seed, 33);
     const auto one_in = [&](std::uint32_t n) { return chance(n) == 0; };
-    Calls calls(s, 2 + draw(8), [&](int relay, int partner, int zone) -> Met {
+    UpstreamCalls calls(s, 2 + draw(8), [&](int relay, int partner, int zone) -> Met {
       if (s.now < 102) return {};
       switch (kind) {
         case 0:  // one partner, however much it is called, in one zone
@@ -273,7 +273,7 @@
         case 5:  // discovery is wrong about a third of a zone's endpoints
           return zone == 2 && partner % 3 == 0 ? Bad(Outcome::kConnectFailed) : Met{};
         case 6:  // half of the partners of a zone are above their limits: two calls in three are turned away
-          return zone == 1 && partner % 2 == 0 && !one_in(3) ? Bad(Outcome::kFull)
+          return zone == 1 && partner % 2 == 0 && !one_in(3) ? Bad(Outcome::kRejected)
                                                              : Met{Outcome::kServed, 0.05};
         default:  // one call in four fails by chance, everywhere
           return one_in(4) ? Bad(how) : Met{};
@@ -282,25 +282,26 @@
     s.StartAll();
     calls.PlayTo(110);
     for (int zone = 0; zone < kZones; ++zone)
-      REQUIRE_MESSAGE(CountIn(s, zone, Step::kOut) == 0, "seed ", seed, ", kind ", kind, ", zone ", zone);
+      REQUIRE_MESSAGE(CountIn(s, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ", kind,
+                      ", zone ", zone);
     for (const auto& change : s.changes)
-      REQUIRE_MESSAGE(change.now.step != Step::kOut, "seed ", seed, ", kind ", kind);
+      REQUIRE_MESSAGE(change.now.phase != EvacuationPhase::kEvacuated, "seed ", seed, ", kind ", kind);
   }
 }
 
 TEST_CASE("zones: where half of the tier is served the other half leaves nobody's zone") {
   TierStage s(RulesFor(20), {}, 14);
-  Calls calls(s, 8, [&](int relay, int, int zone) {
+  UpstreamCalls calls(s, 8, [&](int relay, int, int zone) {
     return zone == 1 && relay < 10 && s.now >= 103 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
   });
   s.StartAll();
   calls.PlayTo(125);
-  for (const auto& change : s.changes) CHECK(change.now.step != Step::kOut);
+  for (const auto& change : s.changes) CHECK(change.now.phase != EvacuationPhase::kEvacuated);
 }
 
 TEST_CASE("zones: one relay that accuses falsely moves nobody") {
   TierStage s(RulesFor(8), {}, 15);
-  Calls calls(s, 6, [&](int relay, int, int) { return relay == 3 ? Bad(Outcome::kReset) : Met{}; });
+  UpstreamCalls calls(s, 6, [&](int relay, int, int) { return relay == 3 ? Bad(Outcome::kReset) : Met{}; });
   s.StartAll();
   calls.PlayTo(120);
   CHECK(s.changes.empty());
@@ -312,17 +313,17 @@
   struct Sent {
     int from;
     std::uint64_t life, number;
-    zones::Report report;
+    zone_failover::Report report;
   };
   const auto report = [](std::uint32_t good, std::uint32_t bad) {
-    zones::ZoneReport z, other;
-    z.good = good;
-    z.bad = bad;
-    z.good_age = good != 0 ? 0.2 : 3;
-    z.bad_age = bad != 0 ? 0.1 : 3;
-    other.good = 1;
-    other.good_age = 0.1;
-    return zones::Report{z, other};
+    zone_failover::ZoneReport z, other;
+    z.succeeded = good;
+    z.failed = bad;
+    z.success_age = good != 0 ? 0.2 : 3;
+    z.failure_age = bad != 0 ? 0.1 : 3;
+    other.succeeded = 1;
+    other.success_age = 0.1;
+    return zone_failover::Report{z, other};
   };
   const std::vector<Sent> sent = {{0, 1, 5, report(0, 3)}, {0, 1, 6, report(3, 0)},
                                   {1, 4, 9, report(4, 0)}, {1, 5, 1, report(0, 6)},  // it has started anew
@@ -333,15 +334,16 @@
   for (unsigned came = 0; came < 64; ++came) {
     std::optional<std::tuple<int, int, int, int, bool>> expected;
     do {
-      zones::Agreement a({}, 2);
+      zone_failover::ZoneConsensus a({}, 2);
       for (const int i : order)
         for (int twice = 0; twice < 2; ++twice)
           if ((came >> i & 1U) != 0) {
             const Sent& n = sent[static_cast<std::size_t>(i)];
             a.Add(10, n.from, n.life, n.number, n.report);
           }
-      const zones::View v = a.Of(10.1, 0);
-      const std::tuple now(v.accusers, v.vouchers, v.bad_partners, v.good_partners, a.Failing(10.1, 0, v, 3));
+      const zone_failover::ZoneView v = a.ViewOf(10.1, 0);
+      const std::tuple now(v.failure_reporters, v.success_reporters, v.failed_destinations,
+                           v.succeeded_destinations, a.IsFailing(10.1, 0, v, 3));
       if (!expected) expected = now;
       REQUIRE(now == *expected);
       ++checked;
@@ -353,13 +355,13 @@
 // Two zones that may fail at once beside a third: three relays, whose second words may be lost or come first.
 TEST_CASE("zones: verdicts on two zones at once are the same in every order and with every loss") {
   const auto report = [](int state, int relay) {  // bits: zone 0 fails, zone 1 fails
-    zones::Report all(3);
+    zone_failover::Report all(3);
     for (int zone = 0; zone < 3; ++zone) {
-      zones::ZoneReport& r = all[static_cast<std::size_t>(zone)];
+      zone_failover::ZoneReport& r = all[static_cast<std::size_t>(zone)];
       const bool bad = zone < 2 && (state >> zone & 1) != 0;
-      (bad ? r.bad : r.good) = 3U << relay;
-      (bad ? r.bad_age : r.good_age) = 0.1;
-      r.seen = 15;
+      (bad ? r.failed : r.succeeded) = 3U << relay;
+      (bad ? r.failure_age : r.success_age) = 0.1;
+      r.observed = 15;
     }
     return all;
   };
@@ -369,12 +371,13 @@
       std::vector<int> order = {0, 1, 2, 3, 4, 5};
       std::optional<std::pair<bool, bool>> expected;
       do {
-        zones::Agreement a({}, 3);
+        zone_failover::ZoneConsensus a({}, 3);
         for (const int i : order)
           if ((came >> i & 1U) != 0)
             a.Add(10, i / 2, 1, static_cast<std::uint64_t>(i % 2) + 1,
                   report(i % 2 == 0 ? 0 : states >> (i / 2 * 2) & 3, i / 2));
-        const std::pair now(a.Failing(10.1, 0, a.Of(10.1, 0), 3), a.Failing(10.1, 1, a.Of(10.1, 1), 3));
+        const std::pair now(a.IsFailing(10.1, 0, a.ViewOf(10.1, 0), 3),
+                            a.IsFailing(10.1, 1, a.ViewOf(10.1, 1), 3));
         if (!expected) expected = now;
         REQUIRE(now == *expected);
       } while (std::next_permutation(order.begin(), order.end()));
@@ -388,68 +391,70 @@
 
 // An accusation lasts for longer than what was served since the question, so fewer of the control are heard.
 TEST_CASE("zones: the control is held against those who have spoken since the zone is being left") {
-  zones::Agreement a({}, 2);
+  zone_failover::ZoneConsensus a({}, 2);
   const auto add = [&](Seconds seen, int relay, std::uint64_t number, Seconds served) {
-    zones::ZoneReport zone, control;
-    zone.bad = 1U << relay % 3;
-    zone.seen = 7;
-    zone.bad_age = 0.1;
-    control.good = 1;
-    control.good_age = served;
+    zone_failover::ZoneReport zone, control;
+    zone.failed = 1U << relay % 3;
+    zone.observed = 7;
+    zone.failure_age = 0.1;
+    control.succeeded = 1;
+    control.success_age = served;
     a.Add(seen, relay, 1, number, {zone, control});
   };
   const Seconds since = 10.3, now = 10.7;
   for (int relay = 0; relay < 50; ++relay) add(10, relay, 1, 0.1);
-  CHECK(!a.Failing(now, 0, a.Of(now, 0), 100, since));  // nobody has been served since
+  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));  // nobody has been served since
   for (int relay = 0; relay < 4; ++relay) add(10.6, relay, 2, 0.1);
-  CHECK(!a.Failing(now, 0, a.Of(now, 0), 100, since));  // too few: a quarter of a quorum is five
+  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));  // too few: a quarter of a quorum is five
   for (int relay = 4; relay < 12; ++relay) add(10.6, relay, 2, 0.1);
-  CHECK(a.Of(now, 0).accusers == 50);
-  CHECK(a.Failing(now, 0, a.Of(now, 0), 100, since));
-  CHECK(!a.Failing(now, 0, a.Of(now, 0), 100, 10.55));  // those calls were sent before
+  CHECK(a.ViewOf(now, 0).failure_reporters == 50);
+  CHECK(a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));
+  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, 10.55));  // those calls were sent before
 }
 
 TEST_CASE("zones: stages merge alike in every order and with every loss") {
-  const std::vector<zones::Stage> sent = {{1, Step::kLeaving, 0, 3},   {1, Step::kOut, 0, 4},
-                                          {1, Step::kReturning, 0, 5}, {2, Step::kOut, 1, 6},
-                                          {1, Step::kIn, 0, 5.5},      {2, Step::kOut, 1, 6.1}};
+  const std::vector<zone_failover::EvacuationState> sent = {
+      {1, EvacuationPhase::kEvacuating, 0, 3},  {1, EvacuationPhase::kEvacuated, 0, 4},
+      {1, EvacuationPhase::kRecovering, 0, 5},  {2, EvacuationPhase::kEvacuated, 1, 6},
+      {1, EvacuationPhase::kInService, 0, 5.5}, {2, EvacuationPhase::kEvacuated, 1, 6.1}};
   std::vector<int> order(sent.size());
   std::iota(order.begin(), order.end(), 0);
   for (unsigned came = 1; came < 64; ++came) {
-    std::optional<zones::Stage> expected;
+    std::optional<zone_failover::EvacuationState> expected;
     do {
-      zones::Stages stages({}, 1, 0);
+      zone_failover::ZoneEvacuation stages({}, 1, 0);
       for (const int i : order)
-        if ((came >> i & 1U) != 0) stages.Hear(10, 0, sent[static_cast<std::size_t>(i)]);
-      const zones::Stage& now = stages.Of(0);
+        if ((came >> i & 1U) != 0) stages.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
+      const zone_failover::EvacuationState& now = stages.Of(0);
       if (!expected) expected = now;
       REQUIRE(now.round == expected->round);
-      REQUIRE(now.step == expected->step);
+      REQUIRE(now.phase == expected->phase);
       REQUIRE(now.since == expected->since);
     } while (std::next_permutation(order.begin(), order.end()));
   }
 }
 
 TEST_CASE("zones: what a note says of them is read as it was written; cut anywhere it is refused") {
-  zones::Said said;
-  said.stages = {{300, Step::kReturning, 3, 12.34}, {0, Step::kIn, 0, 1e9}};
-  said.report = zones::Report(2);
-  (*said.report)[0].good = 0x80000001;
-  (*said.report)[1].bad = 7;
-  (*said.report)[1].bad_age = 0.37;
-  (*said.report)[1].wrong = Wrong::kSilent;
-  const std::string bytes = zones::WriteSaid(said);
-  const auto read = zones::ReadSaid(bytes);
+  zone_failover::ZoneGossip said;
+  said.stages = {{300, EvacuationPhase::kRecovering, 3, 12.34}, {0, EvacuationPhase::kInService, 0, 1e9}};
+  said.report = zone_failover::Report(2);
+  (*said.report)[0].succeeded = 0x80000001;
+  (*said.report)[1].failed = 7;
+  (*said.report)[1].failure_age = 0.37;
+  (*said.report)[1].fault = FaultKind::kTimeout;
+  const std::string bytes = zone_failover::EncodeZoneGossip(said);
+  const auto read = zone_failover::DecodeZoneGossip(bytes);
   REQUIRE(read);
   CHECK(read->stages[0].round == 300);
-  CHECK(read->stages[0].step == Step::kReturning);
+  CHECK(read->stages[0].phase == EvacuationPhase::kRecovering);
   CHECK(read->stages[0].relapses == 3);
   CHECK(read->stages[0].since == doctest::Approx(12.3));  // never older than it is
-  CHECK((*read->report)[0].good == 0x80000001);
-  CHECK((*read->report)[1].bad_age == doctest::Approx(0.3));
-  CHECK((*read->report)[1].wrong == Wrong::kSilent);
-  for (std::size_t size = 0; size < bytes.size(); ++size) CHECK(!zones::ReadSaid(bytes.substr(0, size)));
-  CHECK(!zones::ReadSaid(bytes + "x"));
+  CHECK((*read->report)[0].succeeded == 0x80000001);
+  CHECK((*read->report)[1].failure_age == doctest::Approx(0.3));
+  CHECK((*read->report)[1].fault == FaultKind::kTimeout);
+  for (std::size_t size = 0; size < bytes.size(); ++size)
+    CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
+  CHECK(!zone_failover::DecodeZoneGossip(bytes + "x"));
 }
 
 }  // namespace
