--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 
 #include "config/fields.h"
 #include "config/limits.h"
-#include "opalroute/request_router.h"
+#include "opalroute/settings.h"
 
 namespace opalroute {
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,7 +4,7 @@
 #include <cstdint>
 #include <nlohmann/json.hpp>
 
-#include "opalroute/request_router.h"
+#include "opalroute/settings.h"
 
 namespace opalroute::config {
 
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-#include "opalroute/request_router.h"
+#include "opalroute/types.h"
 
 namespace opalroute::membership {
 
--- a/src/relay/request_table.h
+++ b/src/relay/request_table.h
@@ -13,7 +13,7 @@
 #include "journal/persistent_clock.h"
 #include "metrics/counters.h"
 #include "net/event_loop.h"
-#include "opalroute/request_router.h"
+#include "opalroute/events.h"
 
 namespace opalroute {
 
--- a/src/zone_failover/zone_health_observer.h
+++ b/src/zone_failover/zone_health_observer.h
@@ -6,7 +6,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "opalroute/request_router.h"
+#include "opalroute/events.h"
 
 namespace opalroute::zone_failover {
 
