--- a/lab/experiments/script_table.cpp
+++ b/lab/experiments/script_table.cpp
@@ -40,7 +40,9 @@
       try {
         r = Simulation(ReadScenario(DrawScript(seed)), seed).Run();
         if (!r.breaches.empty()) wrong = TextOf(r.breaches);
-      } catch (const std::runtime_error& error) { wrong = error.what(); }
+      } catch (const std::runtime_error& error) {
+        wrong = error.what();
+      }
       const std::lock_guard<std::mutex> hold(lock);
       for (const ClassOutcome& c : r.classes) {
         messages += c.asked;
--- a/lab/faults/preload.cpp
+++ b/lab/faults/preload.cpp
@@ -86,7 +86,8 @@
   // A linear congruential generator (Knuth's constants) is even enough for this, and needs no lock.
   double Unit() {
     std::uint64_t state = state_.load();
-    while (!state_.compare_exchange_weak(state, state * 6364136223846793005U + 1442695040888963407U)) {}
+    while (!state_.compare_exchange_weak(state, state * 6364136223846793005U + 1442695040888963407U)) {
+    }
     return static_cast<double>(state >> 11U) / static_cast<double>(1ULL << 53U);
   }
 
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -370,7 +370,9 @@
     return 0;
   } catch (const opalroute::config::Faults& faults) {
     for (const std::string& fault : faults.all()) std::fprintf(stderr, "%s\n", fault.c_str());
-  } catch (const std::exception& error) { std::fprintf(stderr, "%s\n", error.what()); }
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
+  }
   (void)check;
   return 2;
 }
--- a/src/admin/zone_command.cpp
+++ b/src/admin/zone_command.cpp
@@ -29,7 +29,9 @@
   try {
     const ZoneCommand order = ParseZoneCommand(body);
     if (!give(order)) return net::PlainAnswer(404, "there is no zone '" + order.zone + "'");
-  } catch (const config::FieldError& error) { return net::PlainAnswer(400, error.what()); }
+  } catch (const config::FieldError& error) {
+    return net::PlainAnswer(400, error.what());
+  }
   return net::PlainAnswer(200, "done");
 }
 
--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -69,7 +69,9 @@
     config::Load(environment);
   } catch (const config::Faults& error) {
     faults.insert(faults.end(), error.all().begin(), error.all().end());
-  } catch (const config::FieldError& error) { faults.emplace_back(error.what()); }
+  } catch (const config::FieldError& error) {
+    faults.emplace_back(error.what());
+  }
   for (const std::string& fault : faults) std::cout << fault << '\n';
   if (faults.empty()) std::cout << "the configuration is sound\n";
   return faults.empty() ? 0 : 2;
--- a/src/config/fields.h
+++ b/src/config/fields.h
@@ -40,7 +40,9 @@
       step();
     } catch (const Faults& faults) {
       for (const std::string& fault : faults.all()) Add(fault);
-    } catch (const FieldError& error) { Add(error.what()); }
+    } catch (const FieldError& error) {
+      Add(error.what());
+    }
   }
   // Faults found inside carry this in front.
   template <typename Step>
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -264,7 +264,9 @@
 std::variant<Message, Fault> Decode(std::string_view bytes) {
   try {
     return Reader(bytes).ReadMessage();
-  } catch (const Reader::Failure& failure) { return failure.fault; }
+  } catch (const Reader::Failure& failure) {
+    return failure.fault;
+  }
 }
 
 std::string Encode(const Message& m) {
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -157,7 +157,9 @@
           Take(question, attempt, bytes);
         });
     flight.socket->Send(to, QueryOf(flight));  // unsent is as good as lost
-  } catch (const std::system_error& error) { log::Warn("dns_no_socket", {{"why", error.what()}}); }
+  } catch (const std::system_error& error) {
+    log::Warn("dns_no_socket", {{"why", error.what()}});
+  }
 }
 
 // The same try: the server has answered, in a way that says that its answer is longer.
--- a/src/journal/persistent_clock.cpp
+++ b/src/journal/persistent_clock.cpp
@@ -45,7 +45,9 @@
     if (kept.at("version").get<int>() != kVersion || !same_boot || !same_clock) return false;
     offset_ = kept.at("offset").get<std::int64_t>();
     return true;
-  } catch (const nlohmann::json::exception&) { return false; }
+  } catch (const nlohmann::json::exception&) {
+    return false;
+  }
 }
 
 std::int64_t PersistentClock::MonotonicMicros() const { return std::llround(clock_.Now() * 1e6); }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -140,7 +140,9 @@
 int Connection::Peek() const {
   char byte = 0;
   ssize_t count = 0;
-  do { count = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT); } while (count < 0 && errno == EINTR);
+  do {
+    count = recv(fd_, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  } while (count < 0 && errno == EINTR);
   return count < 0 ? errno : 0;
 }
 
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -200,7 +200,9 @@
   if (fd_ < 0) return false;
   pollfd queue{fd_, POLLIN, 0};
   int ready = 0;
-  do { ready = poll(&queue, 1, 0); } while (ready < 0 && errno == EINTR);
+  do {
+    ready = poll(&queue, 1, 0);
+  } while (ready < 0 && errno == EINTR);
   return ready != 0;  // where it can't be told, accept tells it
 }
 
--- a/src/relay/membership_file.cpp
+++ b/src/relay/membership_file.cpp
@@ -62,7 +62,9 @@
     }
     kept.zones = {std::move(stages), std::move(orders)};
     kept.load_result = old ? "too old" : "whole";
-  } catch (const json::exception&) { kept.incarnation = 0; }
+  } catch (const json::exception&) {
+    kept.incarnation = 0;
+  }
   return kept;
 }
 
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -274,7 +274,9 @@
         it->second.Take(now, event, sheet);
       }
       if (seen.insert(who).second) touched.push_back(who);
-    } catch (const WireError& error) { throw WireError("event " + std::to_string(i) + ": " + error.what()); }
+    } catch (const WireError& error) {
+      throw WireError("event " + std::to_string(i) + ": " + error.what());
+    }
   }
   json decisions = json::array();
   for (const std::string& who : touched) {
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -82,7 +82,9 @@
   try {
     close(raw::Connect(*net::ParseAddress(address)));
     return true;
-  } catch (const std::exception&) { return false; }
+  } catch (const std::exception&) {
+    return false;
+  }
 }
 
 // ---- the ledger ----------------------------------------------------------------------------------------
@@ -424,7 +426,9 @@
   std::string why;
   try {
     PlayOnSockets(ReadScenario(SmallDay()), 1, options);
-  } catch (const std::runtime_error& error) { why = error.what(); }
+  } catch (const std::runtime_error& error) {
+    why = error.what();
+  }
   CHECK(why.find("did not come up: exit status") != std::string::npos);
   CHECK(why.find("no-such-flag") != std::string::npos);
 }
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -49,7 +49,9 @@
 std::string FaultOf(const json& file) {
   try {
     ReadScenario(file);
-  } catch (const config::FieldError& fault) { return fault.what(); }
+  } catch (const config::FieldError& fault) {
+    return fault.what();
+  }
   return {};
 }
 
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -111,7 +111,9 @@
   base[json::json_pointer(pointer)] = value;
   try {
     config::Parse(base, [](const char*) { return std::nullopt; });
-  } catch (const config::FieldError& error) { return error.what(); }
+  } catch (const config::FieldError& error) {
+    return error.what();
+  }
   return {};
 }
 
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -41,7 +41,9 @@
 std::string Complaint(Host& host, const std::string& line) {
   try {
     host.Reply(line);
-  } catch (const WireError& error) { return error.what(); }
+  } catch (const WireError& error) {
+    return error.what();
+  }
   return "";
 }
 
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -340,7 +340,9 @@
   Script(Net& net, std::string bytes, bool ends)
       : listener_(net.loop, net.any, [this, bytes = std::move(bytes), ends](int fd) {
           CHECK(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
-          if (ends) { shutdown(fd, SHUT_WR); }
+          if (ends) {
+            shutdown(fd, SHUT_WR);
+          }
           fd_ = fd;
         }) {}
   ~Script() {
