--- /dev/null
+++ b/src/relay/clock_persister.h
@@ -0,0 +1,27 @@
+// Writes the persistent clock's offset to the state folder, again and again until the folder takes it.
+#pragma once
+
+#include "config/config.h"
+#include "journal/persistent_clock.h"
+#include "net/event_loop.h"
+
+namespace opalroute {
+
+class ClockPersister {
+ public:
+  // Makes the first attempt.
+  ClockPersister(net::EventLoop& loop, const Config& config, PersistentClock& clock);
+  ~ClockPersister();
+  ClockPersister(const ClockPersister&) = delete;
+  ClockPersister& operator=(const ClockPersister&) = delete;
+
+ private:
+  void Persist();
+
+  net::EventLoop& loop_;
+  const Config& config_;
+  PersistentClock& clock_;
+  net::EventLoop::TimerId timer_ = 0;
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/relay/peer_network.cpp
@@ -0,0 +1,66 @@
+#include "relay/peer_network.h"
+
+#include <cerrno>
+#include <system_error>
+#include <utility>
+
+#include "net/address.h"
+
+namespace opalroute {
+
+PeerNetwork::PeerNetwork(net::EventLoop& loop, const Config& config, Handler& handler)
+    : loop_(loop), config_(config), handler_(handler) {
+  for (std::size_t i = 0; i < config.peers.size(); ++i) {
+    peer_by_address_.emplace(net::KeyOf(config.peers[i]), static_cast<int>(i));
+  }
+}
+
+void PeerNetwork::Listen() {
+  try {
+    Open();
+  } catch (const std::system_error& error) {
+    const bool two_processes = config_.inherited_fd >= 0;
+    if (!two_processes || error.code().value() != EADDRINUSE) throw;
+    address_in_use_ = true;
+  }
+}
+
+void PeerNetwork::RetryListen() {
+  if (std::exchange(address_in_use_, false)) Listen();
+}
+
+void PeerNetwork::Open() {
+  socket_ = std::make_unique<net::DatagramSocket>(
+      loop_, *config_.peer_listen, config_.limits.datagram_bytes,
+      [this](const sockaddr_in& from, std::string payload) {
+        if (const auto peer = PeerAt(from)) handler_.OnPeerDatagram(*peer, std::move(payload));
+      },
+      [this](const sockaddr_in& to) {
+        if (const auto peer = PeerAt(to)) handler_.OnPeerUnreachable(*peer);
+      });
+}
+
+void PeerNetwork::SendTo(int peer, const std::string& payload) {
+  if (!socket_ || peer < 0 || peer >= static_cast<int>(config_.peers.size())) return;
+  socket_->Send(config_.peers[peer], payload);
+}
+
+void PeerNetwork::Broadcast(const std::string& payload, bool one_by_one) {
+  if (!socket_) return;
+  if (config_.peers_all) {
+    socket_->Send(*config_.peers_all, payload);
+    return;
+  }
+  if (!one_by_one) return;
+  for (int peer = 0; peer < static_cast<int>(config_.peers.size()); ++peer) {
+    if (peer != config_.own_peer) SendTo(peer, payload);
+  }
+}
+
+std::optional<int> PeerNetwork::PeerAt(const sockaddr_in& address) const {
+  const auto it = peer_by_address_.find(net::KeyOf(address));
+  if (it == peer_by_address_.end()) return std::nullopt;
+  return it->second;
+}
+
+}  // namespace opalroute
