--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -110,7 +110,7 @@
   if (!peers_.available()) {
     missing = "'peer_listen' is not set";
   } else if (!config_.may_tell_peers) {
-    missing = "the settings allow no notes between relays";
+    missing = "the settings allow no gossip between relays";
   } else if (config_.peers.size() < 2) {
     missing = "'peers' names no others";
   } else if (config_.own_peer < 0) {
