--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -10,43 +10,65 @@
 
 namespace {
 
+constexpr double kMillisecondsPerSecond = 1000;
+
 const char* NameOf(Outcome outcome) {
-  static const char* const names[] = {"served", "error",     "full",     "timeout", "unconnected",
-                                      "reset",  "cancelled", "not_sent", "crowded", "not_left"};
-  return names[static_cast<int>(outcome)];
+  switch (outcome) {
+    case Outcome::kServed:
+      return "served";
+    case Outcome::kError:
+      return "error";
+    case Outcome::kRejected:
+      return "rejected";
+    case Outcome::kTimeout:
+      return "timeout";
+    case Outcome::kConnectFailed:
+      return "connect_failed";
+    case Outcome::kReset:
+      return "reset";
+    case Outcome::kCancelled:
+      return "cancelled";
+    case Outcome::kNotSent:
+      return "not_sent";
+    case Outcome::kOutOfConnections:
+      return "out_of_connections";
+    case Outcome::kLocalShortage:
+      return "local_shortage";
+  }
+  return "unknown";
 }
 
 }  // namespace
 
 UpstreamCalls::UpstreamCalls(net::EventLoop& loop, const PersistentClock& clock, net::HttpClient& client,
                              const Config& config, Counters& counters, EndpointTable& endpoints,
-                             RequestTable& transactions, DecisionLoop& driver,
-                             std::function<void()> on_flow_over,
-                             std::function<void(EndpointId, Seconds)> on_wait)
+                             RequestTable& requests, DecisionLoop& decisions,
+                             std::function<void()> on_call_ended,
+                             std::function<void(EndpointId, Seconds)> on_retry_after)
     : loop_(loop),
       clock_(clock),
       client_(client),
       config_(config),
       counters_(counters),
       endpoints_(endpoints),
-      transactions_(transactions),
-      driver_(driver),
-      on_call_ended_(std::move(on_flow_over)),
-      on_retry_after_(std::move(on_wait)) {}
+      requests_(requests),
+      decisions_(decisions),
+      on_call_ended_(std::move(on_call_ended)),
+      on_retry_after_(std::move(on_retry_after)) {}
 
 void UpstreamCalls::Enqueue(const Send& send) {
-  AcceptedRequest* t = transactions_.Find(send.request_id);
-  if (t == nullptr) return;
+  AcceptedRequest* request = requests_.Find(send.request_id);
+  if (request == nullptr) return;
   UpstreamCall::Member member;
   member.request_id = send.request_id;
-  member.attempt = static_cast<int>(t->journal_attempts.size());
+  member.attempt = static_cast<int>(request->journal_attempts.size());
   member.send_deadline = send.send_deadline;
-  member.timeout_at = send.timeout_at > 0 ? std::min(send.timeout_at, t->deadline) : t->deadline;
-  member.id = t->id;
-  member.key = t->key;
-  member.body = t->body;
-  t->journal_attempts.push_back(-1);
-  ++t->attempts_in_flight;
+  member.timeout_at = send.timeout_at > 0 ? std::min(send.timeout_at, request->deadline) : request->deadline;
+  member.id = request->id;
+  member.key = request->key;
+  member.body = request->body;
+  request->journal_attempts.push_back(-1);
+  ++request->attempts_in_flight;
   const EndpointKind& kind = config_.settings.kinds[endpoints_.At(send.endpoint).kind];
   std::vector<Batch>& batches = queued_[send.endpoint];
   if (batches.empty() || batches.back().size() >= static_cast<std::size_t>(std::max(1, kind.max_batch)))
@@ -72,111 +94,133 @@
   ++to.users;
   auto owned =
       std::make_unique<UpstreamCall>(loop_, client_, endpoint, to.address, std::move(members), owner);
-  UpstreamCall* flow = owned.get();
-  calls_.emplace(flow, std::move(owned));
-  for (const UpstreamCall::Member& m : flow->members()) attempts_[{m.request_id, m.attempt}] = flow;
-  flow->Start();
+  UpstreamCall* call = owned.get();
+  calls_.emplace(call, std::move(owned));
+  for (const UpstreamCall::Member& m : call->members()) attempts_[{m.request_id, m.attempt}] = call;
+  call->Start();
 }
 
-// A wait or a drain may have been told, or a key's window have ended, while it waited for its connection.
-// Returns the reason why the attempt may not leave any more, or null.
-const char* UpstreamCalls::WhyNotSend(const UpstreamCall& flow, const UpstreamCall::Member& member,
-                                      const AcceptedRequest& t) const {
+// While the call waited for its connection the endpoint may have begun to drain, a Retry-After may have come,
+// or the deduplication window may have ended. Returns why the attempt must not be sent any more, or null.
+const char* UpstreamCalls::WhyNotSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+                                      const AcceptedRequest& request) const {
   const Seconds now = loop_.Now();
-  if (t.ended) return "the message is over";
-  if (member.timeout_at <= now) return "its time is up";
-  if (member.send_deadline <= now) return "the window of its key is over";
-  if (!driver_.router().MaySend(now, flow.endpoint())) return "the endpoint drains, is gone or told a wait";
+  if (request.ended) return "the request has ended";
+  if (member.timeout_at <= now) return "its timeout is over";
+  if (member.send_deadline <= now) return "the deduplication window is over";
+  if (!decisions_.router().MaySend(now, call.endpoint()))
+    return "the endpoint is draining, removed or has a Retry-After in force";
   return nullptr;
 }
 
-void UpstreamCalls::LogChoice(const char* event, const UpstreamCall& flow, const UpstreamCall::Member& member,
+void UpstreamCalls::LogChoice(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
                               const char* why) const {
   if (!log::Writes(log::Level::debug)) return;
   const EndpointTable::ListVersion& list = endpoints_.version();
   log::Debug(event, {{"id", member.id},
                      {"attempt", member.attempt},
-                     {"endpoint", endpoints_.At(flow.endpoint()).id},
+                     {"endpoint", endpoints_.At(call.endpoint()).id},
                      {"why", why},
                      {"generation", list.generation},
-                     {"news_age_ms", std::lround((loop_.Now() - list.at) * 1000)}});
+                     {"list_age_ms", std::lround((loop_.Now() - list.at) * kMillisecondsPerSecond)}});
 }
 
-bool UpstreamCalls::MaySend(const UpstreamCall& flow, const UpstreamCall::Member& member) {
-  const char* why = WhyNotSend(flow, member, transactions_.At(member.request_id));
+bool UpstreamCalls::MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) {
+  const char* why = WhyNotSend(call, member, requests_.At(member.request_id));
   if (why == nullptr) return true;
   ++counters_.not_left;
-  LogChoice("attempt_not_sent", flow, member, why);
+  LogChoice("attempt_not_sent", call, member, why);
   return false;
 }
 
-// What a restart would not know must not run.
-bool UpstreamCalls::RecordAttempt(const UpstreamCall& flow, const UpstreamCall::Member& member) {
-  const EndpointTable::Endpoint& endpoint = endpoints_.At(flow.endpoint());
+// An attempt that a restart would not know of must not run.
+bool UpstreamCalls::RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) {
+  const EndpointTable::Endpoint& endpoint = endpoints_.At(call.endpoint());
   JournalAttempt attempt;
   attempt.endpoint = endpoint.id;
   attempt.zone = config_.zones.empty() ? "" : config_.zones[endpoint.zone];
   attempt.sent_at = clock_.Micros();
-  const bool recorded =
-      transactions_.RecordAttempt(transactions_.At(member.request_id), member.attempt, attempt);
-  LogChoice(recorded ? "attempt_sent" : "attempt_not_sent", flow, member,
+  const bool recorded = requests_.RecordAttempt(requests_.At(member.request_id), member.attempt, attempt);
+  LogChoice(recorded ? "attempt_sent" : "attempt_not_sent", call, member,
             recorded ? "chosen" : "not recorded");
   return recorded;
 }
 
-void UpstreamCalls::Count(Outcome outcome) {
-  long* const counts[] = {&counters_.served,    &counters_.errors,         &counters_.full,
-                          &counters_.timeouts,  &counters_.connect_failed, &counters_.resets,
-                          &counters_.cancelled, &counters_.not_sent,       &counters_.crowded,
-                          &counters_.not_sent};
-  ++*counts[static_cast<int>(outcome)];
+long& UpstreamCalls::CounterOf(Outcome outcome) {
+  switch (outcome) {
+    case Outcome::kServed:
+      return counters_.served;
+    case Outcome::kError:
+      return counters_.errors;
+    case Outcome::kRejected:
+      return counters_.full;
+    case Outcome::kTimeout:
+      return counters_.timeouts;
+    case Outcome::kConnectFailed:
+      return counters_.connect_failed;
+    case Outcome::kReset:
+      return counters_.resets;
+    case Outcome::kCancelled:
+      return counters_.cancelled;
+    case Outcome::kOutOfConnections:
+      return counters_.crowded;
+    case Outcome::kNotSent:
+    case Outcome::kLocalShortage:
+      break;
+  }
+  return counters_.not_sent;
 }
 
 void UpstreamCalls::OnOutcome(const UpstreamCall&, const UpstreamCall::Member& member,
                               const AttemptOutcome& outcome) {
-  AcceptedRequest& t = transactions_.At(member.request_id);
+  AcceptedRequest& request = requests_.At(member.request_id);
   attempts_.erase({member.request_id, member.attempt});
-  --t.attempts_in_flight;
-  Count(outcome.outcome);
+  --request.attempts_in_flight;
+  ++CounterOf(outcome.outcome);
   if (outcome.retry_after > 0) on_retry_after_(outcome.endpoint, outcome.retry_after);
-  if (log::Writes(log::Level::debug))
-    log::Debug("attempt_ended", {{"id", t.id},
-                                 {"attempt", member.attempt},
-                                 {"endpoint", endpoints_.At(outcome.endpoint).id},
-                                 {"destination", t.destination},
-                                 {"outcome", NameOf(outcome.outcome)},
-                                 {"duration_ms", std::lround(outcome.duration * 1000)},
-                                 {"wait_ms", std::lround(outcome.retry_after * 1000)}});
-  AttemptOutcome told = outcome;
-  told.request_ended = outcome.request_ended || t.ended;
-  if (!t.ended && outcome.request_ended) {
-    if (outcome.outcome == Outcome::kServed) counters_.Passed(t.request_class);
-    transactions_.End(t);
-  } else if (!t.ended && ProvesNeverRan(outcome.outcome)) {
-    transactions_.RecordNotExecuted(t, member.attempt);
+  LogOutcome(request, outcome);
+  AttemptOutcome event = outcome;
+  event.request_ended = outcome.request_ended || request.ended;
+  if (!request.ended && outcome.request_ended) {
+    if (outcome.outcome == Outcome::kServed) counters_.Passed(request.request_class);
+    requests_.End(request);
+  } else if (!request.ended && ProvesNeverRan(outcome.outcome)) {
+    requests_.RecordNotExecuted(request, member.attempt);
   }
-  driver_.Post(told);
-  transactions_.ForgetIfDone(member.request_id);
+  decisions_.Post(event);
+  requests_.ForgetIfDone(member.request_id);
+}
+
+void UpstreamCalls::LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const {
+  if (!log::Writes(log::Level::debug)) return;
+  log::Debug("attempt_ended",
+             {{"id", request.id},
+              {"attempt", outcome.attempt},
+              {"endpoint", endpoints_.At(outcome.endpoint).id},
+              {"destination", request.destination},
+              {"outcome", NameOf(outcome.outcome)},
+              {"duration_ms", std::lround(outcome.duration * kMillisecondsPerSecond)},
+              {"retry_after_ms", std::lround(outcome.retry_after * kMillisecondsPerSecond)}});
 }
 
-void UpstreamCalls::OnServedLate(RequestId message) {
-  const AcceptedRequest* t = transactions_.Find(message);
-  if (t != nullptr && !t->ended) counters_.Passed(t->request_class);
-  EndWithoutOutcome(message);
+void UpstreamCalls::OnServedLate(RequestId id) {
+  const AcceptedRequest* request = requests_.Find(id);
+  if (request != nullptr && !request->ended) counters_.Passed(request->request_class);
+  EndWithoutOutcome(id);
 }
 
-void UpstreamCalls::EndWithoutOutcome(RequestId message) {
-  AcceptedRequest* t = transactions_.Find(message);
-  if (t == nullptr || t->ended) return;
-  transactions_.End(*t);
-  driver_.Post(RequestAborted{message});
-  transactions_.ForgetIfDone(message);
+void UpstreamCalls::EndWithoutOutcome(RequestId id) {
+  AcceptedRequest* request = requests_.Find(id);
+  if (request == nullptr || request->ended) return;
+  requests_.End(*request);
+  decisions_.Post(RequestAborted{id});
+  requests_.ForgetIfDone(id);
 }
 
-void UpstreamCalls::OnCallEnded(UpstreamCall& flow) {
-  const auto it = calls_.find(&flow);
+void UpstreamCalls::OnCallEnded(UpstreamCall& call) {
+  const auto it = calls_.find(&call);
   if (it == calls_.end()) return;
-  --endpoints_.At(flow.endpoint()).users;
+  --endpoints_.At(call.endpoint()).users;
   loop_.Retire(std::move(it->second));
   calls_.erase(it);
   on_call_ended_();
@@ -186,19 +230,19 @@
   ++counters_.probes;
   EndpointTable::Endpoint& to = endpoints_.At(endpoint);
   ++to.users;
-  const auto may_leave = [this, endpoint] { return driver_.router().MaySend(loop_.Now(), endpoint); };
-  const auto done = [this](HealthCheckCall& probe, const HealthCheckOutcome& outcome) {
+  const auto may_send = [this, endpoint] { return decisions_.router().MaySend(loop_.Now(), endpoint); };
+  const auto done = [this](HealthCheckCall& ended, const HealthCheckOutcome& outcome) {
     --endpoints_.At(outcome.endpoint).users;
-    const auto it = health_checks_.find(&probe);
+    const auto it = health_checks_.find(&ended);
     loop_.Retire(std::move(it->second));
     health_checks_.erase(it);
-    driver_.Post(outcome);
+    decisions_.Post(outcome);
   };
   auto owned = std::make_unique<HealthCheckCall>(loop_, client_, endpoint, to.address,
-                                                 config_.limits.connect_time, may_leave, done);
-  HealthCheckCall* probe = owned.get();
-  health_checks_.emplace(probe, std::move(owned));
-  probe->Start();
+                                                 config_.limits.connect_time, may_send, done);
+  HealthCheckCall* check = owned.get();
+  health_checks_.emplace(check, std::move(owned));
+  check->Start();
 }
 
 }  // namespace opalroute
--- a/src/relay/upstream_calls.h
+++ b/src/relay/upstream_calls.h
@@ -1,4 +1,4 @@
-// What is out at endpoints: server-side flows and probes, and their outcomes on the way to the module.
+// The calls and health checks in flight: carries Send actions to the endpoints and outcomes to the decisions.
 #pragma once
 
 #include <functional>
@@ -15,42 +15,47 @@
 #include "relay/decision_loop.h"
 #include "relay/endpoint_table.h"
 #include "relay/request_table.h"
+#include "upstream/health_check_call.h"
 #include "upstream/upstream_call.h"
 
 namespace opalroute {
 
 class UpstreamCalls : private UpstreamCall::Owner {
  public:
-  // `on_flow_over` is called when one flow fewer is out, `on_wait` when an endpoint has told one.
+  // `on_call_ended` is called when a call has ended, `on_retry_after` when an endpoint has answered with a
+  // Retry-After, in seconds.
   UpstreamCalls(net::EventLoop& loop, const PersistentClock& clock, net::HttpClient& client,
-                const Config& config, Counters& counters, EndpointTable& endpoints,
-                RequestTable& transactions, DecisionLoop& driver, std::function<void()> on_flow_over,
-                std::function<void(EndpointId, Seconds)> on_wait);
+                const Config& config, Counters& counters, EndpointTable& endpoints, RequestTable& requests,
+                DecisionLoop& decisions, std::function<void()> on_call_ended,
+                std::function<void(EndpointId, Seconds)> on_retry_after);
 
-  // Sends of one turn to one endpoint share calls, as far as its kind allows: Start sends what was gathered.
+  // Sends of one batch of events to one endpoint share calls, up to EndpointKind::max_batch.
   void Enqueue(const Send& send);
+  // Starts the calls that were enqueued.
   void Start();
   void Cancel(const opalroute::CancelAttempt& cancel);
   void StartHealthCheck(EndpointId endpoint);
-  // Ends it without an outcome of its own: delivered by a call that had been given up, or withdrawn.
-  void EndWithoutOutcome(RequestId message);
+  // Ends a request that has no outcome to wait for: it was served by a call that had been abandoned, or the
+  // client has left.
+  void EndWithoutOutcome(RequestId request);
   std::size_t out() const { return calls_.size(); }
 
  private:
   using Batch = std::vector<UpstreamCall::Member>;
 
-  bool MaySend(const UpstreamCall& flow, const UpstreamCall::Member& member) override;
-  bool RecordAttempt(const UpstreamCall& flow, const UpstreamCall::Member& member) override;
-  void OnOutcome(const UpstreamCall& flow, const UpstreamCall::Member& member,
+  bool MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) override;
+  bool RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) override;
+  void OnOutcome(const UpstreamCall& call, const UpstreamCall::Member& member,
                  const AttemptOutcome& outcome) override;
-  void OnWritten(int messages) override { counters_.upstream_tries += messages; }
-  void OnServedLate(RequestId message) override;
-  void OnCallEnded(UpstreamCall& flow) override;
+  void OnWritten(int requests) override { counters_.upstream_tries += requests; }
+  void OnServedLate(RequestId request) override;
+  void OnCallEnded(UpstreamCall& call) override;
   void StartCall(EndpointId endpoint, Batch members);
-  const char* WhyNotSend(const UpstreamCall& flow, const UpstreamCall::Member& member,
-                         const AcceptedRequest& t) const;
-  void Count(Outcome outcome);
-  void LogChoice(const char* event, const UpstreamCall& flow, const UpstreamCall::Member& member,
+  const char* WhyNotSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+                         const AcceptedRequest& request) const;
+  long& CounterOf(Outcome outcome);
+  void LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const;
+  void LogChoice(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
                  const char* why) const;
 
   net::EventLoop& loop_;
@@ -59,8 +64,8 @@
   const Config& config_;
   Counters& counters_;
   EndpointTable& endpoints_;
-  RequestTable& transactions_;
-  DecisionLoop& driver_;
+  RequestTable& requests_;
+  DecisionLoop& decisions_;
   std::function<void()> on_call_ended_;
   std::function<void(EndpointId, Seconds)> on_retry_after_;
   std::map<EndpointId, std::vector<Batch>> queued_;
--- /dev/null
+++ b/src/upstream/health_check_call.cpp
@@ -0,0 +1,70 @@
+#include "upstream/health_check_call.h"
+
+#include <utility>
+
+#include "upstream/endpoint_protocol.h"
+
+namespace opalroute {
+namespace {
+
+Outcome OutcomeOf(net::HttpClient::Broken how) {
+  switch (how) {
+    case net::HttpClient::Broken::kReset:
+      return Outcome::kReset;
+    case net::HttpClient::Broken::kNoRoom:
+      return Outcome::kLocalShortage;
+    default:
+      return Outcome::kConnectFailed;
+  }
+}
+
+}  // namespace
+
+HealthCheckCall::HealthCheckCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint,
+                                 const sockaddr_in& to, Seconds timeout, MaySend may_send, Done done)
+    : loop_(loop),
+      client_(client),
+      endpoint_(endpoint),
+      to_(to),
+      timeout_(timeout),
+      started_(loop.Now()),
+      may_send_(std::move(may_send)),
+      done_(std::move(done)) {}
+
+HealthCheckCall::~HealthCheckCall() {
+  loop_.Cancel(timer_);
+  if (!ended_) client_.Abandon(*this);
+}
+
+void HealthCheckCall::Start() {
+  timer_ = loop_.At(started_ + timeout_, [this] {
+    timer_ = 0;
+    client_.Abandon(*this);
+    Finish(Outcome::kTimeout);
+  });
+  client_.Start({to_, endpoint_}, *this);
+}
+
+// A health check counts as a call: a drain or a Retry-After that came while its connection was opened binds
+// it too.
+std::string HealthCheckCall::OnReady() {
+  if (!may_send_()) {
+    Finish(Outcome::kNotSent);
+    return {};
+  }
+  return endpoint_protocol::WriteHealthCheck(to_);
+}
+
+void HealthCheckCall::OnAnswer(net::HttpMessage& answer) {
+  Finish(endpoint_protocol::HealthCheckOutcomeOf(answer), endpoint_protocol::LoadReportOf(answer));
+}
+
+void HealthCheckCall::OnBroken(net::HttpClient::Broken how, int) { Finish(OutcomeOf(how)); }
+
+void HealthCheckCall::Finish(Outcome outcome, const LoadReport& report) {
+  loop_.Cancel(timer_);
+  ended_ = true;
+  done_(*this, {endpoint_, outcome, loop_.Now() - started_, report});
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/upstream/health_check_call.h
@@ -0,0 +1,44 @@
+// A health check of an endpoint: one call that carries no request.
+#pragma once
+
+#include <netinet/in.h>
+
+#include <functional>
+#include <string>
+
+#include "net/event_loop.h"
+#include "net/http_client.h"
+#include "opalroute/events.h"
+
+namespace opalroute {
+
+class HealthCheckCall : private net::HttpClient::Call {
+ public:
+  using MaySend = std::function<bool()>;  // asked just before the first byte
+  using Done = std::function<void(HealthCheckCall&, const HealthCheckOutcome&)>;
+
+  // `timeout`: seconds from now to the answer. `done` is called once.
+  HealthCheckCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
+                  Seconds timeout, MaySend may_send, Done done);
+  ~HealthCheckCall() override;
+  void Start();
+
+ private:
+  std::string OnReady() override;
+  void OnAnswer(net::HttpMessage& answer) override;
+  void OnBroken(net::HttpClient::Broken how, int status) override;
+  void Finish(Outcome outcome, const LoadReport& report = {});
+
+  net::EventLoop& loop_;
+  net::HttpClient& client_;
+  const EndpointId endpoint_;
+  const sockaddr_in to_;
+  const Seconds timeout_;
+  const Seconds started_;
+  const MaySend may_send_;
+  const Done done_;
+  net::EventLoop::TimerId timer_ = 0;
+  bool ended_ = false;
+};
+
+}  // namespace opalroute
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -1,37 +1,46 @@
-// A server-side flow: one call to an endpoint, with one message or several, and what becomes of each.
+// One call to an endpoint, with one request or a batch of them, and the outcome of each.
 #pragma once
 
+#include <netinet/in.h>
+
 #include <string>
 #include <vector>
 
+#include "net/event_loop.h"
 #include "net/http_client.h"
-#include "opalroute/request_router.h"
+#include "opalroute/events.h"
+#include "upstream/endpoint_protocol.h"
 
 namespace opalroute {
 
 class UpstreamCall : private net::HttpClient::Call {
  public:
-  struct Member {
+  // A request in the call.
+  struct Member : endpoint_protocol::OutgoingRequest {
     RequestId request_id = 0;
     int attempt = 0;
     Seconds timeout_at = 0;
     Seconds send_deadline = 0;  // its first byte leaves before this or never
-    std::string id, key, body;  // as they pass on
-    bool pending = true;        // for its outcome
+    bool pending = true;        // it has no outcome yet
     net::EventLoop::TimerId timer = 0;
   };
 
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Just before the first byte. False: this attempt may not leave any more.
-    virtual bool MaySend(const UpstreamCall& flow, const Member& member) = 0;
-    // Then, before the first byte. False: it could not be recorded, and must not leave now.
-    virtual bool RecordAttempt(const UpstreamCall& flow, const Member& member) = 0;
-    virtual void OnWritten(int messages) = 0;  // so many have left whole
-    virtual void OnOutcome(const UpstreamCall& flow, const Member& member, const AttemptOutcome& outcome) = 0;
-    virtual void OnServedLate(RequestId message) = 0;  // it had had its outcome before
-    virtual void OnCallEnded(UpstreamCall& flow) = 0;
+    // Asked just before the first byte. False: this attempt must not be sent any more.
+    virtual bool MaySend(const UpstreamCall& call, const Member& member) = 0;
+    // Asked next. False: the attempt could not be recorded, and must not be sent now.
+    virtual bool RecordAttempt(const UpstreamCall& call, const Member& member) = 0;
+    // So many requests have been written to the connection as a whole.
+    virtual void OnWritten(int requests) = 0;
+    // Called once for each member.
+    virtual void OnOutcome(const UpstreamCall& call, const Member& member, const AttemptOutcome& outcome) = 0;
+    // The endpoint has served a request that had had its outcome before.
+    virtual void OnServedLate(RequestId request) = 0;
+    // All members have their outcomes. The call may be destroyed once the caller has returned to the event
+    // loop.
+    virtual void OnCallEnded(UpstreamCall& call) = 0;
   };
 
   UpstreamCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
@@ -41,7 +50,7 @@
   EndpointId endpoint() const { return endpoint_; }
   const std::vector<Member>& members() const { return members_; }
   void Start();
-  void Cancel(RequestId message, int attempt);
+  void Cancel(RequestId request, int attempt);
 
  private:
   std::string OnReady() override;
@@ -50,55 +59,28 @@
   void OnBroken(net::HttpClient::Broken how, int status) override;
   bool Suffices(int status) override;
 
-  std::string WriteSingle(const Member& member, long remaining) const;
-  std::string WriteBatch(const std::vector<const Member*>& members, long remaining) const;
-  void ReadBatchStates(const net::HttpMessage& answer, Seconds wait);
-  void Settle(Member& member, Outcome outcome, Seconds wait = 0, bool over = false);
-  void SettleAll(Outcome outcome, Seconds wait = 0, bool over = false);
+  void RejectMembersThatMayNotBeSent();
+  std::vector<const Member*> PendingMembers() const;
+  std::string WriteRequest(const std::vector<const Member*>& members, long remaining_ms) const;
+  void OnBatchAnswer(const net::HttpMessage& answer, Seconds retry_after);
+  void Settle(Member& member, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
+  void SettleAll(endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
   void Abandon(Member& member, Outcome if_written, Outcome if_not);
-  bool AnyPending() const;
   void EndIfSettled();
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
-  EndpointId endpoint_;
-  sockaddr_in to_;
+  const EndpointId endpoint_;
+  const sockaddr_in to_;
   std::vector<Member> members_;
   Owner& owner_;
-  Seconds started_ = 0;
+  const Seconds started_;
   LoadReport report_;
-  Seconds stated_until_ = 0;  // the time that the request stated, in whole milliseconds
-  Seconds answered_ = -1;     // when what says that it was served was read; negative: not yet
-  int requests_sent_ = 0;     // messages in the request
-  bool begun_ = false;        // the request went to the connection
-  bool batch_ = false;        // it holds several messages
-  bool ended_ = false;
-};
-
-// A probe of an endpoint's health.
-class HealthCheckCall : private net::HttpClient::Call {
- public:
-  using MaySend = std::function<bool()>;  // asked just before the first byte
-  using Done = std::function<void(HealthCheckCall&, const HealthCheckOutcome&)>;
-  HealthCheckCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
-                  Seconds longest, MaySend may_leave, Done done);
-  ~HealthCheckCall() override;
-  void Start();
-
- private:
-  std::string OnReady() override;
-  void OnAnswer(net::HttpMessage& answer) override;
-  void OnBroken(net::HttpClient::Broken how, int status) override;
-  void Finish(Outcome outcome, const LoadReport& report = {});
-
-  net::EventLoop& loop_;
-  net::HttpClient& client_;
-  EndpointId endpoint_;
-  sockaddr_in to_;
-  Seconds longest_, started_ = 0;
-  MaySend may_send_;
-  Done done_;
-  net::EventLoop::TimerId timer_ = 0;
+  Seconds stated_timeout_at_ = 0;  // the timeout that the request states, which is in whole milliseconds
+  Seconds answered_at_ = -1;       // when what says that it was served was read; negative: not yet
+  int requests_sent_ = 0;
+  bool begun_ = false;  // the request has been handed to the connection
+  bool batch_ = false;  // it holds several requests
   bool ended_ = false;
 };
 
--- a/tests/upstream/upstream_call_test.cpp
+++ b/tests/upstream/upstream_call_test.cpp
@@ -1,4 +1,5 @@
 // A server-side flow whose message may not leave any more when its connection has come up.
+#include "upstream/health_check_call.h"
 #include "upstream/upstream_call.h"
 
 #include <arpa/inet.h>
