--- /dev/null
+++ b/src/simulator/instance.h
@@ -0,0 +1,79 @@
+// One relay of the simulator: maps the simulator's events to the decision library's and its actions back. The
+// words of the simulator's JSON stand in instance.cpp and adapter.cpp alone.
+#pragma once
+
+#include <map>
+#include <memory>
+#include <nlohmann/json.hpp>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "config/fields.h"
+#include "opalroute/request_router.h"
+#include "simulator/name_table.h"
+
+namespace opalroute::simulator {
+
+// Says in one line what is wrong with the input, and where.
+using WireError = config::FieldError;
+
+// A router with the names of its requests and endpoints. Shares nothing with other instances.
+class Instance {
+ public:
+  // `attach`: the event that starts the instance. Throws WireError, as all functions that read JSON do.
+  Instance(std::string name, const nlohmann::json& attach);
+
+  // `list`: the endpoint list that the event refers to; null if it was not declared.
+  void HandleEvent(Seconds now, const nlohmann::json& event, const nlohmann::json* list);
+  void EndBatch(Seconds now);
+  // Appends the actions since the last call to a JSON array.
+  void WriteActions(nlohmann::json& decisions);
+
+ private:
+  // A request whose name is still needed.
+  struct KnownRequest {
+    std::string name;
+    int attempts_in_flight = 0;
+    bool ended = false;
+  };
+
+  void OnEndpointList(Seconds now, const nlohmann::json& event, const nlohmann::json* list);
+  void OnNewRequest(Seconds now, const nlohmann::json& event);
+  void OnAttemptOutcome(Seconds now, const nlohmann::json& event);
+  void OnHealthCheckOutcome(Seconds now, const nlohmann::json& event);
+  void OnGossip(Seconds now, const nlohmann::json& event);
+  void OnAborted(Seconds now, const nlohmann::json& event);
+  void OnResponseStarted(Seconds now, const nlohmann::json& event);
+
+  ListedEndpoint ParseListedEndpoint(const nlohmann::json& row);
+  int IndexOf(const std::vector<std::string>& names, const nlohmann::json& event, const char* field) const;
+
+  nlohmann::json Write(const Send& send);
+  nlohmann::json Write(const Reject& reject);
+  nlohmann::json Write(const Fail& fail);
+  nlohmann::json Write(const CancelAttempt& cancel);
+  nlohmann::json Write(const HealthCheck& check);
+  nlohmann::json Write(const SetTimer& timer);
+  nlohmann::json Write(const WatchEndpointList& watch);
+  nlohmann::json Write(const CloseIdleConnections& close);
+  nlohmann::json Write(const SendGossip& gossip);
+  nlohmann::json Write(const Log& line);
+
+  bool IsNamedByAction(RequestId id) const;
+  void ForgetIfDone(RequestId id);
+
+  std::string name_;
+  std::vector<std::string> classes_;
+  std::vector<std::string> tenants_;
+  std::vector<std::string> zones_;
+  std::vector<std::string> kinds_;
+  NameTable endpoints_;
+  std::unordered_map<std::string, RequestId> request_ids_;
+  std::map<RequestId, KnownRequest> requests_;
+  RequestId next_request_id_ = 1;
+  std::unique_ptr<RequestRouter> router_;
+  std::vector<Action> actions_;
+};
+
+}  // namespace opalroute::simulator
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -7,13 +7,13 @@
 
 int main() {
   std::ios::sync_with_stdio(false);
-  opalroute::simulator::Host host;
+  opalroute::simulator::Adapter adapter;
   std::string line;
   try {
     for (long number = 1; std::getline(std::cin, line); ++number) {
       if (line.empty()) continue;
       try {
-        std::cout << host.Reply(line) << '\n' << std::flush;
+        std::cout << adapter.Reply(line) << '\n' << std::flush;
       } catch (const std::exception& error) {
         std::cerr << "opalroute_drill: line " << number << ": " << error.what() << '\n';
         return 1;
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -38,9 +38,9 @@
          R"(","grade":"order","patienceLeftS":16,"destination":7})";
 }
 
-std::string Complaint(Host& host, const std::string& line) {
+std::string Complaint(Adapter& adapter, const std::string& line) {
   try {
-    host.Reply(line);
+    adapter.Reply(line);
   } catch (const WireError& error) {
     return error.what();
   }
@@ -48,14 +48,14 @@
 }
 
 TEST(WireTest, AnEmptyBatchGetsAnEmptyReply) {
-  Host host;
-  EXPECT_EQ(host.Reply(Batch("1", "")), R"({"decisions":[]})");
+  Adapter adapter;
+  EXPECT_EQ(adapter.Reply(Batch("1", "")), R"({"decisions":[]})");
 }
 
 TEST(WireTest, AMessageIsPlacedUnderItsOwnNames) {
-  Host host;
-  host.Reply(Batch("1", Attach("courier-3")));
-  const auto reply = nlohmann::json::parse(host.Reply(Batch("2", Inbound("courier-3", "r-a"))));
+  Adapter adapter;
+  adapter.Reply(Batch("1", Attach("courier-3")));
+  const auto reply = nlohmann::json::parse(adapter.Reply(Batch("2", Inbound("courier-3", "r-a"))));
   const auto& first = reply.at("decisions").at(0);
   EXPECT_EQ(first.at("type"), "PLACE");
   EXPECT_EQ(first.at("who"), "courier-3");
@@ -64,8 +64,8 @@
 }
 
 TEST(WireTest, AnInstanceActsTheSameAloneAndAmongOthers) {
-  Host alone;
-  Host shared;
+  Adapter alone;
+  Adapter shared;
   alone.Reply(Batch("1", Attach("courier-1")));
   shared.Reply(Batch("1", Attach("courier-1") + "," + Attach("courier-2")));
   const std::string other = Inbound("courier-2", "r-x");
@@ -77,33 +77,33 @@
 }
 
 TEST(WireTest, AKilledInstanceKnowsNothingAfterItsReturn) {
-  Host host;
-  host.Reply(Batch("1", Attach("courier-1")));
-  host.Reply(Batch("2", Inbound("courier-1", "r-a")));
-  host.Reply(
+  Adapter adapter;
+  adapter.Reply(Batch("1", Attach("courier-1")));
+  adapter.Reply(Batch("2", Inbound("courier-1", "r-a")));
+  adapter.Reply(
       Batch("3", R"({"type":"CRASH_NOW","who":"courier-1"})" + std::string(",") + Attach("courier-1")));
   const auto late = R"({"type":"RESULT","who":"courier-1","corr":"r-a","shot":0,"endpoint":"e-1",)"
                     R"("outcome":"completed","durationS":1,"terminal":true})";
-  EXPECT_EQ(Complaint(host, Batch("4", late)), "");
+  EXPECT_EQ(Complaint(adapter, Batch("4", late)), "");
 }
 
 TEST(WireTest, AWithdrawnMessageThatEndedIsPassedOver) {
-  Host host;
-  host.Reply(Batch("1", Attach("courier-1")));
-  EXPECT_EQ(Complaint(host, Batch("2", R"({"type":"ABORTED","who":"courier-1","corr":"r-gone"})")), "");
+  Adapter adapter;
+  adapter.Reply(Batch("1", Attach("courier-1")));
+  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"ABORTED","who":"courier-1","corr":"r-gone"})")), "");
 }
 
 // The end of a message may come in the batch of the outcome on which the courier has just ended it.
 TEST(WireTest, AMessageWithdrawnInTheBatchThatEndsItIsAnsweredOnce) {
-  Host host;
+  Adapter adapter;
   std::string attach = Attach("courier-1");
   attach.replace(attach.find("idempotent"), 10, "at_most_once");
-  host.Reply(Batch("1", attach));
-  host.Reply(Batch("2", Inbound("courier-1", "r-a")));
+  adapter.Reply(Batch("1", attach));
+  adapter.Reply(Batch("2", Inbound("courier-1", "r-a")));
   const std::string lost = R"({"type":"RESULT","who":"courier-1","corr":"r-a","shot":0,"endpoint":"e-1",)"
                            R"("outcome":"errored","durationS":1})";
   const std::string gone = R"({"type":"ABORTED","who":"courier-1","corr":"r-a"})";
-  const auto reply = nlohmann::json::parse(host.Reply(Batch("3", lost + "," + gone)));
+  const auto reply = nlohmann::json::parse(adapter.Reply(Batch("3", lost + "," + gone)));
   std::vector<std::string> answers;
   for (const auto& decision : reply.at("decisions"))
     if (decision.contains("corr")) answers.push_back(decision.at("type"));
@@ -111,17 +111,17 @@
 }
 
 TEST(WireTest, BadInputIsNamed) {
-  Host host;
-  host.Reply(Batch("1", Attach("courier-1")));
-  EXPECT_EQ(Complaint(host, "{"), "no JSON at byte 2");
-  EXPECT_EQ(Complaint(host, R"({"in":[]})"), "missing field 'tsS'");
-  EXPECT_EQ(Complaint(host, Batch("2", R"({"type":"HELLO","who":"courier-1"})")),
+  Adapter adapter;
+  adapter.Reply(Batch("1", Attach("courier-1")));
+  EXPECT_EQ(Complaint(adapter, "{"), "no JSON at byte 2");
+  EXPECT_EQ(Complaint(adapter, R"({"in":[]})"), "missing field 'tsS'");
+  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"HELLO","who":"courier-1"})")),
             "event 0: unknown event 'HELLO'");
-  EXPECT_EQ(Complaint(host, Batch("2", Inbound("courier-9", "r-b"))),
+  EXPECT_EQ(Complaint(adapter, Batch("2", Inbound("courier-9", "r-b"))),
             "event 0: unknown instance 'courier-9'");
-  EXPECT_EQ(Complaint(host, Batch("2", R"({"type":"INBOUND","who":"courier-1","corr":"r-c"})")),
+  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"INBOUND","who":"courier-1","corr":"r-c"})")),
             "event 0: missing field 'grade'");
-  EXPECT_EQ(Complaint(host, Batch("2", R"({"type":"REMINDER","who":"courier-1","label":"x"})")),
+  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"REMINDER","who":"courier-1","label":"x"})")),
             "event 0: field 'label' has the wrong form");
 }
 
