--- /dev/null
+++ b/tests/compatibility/state_player.cpp
@@ -0,0 +1,370 @@
+// state_player PROGRAM FIXTURE SHIFT_S [EXPECTED]: starts the relay program on a copy of a recorded state
+// folder and prints what becomes of it: which messages come to which endpoint, the notices, counters, and
+// what is kept. With EXPECTED, compares instead: exit status 1 if a line is missing or too many.
+//
+// The recorded deadlines are long over. So the file `clock` of the copy is written anew, in its own format,
+// as a process of this boot would have left it, with the offset that makes the folder's time go on SHIFT_S
+// seconds after the kill. Uses no part of the program but its sockets and files.
+#include <arpa/inet.h>
+#include <fcntl.h>
+#include <poll.h>
+#include <signal.h>
+#include <sys/socket.h>
+#include <sys/wait.h>
+#include <unistd.h>
+#include <zlib.h>
+
+#include <chrono>
+#include <cstdio>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <iostream>
+#include <map>
+#include <nlohmann/json.hpp>
+#include <regex>
+#include <set>
+#include <sstream>
+#include <stdexcept>
+#include <string>
+#include <vector>
+
+namespace {
+
+namespace fs = std::filesystem;
+using nlohmann::json;
+
+constexpr int kMostMs = 30'000;   // for all that is expected to arrive
+constexpr int kAfterMs = 400;     // for what is not expected
+constexpr int kRecordMs = 8'000;  // where nothing is compared
+
+std::int64_t MonotonicMicros() {
+  timespec now{};
+  clock_gettime(CLOCK_MONOTONIC, &now);
+  return now.tv_sec * 1'000'000LL + now.tv_nsec / 1000;
+}
+
+std::string ReadFile(const fs::path& path) {
+  std::ifstream file(path, std::ios::binary);
+  return {std::istreambuf_iterator<char>(file), {}};
+}
+
+// A frame is its record's length and CRC-32, each in four bytes with the lowest first, and the record.
+json ReadFramed(const fs::path& path) { return json::parse(ReadFile(path).substr(8)); }
+
+void WriteFramed(const fs::path& path, const std::string& record) {
+  const auto size = static_cast<std::uint32_t>(record.size());
+  const auto check =
+      static_cast<std::uint32_t>(crc32(0, reinterpret_cast<const Bytef*>(record.data()), size));
+  std::ofstream file(path, std::ios::binary);
+  for (const std::uint32_t number : {size, check})
+    for (int i = 0; i < 4; ++i) file.put(static_cast<char>(number >> (8 * i)));
+  file << record;
+}
+
+int Bind(int type) {
+  const int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  if (bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof(address)) != 0) throw std::runtime_error("bind");
+  return fd;
+}
+
+std::string AddressOf(int fd) {
+  sockaddr_in address{};
+  socklen_t size = sizeof(address);
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
+}
+
+int Listen() {
+  const int fd = Bind(SOCK_STREAM);
+  listen(fd, 64);
+  return fd;
+}
+
+std::string FreeAddress(int type) {
+  const int fd = Bind(type);
+  const std::string address = AddressOf(fd);
+  close(fd);
+  return address;
+}
+
+std::string Header(const std::string& head, const std::string& name) {
+  const std::size_t at = head.find("\r\n" + name + ": ");
+  if (at == std::string::npos) return {};
+  const std::size_t from = at + name.size() + 4;
+  return head.substr(from, head.find("\r\n", from) - from);
+}
+
+std::string DecodeBase64(const std::string& text) {
+  static const std::string kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+  std::string bytes;
+  unsigned bits = 0, count = 0;
+  for (const char c : text) {
+    if (c == '=') break;
+    bits = bits << 6U | static_cast<unsigned>(kDigits.find(c));
+    if ((count += 6) >= 8) bytes += static_cast<char>(bits >> (count -= 8));
+  }
+  return bytes;
+}
+
+std::string WithoutNumber(const std::string& text, const std::string& key) {
+  return std::regex_replace(text, std::regex("\"" + key + "\":[-+.e0-9]+"), "\"" + key + "\":*");
+}
+
+std::string Answer(int status, const std::string& body = {}) {
+  return "HTTP/1.1 " + std::to_string(status) + " -\r\nContent-Length: " + std::to_string(body.size()) +
+         "\r\n\r\n" + body;
+}
+
+// The endpoints and discovery, on one thread.
+class StandIns {
+ public:
+  explicit StandIns(std::set<std::string>& facts) : facts_(facts) {
+    for (const char* name : {"e1", "e2", "s1", "s2", "discovery"}) listeners_[name] = Listen();
+  }
+  std::map<std::string, std::string> Addresses() const {
+    std::map<std::string, std::string> addresses;
+    for (const auto& [name, fd] : listeners_) addresses[name] = AddressOf(fd);
+    return addresses;
+  }
+  void Pump() {
+    std::vector<pollfd> all;
+    for (const auto& [name, fd] : listeners_) all.push_back({fd, POLLIN, 0});
+    for (const auto& [fd, connection] : connections_) all.push_back({fd, POLLIN, 0});
+    poll(all.data(), all.size(), 20);
+    for (const auto& [name, fd] : listeners_)
+      for (const pollfd& p : all)
+        if (p.fd == fd && p.revents != 0)
+          connections_[accept4(fd, nullptr, nullptr, SOCK_CLOEXEC)] = {name, {}};
+    for (const pollfd& p : all)
+      if (p.revents != 0 && connections_.count(p.fd) > 0) Receive(p.fd);
+  }
+
+ private:
+  struct Connection {
+    std::string place, in;
+  };
+  void Receive(int fd) {
+    Connection& connection = connections_[fd];
+    char bytes[65536];
+    const ssize_t count = recv(fd, bytes, sizeof(bytes), 0);
+    if (count <= 0) {
+      close(fd);
+      connections_.erase(fd);
+      return;
+    }
+    connection.in.append(bytes, static_cast<std::size_t>(count));
+    for (;;) {
+      const std::size_t end = connection.in.find("\r\n\r\n");
+      if (end == std::string::npos) return;
+      const std::string head = connection.in.substr(0, end + 2);
+      const std::string length = Header(head, "Content-Length");
+      const std::size_t size = length.empty() ? 0 : std::stoul(length);
+      if (connection.in.size() < end + 4 + size) return;
+      const std::string answer = Serve(connection.place, head, connection.in.substr(end + 4, size));
+      send(fd, answer.data(), answer.size(), MSG_NOSIGNAL);
+      connection.in.erase(0, end + 4 + size);
+    }
+  }
+  std::string Serve(const std::string& place, const std::string& head, const std::string& body) {
+    if (place == "discovery" && head.rfind("GET", 0) == 0) {
+      const std::string line = "{\"generation\":41,\"reset\":false,\"instances\":[]}\n";
+      std::ostringstream chunk;
+      chunk << "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+            << std::hex << line.size() << "\r\n"
+            << line;
+      return chunk.str() + "\r\n";
+    }
+    if (place == "discovery") {
+      std::istringstream lines(body);
+      for (std::string line; std::getline(lines, line);)
+        facts_.insert("notice " + WithoutNumber(line, "retry_in_ms"));
+      return Answer(204);
+    }
+    if (head.rfind("GET", 0) == 0) return Answer(200);  // a probe
+    if (head.rfind("POST /hook/batch ", 0) != 0) {
+      Called(place, Header(head, "X-Txn"), Header(head, "Idempotency-Key"), body);
+      return Answer(200);
+    }
+    json done = json::array();
+    for (const json& one : json::parse(body)) {
+      Called(place, one.at("id"), one.value("key", ""), DecodeBase64(one.at("body")));
+      done.push_back({{"id", one.at("id")}, {"state", "done"}});
+    }
+    return Answer(200, done.dump());
+  }
+  void Called(const std::string& place, const std::string& id, const std::string& key,
+              const std::string& body) {
+    const bool sound = body == "body of " + id + std::string("\0\r\n\xff", 4);
+    facts_.insert("call " + place + " " + id + " key '" + key + "' body " + (sound ? "as taken" : "changed"));
+  }
+
+  std::set<std::string>& facts_;
+  std::map<std::string, int> listeners_;
+  std::map<int, Connection> connections_;
+};
+
+std::string Ask(const std::string& address, const std::string& path) {
+  const int fd = socket(AF_INET, SOCK_STREAM, 0);
+  sockaddr_in to{};
+  to.sin_family = AF_INET;
+  to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  to.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1))));
+  const std::string request = "GET " + path + " HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+  std::string answer;
+  if (connect(fd, reinterpret_cast<sockaddr*>(&to), sizeof(to)) == 0 &&
+      send(fd, request.data(), request.size(), MSG_NOSIGNAL) > 0) {
+    char bytes[4096];
+    for (ssize_t count = 0; (count = recv(fd, bytes, sizeof(bytes), 0)) > 0;)
+      answer.append(bytes, static_cast<std::size_t>(count));
+  }
+  close(fd);
+  return answer;
+}
+
+class Play {
+ public:
+  Play(std::string program, const fs::path& fixture, double shift, std::set<std::string> expected)
+      : program_(std::move(program)),
+        expected_(std::move(expected)),
+        state_(fs::temp_directory_path() / ("opalroute-state-" + std::to_string(getpid()))),
+        pair_(fs::exists(fixture / "waits.0")),
+        stand_ins_(facts_) {
+    fs::copy(fixture, state_);
+    std::int64_t killed_at = 0;
+    std::ifstream(fixture / "killed_at_us") >> killed_at;
+    std::string boot;
+    std::getline(std::ifstream("/proc/sys/kernel/random/boot_id"), boot);
+    const std::int64_t now = MonotonicMicros();
+    json clock = ReadFramed(state_ / "clock");
+    clock["boot"] = boot;
+    clock["monotonic"] = now;
+    clock["offset"] = killed_at + static_cast<std::int64_t>(shift * 1e6) - now;
+    WriteFramed(state_ / "clock", clock.dump());
+    WriteConfig(fixture.parent_path() / "config.json");
+  }
+  ~Play() { fs::remove_all(state_); }
+
+  const std::set<std::string>& Run() {
+    TakeSnapshot();
+    const std::uint64_t life = pair_ ? 0 : ReadFramed(state_ / "tier").at("life").get<std::uint64_t>();
+    const pid_t process = Start();
+    Serve();
+    AskFigures();
+    kill(process, SIGKILL);
+    waitpid(process, nullptr, 0);
+    if (!pair_) TierFacts(life);
+    std::istringstream bans(ReadFile(state_ / "bans"));
+    for (std::string id; std::getline(bans, id);) facts_.insert("suspended " + id);
+    return facts_;
+  }
+
+ private:
+  void WriteConfig(const fs::path& from) {
+    addresses_ = stand_ins_.Addresses();
+    listener_ = Listen();
+    addresses_["listen"] = pair_ ? AddressOf(listener_) : FreeAddress(SOCK_STREAM);
+    for (const char* name : {"d1", "ops"}) addresses_[name] = FreeAddress(SOCK_STREAM);
+    for (const char* name : {"p0", "p1"}) addresses_[name] = FreeAddress(SOCK_DGRAM);
+    std::string text = ReadFile(from);
+    const auto fill = [&](const std::string& name, const std::string& value) {
+      for (std::size_t at = 0; (at = text.find("@" + name + "@")) != std::string::npos;)
+        text.replace(at, name.size() + 2, value);
+    };
+    for (const auto& [name, address] : addresses_) fill(name, address);
+    fill("state", state_.string());
+    std::ofstream(state_ / "config.json") << text;
+  }
+  void TakeSnapshot() {
+    FILE* pipe = popen((program_ + " snapshot " + state_.string() + " --json 2>/dev/null").c_str(), "r");
+    std::string text;
+    for (int c = 0; (c = fgetc(pipe)) != EOF && c != '\n';) text += static_cast<char>(c);
+    pclose(pipe);
+    facts_.insert("snapshot " + WithoutNumber(text, "saved_before_s"));
+  }
+  pid_t Start() {
+    const pid_t process = fork();
+    if (process != 0) return process;
+    setenv("EDGE_CONFIG", (state_ / "config.json").c_str(), 1);
+    if (pair_) setenv("EDGE_INHERITED_FD", std::to_string(dup(listener_)).c_str(), 1);
+    const int log = open((state_ / "log").c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
+    dup2(log, STDOUT_FILENO);
+    if (pair_) execl(program_.c_str(), program_.c_str(), nullptr);
+    execl(program_.c_str(), program_.c_str(), "--learn-state", "--tier-shares", "--tier-zones", nullptr);
+    _exit(127);
+  }
+  bool AllArrived() const {
+    for (const std::string& line : expected_)
+      if ((line.rfind("call ", 0) == 0 || line.rfind("notice ", 0) == 0) && facts_.count(line) == 0)
+        return false;
+    return !expected_.empty();
+  }
+  void Serve() {
+    const std::int64_t began = MonotonicMicros();
+    std::int64_t until = began + (expected_.empty() ? kRecordMs : kMostMs) * 1000LL;
+    for (bool all = false; MonotonicMicros() < until;) {
+      stand_ins_.Pump();
+      if (all || !AllArrived()) continue;
+      all = true;
+      until = MonotonicMicros() + kAfterMs * 1000LL;
+    }
+  }
+  void AskFigures() {
+    std::smatch found;
+    const std::string counters = Ask(addresses_["listen"], "/counters");
+    if (std::regex_search(counters, found, std::regex("\"restored\":[0-9]+")))
+      facts_.insert("counters " + found.str());
+    std::istringstream lines(Ask(addresses_["ops"], "/v1/metrics"));
+    for (std::string line; std::getline(lines, line);)
+      if (line.rfind("edge.known", 0) == 0 || line.rfind("edge.skipped", 0) == 0 ||
+          line.rfind("edge.in_p", 0) == 0)
+        facts_.insert("figure " + line);
+  }
+  void TierFacts(std::uint64_t before) {
+    const json tier = ReadFramed(state_ / "tier");
+    const auto life = tier.at("life").get<std::uint64_t>();
+    facts_.insert(life == before + 1 ? "tier life is the next"
+                  : life > before    ? "tier life is later"
+                                     : "tier life is old");
+    for (const auto& [zone, row] : tier.at("zones").items())
+      if (row.contains("order"))
+        facts_.insert("tier order " + zone + " " + row["order"]["what"].get<std::string>() + " " +
+                      row["order"]["number"].dump());
+  }
+
+  const std::string program_;
+  const std::set<std::string> expected_;
+  std::set<std::string> facts_;
+  const fs::path state_;
+  const bool pair_;
+  StandIns stand_ins_;
+  std::map<std::string, std::string> addresses_;
+  int listener_ = -1;
+};
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  if (argc < 4) return 2;
+  std::set<std::string> expected;
+  if (argc > 4) {
+    std::ifstream file(argv[4]);
+    for (std::string line; std::getline(file, line);) expected.insert(line);
+    if (expected.empty()) return 2;
+  }
+  Play play(argv[1], argv[2], std::stod(argv[3]), expected);
+  const std::set<std::string> facts = play.Run();
+  if (expected.empty()) {
+    for (const std::string& line : facts) std::cout << line << '\n';
+    return 0;
+  }
+  int wrong = 0;
+  for (const std::string& line : expected)
+    if (facts.count(line) == 0) std::cout << "missing: " << line << '\n', ++wrong;
+  for (const std::string& line : facts)
+    if (expected.count(line) == 0) std::cout << "unexpected: " << line << '\n', ++wrong;
+  return wrong == 0 ? 0 : 1;
+}
