--- a/tests/compatibility/record_drill.py
+++ b/tests/compatibility/record_drill.py
@@ -45,18 +45,21 @@
                   key_rest=None, rate=8.0, hold=0.0),
 }
 VARIANTS["crowded"] = dict(VARIANTS["push"], rate=26.0, room=70, calls_out=9, group="zone", late="by_half")
+# One of a large tier, whose other members are not played: idle connections close, and slots are short.
+VARIANTS["fleet"] = dict(VARIANTS["plain"], balancers=12, peers=False, cancel=True, calls_out=4, apart=[True, False],
+                         rate=10.0, notes=[("r", 3, None), ("c", 1, None), ("b", 5, None), ("c", 0, "e-0a"), ("r", 2, "e-2b")])
 
 
 def options(v, me):
     classes = [dict(c, group=v["group"]) for c in CLASSES]
     result = {
-        "az": "north" if me % 2 == 0 else "south", "balancers": v["couriers"], "callers": {"marksRetry": True},
+        "az": "north" if me % 2 == 0 else "south", "balancers": v.get("balancers", v["couriers"]), "callers": {"marksRetry": True},
         "classes": classes, "discovery": v["discovery"], "domainType": "deliver",
         "familyInfo": {"bundleMax": v["bundle"], "callsOut": v["calls_out"], "late": v["late"],
                        "refusedPrice": 0.03, "routesApart": v["apart"], "toll": [0.01, 0.04]},
         "kinds": ["bulk", "small"],
         "limits": {"cancel": v["cancel"], "connIdleS": 15.0, "cpuUsPerRequest": 0.0, "cpuUsPerS": 825000,
-                   "dialTimeoutS": 0.5, "maxRetryAfterS": 3.0, "mostTries": 6, "openCap": v["room"], "peers": True,
+                   "dialTimeoutS": 0.5, "maxRetryAfterS": 3.0, "mostTries": 6, "openCap": v["room"], "peers": v.get("peers", True),
                    "probes": True, "retryAfter": True, "secondCopies": v["copies"], "streamsPerConn": 1},
         "me": me, "overShareWorth": 0.2,
         "rules": {"answerSlackS": 0.02, "askWithinS": 6.0, "coldFrom": 0.25, "drainGraceS": 1.0,
@@ -77,6 +80,15 @@
     return io.TextIOWrapper(gzip.GzipFile("", "wb", 9, open(path, "wb"), mtime=0))
 
 
+def lane_note(kind, destination, route):
+    """What a peer says of a destination, or of a route of it: refused, back or crowded."""
+    tag = 2166136261
+    for letter in route or "":
+        tag = (tag ^ ord(letter)) * 16777619 % (1 << 32)
+    return base64.b64encode(b"L" + kind.encode() + bytes([2 * destination]) +
+                            (tag.to_bytes(4, "little") if route else b"")).decode()
+
+
 class Endpoint:
     def __init__(self, name, zone, kind, destination, limit):
         self.name, self.zone, self.kind, self.destination = name, zone, kind, destination
@@ -187,6 +199,8 @@
         self.at(START_S + 45, self.send_all)
         self.at(START_S + 41, self.crash, "courier-1", 0.8)
         self.at(START_S + 52, self.crash, "courier-0", 0.0)
+        for i, note in enumerate(6 * self.v.get("notes", [])):
+            self.at(START_S + 5 + 2 * i, self.pass_on, f"courier-{i % 3}", 7, lane_note(*note))
         for second in range(3, int(DAY_S), 7):
             body = bytes(drawn.randrange(256) for _ in range(drawn.randrange(12)))
             self.at(START_S + second, self.pass_on, "courier-0", 1, base64.b64encode(body).decode())
