--- a/src/config/config.h
+++ b/src/config/config.h
@@ -13,7 +13,7 @@
 
 #include "config/fields.h"
 #include "config/limits.h"
-#include "opalroute/rules.h"
+#include "opalroute/settings.h"
 
 namespace opalroute {
 
--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "lane_note.h"
-#include "learning/codec.h"
+#include "decision/route_gossip.h"
+#include "membership/message.h"
 #include "net/framing.h"
-#include "tier/note.h"
-#include "zones/codec.h"
+#include "state_transfer/codec.h"
+#include "zone_failover/zone_gossip.h"
 
 namespace {
 
@@ -45,230 +45,247 @@
 
 const char* const kUnreadable = "unreadable";
 
-// ---- the tier's notes ------------------------------------------------------------------------------------
+// ---- membership messages ----
 
-std::string TierMeaning(std::string_view bytes) {
-  const auto note = tier::ReadNote(bytes);
-  if (!note) return kUnreadable;
+std::string MembershipMeaning(std::string_view bytes) {
+  const auto message = membership::DecodeMessage(bytes);
+  if (!message) return kUnreadable;
   std::ostringstream text;
-  text << "kind " << static_cast<char>(note->kind) << " incarnation " << note->life << " number "
-       << note->number << " echo " << note->echo << " from peer " << note->first << ":";
-  for (const tier::Told& told : note->told) text << ' ' << "-hr"[static_cast<int>(told.of)] << told.age;
-  text << " zones " << Hex(note->zones);
+  text << "kind " << static_cast<char>(message->kind) << " incarnation " << message->incarnation
+       << " sequence " << message->sequence << " acked " << message->acked_sequence << " from peer "
+       << message->first_peer << ":";
+  for (const membership::PeerReport& report : message->peer_reports)
+    text << ' ' << "-au"[static_cast<int>(report.kind)] << report.age;
+  text << " zones " << Hex(message->zone_payload);
   return text.str();
 }
 
-std::vector<Case> TierCases() {
-  using Of = tier::Told::Of;
-  tier::Note note{tier::NoteKind::kAsk, 1'700'000'000'123'456, 1, 0, 0, {}, ""};
-  std::vector<Case> cases = {{"tier ask, bare", tier::WriteNote(note, 256), TierMeaning}};
-  note.first = 299;
-  note.number = 128;
-  note.echo = 77;
-  note.zones = std::string("\x00\x01\xff", 3);
-  note.told = {{Of::kNothing, 0},    {Of::kHeard, 0},    {Of::kHeard, 0.1}, {Of::kHeard, 6},
-               {Of::kHeard, 12},     {Of::kHeard, 12.1}, {Of::kRefused, 0}, {Of::kRefused, 3},
-               {Of::kRefused, 11.9}, {Of::kRefused, 12}, {Of::kRefused, 13}};
-  const std::pair<tier::NoteKind, const char*> kinds[] = {{tier::NoteKind::kAsk, "ask"},
-                                                          {tier::NoteKind::kHello, "hello"},
-                                                          {tier::NoteKind::kAnswer, "answer"},
-                                                          {tier::NoteKind::kTold, "told"},
-                                                          {tier::NoteKind::kLeaving, "leaving"}};
+std::vector<Case> MembershipCases() {
+  using Kind = membership::PeerReport::Kind;
+  membership::Message message{membership::MessageKind::kPing, 1'700'000'000'123'456, 1, 0, 0, {}, ""};
+  std::vector<Case> cases = {
+      {"membership ping, empty", membership::EncodeMessage(message, 256), MembershipMeaning}};
+  message.first_peer = 299;
+  message.sequence = 128;
+  message.acked_sequence = 77;
+  message.zone_payload = std::string("\x00\x01\xff", 3);
+  message.peer_reports = {{Kind::kNothing, 0},      {Kind::kAlive, 0},       {Kind::kAlive, 0.1},
+                          {Kind::kAlive, 6},        {Kind::kAlive, 12},      {Kind::kAlive, 12.1},
+                          {Kind::kUnreachable, 0},  {Kind::kUnreachable, 3}, {Kind::kUnreachable, 11.9},
+                          {Kind::kUnreachable, 12}, {Kind::kUnreachable, 13}};
+  const std::pair<membership::MessageKind, const char*> kinds[] = {
+      {membership::MessageKind::kPing, "ping"},
+      {membership::MessageKind::kJoin, "join"},
+      {membership::MessageKind::kAck, "ack"},
+      {membership::MessageKind::kGossip, "gossip"},
+      {membership::MessageKind::kLeave, "leave"}};
   for (const auto& [kind, name] : kinds) {
-    note.kind = kind;
-    cases.push_back({std::string("tier ") + name, tier::WriteNote(note, 256), TierMeaning});
+    message.kind = kind;
+    cases.push_back(
+        {std::string("membership ") + name, membership::EncodeMessage(message, 256), MembershipMeaning});
   }
-  note.told.assign(500, {Of::kHeard, 2});
-  cases.push_back({"tier, a window that is cut", tier::WriteNote(note, 40), TierMeaning});
-  cases.push_back({"tier, a byte too many", tier::WriteNote(note, 40) + "x", TierMeaning});
-  std::string later = tier::WriteNote(note, 40);
+  message.peer_reports.assign(500, {Kind::kAlive, 2});
+  cases.push_back(
+      {"membership, truncated window", membership::EncodeMessage(message, 40), MembershipMeaning});
+  cases.push_back(
+      {"membership, trailing byte", membership::EncodeMessage(message, 40) + "x", MembershipMeaning});
+  std::string later = membership::EncodeMessage(message, 40);
   later[1] = 2;
-  cases.push_back({"tier, another version", later, TierMeaning});
+  cases.push_back({"membership, unknown version", later, MembershipMeaning});
   return cases;
 }
 
-// ---- zones
-// -------------------------------------------------------------------------------------------------
+// ---- zone gossip ----
 
-std::string ZonesMeaning(std::string_view bytes) {
-  const auto said = zones::ReadSaid(bytes);
-  if (!said) return kUnreadable;
+std::string ZoneGossipMeaning(std::string_view bytes) {
+  const auto gossip = zone_failover::DecodeZoneGossip(bytes);
+  if (!gossip) return kUnreadable;
   std::ostringstream text;
-  for (const zones::Stage& s : said->stages)
-    text << "stage " << s.round << '/' << static_cast<int>(s.step) << " relapses " << s.relapses << " age "
-         << s.since << "; ";
-  if (said->report)
-    for (const zones::ZoneReport& r : *said->report)
-      text << "report " << r.good << '@' << r.good_age << ' ' << r.bad << '@' << r.bad_age << " of " << r.seen
-           << " cause " << static_cast<int>(r.wrong) << "; ";
-  for (const zones::HandOrder& o : said->orders)
-    text << "order " << o.number << " by " << o.by << " what " << static_cast<int>(o.what) << " left "
-         << o.until << "; ";
+  for (const zone_failover::EvacuationState& s : gossip->stages)
+    text << "evacuation " << s.round << '/' << static_cast<int>(s.phase) << " relapses " << s.relapses
+         << " age " << s.since << "; ";
+  if (gossip->report)
+    for (const zone_failover::ZoneReport& r : *gossip->report)
+      text << "report " << r.succeeded << '@' << r.success_age << ' ' << r.failed << '@' << r.failure_age
+           << " of " << r.observed << " fault " << static_cast<int>(r.fault) << "; ";
+  for (const zone_failover::OperatorOverride& o : gossip->overrides)
+    text << "override " << o.sequence << " by " << o.issued_by << " kind " << static_cast<int>(o.kind)
+         << " left " << o.expires_at << "; ";
   return text.str();
 }
 
-std::vector<Case> ZonesCases() {
-  zones::Said said;
-  std::vector<Case> cases = {{"zones, none", zones::WriteSaid(said), ZonesMeaning}};
-  said.stages = {{0, zones::Step::kIn, 0, 0},
-                 {1, zones::Step::kLeaving, 0, 0.25},
-                 {200, zones::Step::kOut, 3, 12.34},
-                 {1ULL << 40, zones::Step::kReturning, 40, 1e7}};
-  cases.push_back({"zones, stages", zones::WriteSaid(said), ZonesMeaning});
-  zones::Said reported = said;
-  reported.report = zones::Report{};
+std::vector<Case> ZoneGossipCases() {
+  zone_failover::ZoneGossip gossip;
+  std::vector<Case> cases = {
+      {"zone gossip, empty", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning}};
+  gossip.stages = {{0, zone_failover::EvacuationPhase::kInService, 0, 0},
+                   {1, zone_failover::EvacuationPhase::kEvacuating, 0, 0.25},
+                   {200, zone_failover::EvacuationPhase::kEvacuated, 3, 12.34},
+                   {1ULL << 40, zone_failover::EvacuationPhase::kRecovering, 40, 1e7}};
+  cases.push_back(
+      {"zone gossip, evacuation states", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning});
+  zone_failover::ZoneGossip reported = gossip;
+  reported.report = zone_failover::Report{};
   for (std::uint32_t i = 0; i < 4; ++i) {
-    zones::ZoneReport r;
-    r.good = 0x01020304U * i;
-    r.bad = 0x80000000U >> i;
-    r.seen = r.good | r.bad;
-    r.good_age = 0.4 * i;
-    r.bad_age = 1.15 * i;
-    r.wrong = static_cast<decltype(r.wrong)>(i + 2);
+    zone_failover::ZoneReport r;
+    r.succeeded = 0x01020304U * i;
+    r.failed = 0x80000000U >> i;
+    r.observed = r.succeeded | r.failed;
+    r.success_age = 0.4 * i;
+    r.failure_age = 1.15 * i;
+    r.fault = static_cast<decltype(r.fault)>(i + 2);
     reported.report->push_back(r);
   }
-  cases.push_back({"zones, a report", zones::WriteSaid(reported), ZonesMeaning});
-  said.orders = {{0, 0, zones::ByHand::kNone, 0},
-                 {1, 0, zones::ByHand::kLeave, 3600},
-                 {300, 299, zones::ByHand::kKeep, 0.01},
-                 {zones::Orders::kMostNumber, 4096, zones::ByHand::kNone, 1e9}};
-  cases.push_back({"zones, orders", zones::WriteSaid(said), ZonesMeaning});
-  reported.orders = said.orders;
-  cases.push_back({"zones, all", zones::WriteSaid(reported), ZonesMeaning});
+  cases.push_back({"zone gossip, report", zone_failover::EncodeZoneGossip(reported), ZoneGossipMeaning});
+  gossip.overrides = {
+      {0, 0, zone_failover::OverrideKind::kNone, 0},
+      {1, 0, zone_failover::OverrideKind::kEvacuate, 3600},
+      {300, 299, zone_failover::OverrideKind::kKeepInService, 0.01},
+      {zone_failover::OperatorOverrides::kMaxSequence, 4096, zone_failover::OverrideKind::kNone, 1e9}};
+  cases.push_back(
+      {"zone gossip, operator overrides", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning});
+  reported.overrides = gossip.overrides;
+  cases.push_back({"zone gossip, all parts", zone_failover::EncodeZoneGossip(reported), ZoneGossipMeaning});
   cases.push_back(
-      {"zones, parts of a later build", std::string("\x01\x00\x03\x00\x14\x02zz\x01y", 10), ZonesMeaning});
-  cases.push_back({"zones, cut", zones::WriteSaid(said).substr(0, 20), ZonesMeaning});
+      {"zone gossip, unknown parts", std::string("\x01\x00\x03\x00\x14\x02zz\x01y", 10), ZoneGossipMeaning});
+  cases.push_back(
+      {"zone gossip, truncated", zone_failover::EncodeZoneGossip(gossip).substr(0, 20), ZoneGossipMeaning});
   return cases;
 }
 
-// ---- notes on lanes
-// ------------------------------------------------------------------------------------------
+// ---- route gossip ----
 
-std::string LaneMeaning(std::string_view bytes) {
-  const auto note = ReadLaneNote(bytes);
-  if (!note) return kUnreadable;
+std::string RouteGossipMeaning(std::string_view bytes) {
+  const auto message = ReadLaneNote(bytes);
+  if (!message) return kUnreadable;
   std::ostringstream text;
-  text << "kind " << static_cast<char>(note->kind) << " destination " << note->destination << " route "
-       << note->route;
+  text << "kind " << static_cast<char>(message->kind) << " destination " << message->destination << " route "
+       << message->route;
   return text.str();
 }
 
-std::vector<Case> LaneCases() {
+std::vector<Case> RouteGossipCases() {
   using Kind = LaneNote::Kind;
-  return {{"lane refused", WriteLaneNote({Kind::kRefused, 7, 0}), LaneMeaning},
-          {"lane back, a route", WriteLaneNote({Kind::kBack, 70'000, TagOf("s-5be2a07c")}), LaneMeaning},
-          {"lane crowded, negative", WriteLaneNote({Kind::kCrowded, -70'000, 0xff}), LaneMeaning},
-          {"lane, the greatest", WriteLaneNote({Kind::kBack, INT64_MAX, 0xffffffffU}), LaneMeaning},
-          {"lane, the least", WriteLaneNote({Kind::kBack, INT64_MIN, 0}), LaneMeaning},
-          {"lane, an unknown kind", "Lx\x02", LaneMeaning},
-          {"lane, half a route", "Lr\x02zz", LaneMeaning}};
+  return {{"route gossip, rejected", WriteLaneNote({Kind::kRefused, 7, 0}), RouteGossipMeaning},
+          {"route gossip, recovered, one endpoint",
+           WriteLaneNote({Kind::kBack, 70'000, HashName("s-5be2a07c")}), RouteGossipMeaning},
+          {"route gossip, out of connections, negative", WriteLaneNote({Kind::kCrowded, -70'000, 0xff}),
+           RouteGossipMeaning},
+          {"route gossip, greatest values", WriteLaneNote({Kind::kBack, INT64_MAX, 0xffffffffU}),
+           RouteGossipMeaning},
+          {"route gossip, least destination", WriteLaneNote({Kind::kBack, INT64_MIN, 0}), RouteGossipMeaning},
+          {"route gossip, unknown kind", "Lx\x02", RouteGossipMeaning},
+          {"route gossip, truncated", "Lr\x02zz", RouteGossipMeaning}};
 }
 
-// ---- learning
-// ----------------------------------------------------------------------------------------------
+// ---- state transfer ----
 
-std::string LanesMeaning(const std::vector<learning::Heard>& lanes) {
+std::string RoutesMeaning(const std::vector<state_transfer::NamedRouteState>& routes) {
   std::ostringstream text;
   text.precision(15);
-  for (const learning::Heard& heard : lanes) {
-    const Belief& b = heard.belief;
+  for (const state_transfer::NamedRouteState& route : routes) {
+    const RouteState& s = route.state;
     const auto age = [&text](const char* name, const std::optional<Seconds>& of) {
       if (of) text << ' ' << name << ' ' << *of;
     };
-    text << "; lane " << b.destination << " '" << heard.endpoint << "' wait " << b.wait;
-    age("out", b.out);
-    age("back", b.back);
-    age("served", b.served);
-    age("refused", b.refused);
-    text << " pace " << b.pace;
-    age("measured", b.measured);
-    text << " latency " << b.latency;
-    age("barred", b.barred);
+    text << "; route " << s.destination << " '" << route.endpoint << "' retry_after " << s.retry_after;
+    age("failure", s.failure_age);
+    age("recovery", s.recovery_age);
+    age("success", s.success_age);
+    age("rejection", s.rejection_age);
+    text << " send_rate " << s.send_rate;
+    age("measurement", s.latency_age);
+    text << " latency " << s.latency;
+    age("hedging_disabled", s.hedging_disabled_age);
   }
   return text.str();
 }
 
 std::string FrameMeaning(std::string_view bytes) {
-  const net::FrameRead read = net::ReadFrame(bytes, learning::kLongestFrame);
-  const auto message = learning::Read(read.record);
+  const net::FrameRead read = net::ReadFrame(bytes, state_transfer::kMaxFrameBytes);
+  const auto message = state_transfer::DecodeFrame(read.record);
   if (read.state != net::FrameState::kWhole || read.size != bytes.size() || !message) return kUnreadable;
   std::ostringstream text;
   text.precision(15);
-  if (const auto* ask = std::get_if<learning::Ask>(&*message)) {
-    text << "ask version " << ask->version << " name " << ask->name;
-  } else if (const auto* begin = std::get_if<learning::Begin>(&*message)) {
-    text << "begin version " << begin->version << " name " << begin->name << " running " << begin->running
-         << " written " << begin->written_at;
-  } else if (const auto* chunk = std::get_if<learning::Chunk>(&*message)) {
+  if (const auto* request = std::get_if<state_transfer::SnapshotRequest>(&*message)) {
+    text << "request version " << request->version << " name " << request->name;
+  } else if (const auto* header = std::get_if<state_transfer::SnapshotHeader>(&*message)) {
+    text << "header version " << header->version << " name " << header->name << " running " << header->running
+         << " written " << header->written_at;
+  } else if (const auto* chunk = std::get_if<state_transfer::SnapshotChunk>(&*message)) {
     text << "chunk since " << chunk->since_begin << " out of range " << chunk->out_of_range
-         << LanesMeaning(chunk->lanes);
+         << RoutesMeaning(chunk->routes);
   } else {
-    text << "end lanes " << std::get<learning::End>(*message).lanes;
+    text << "end routes " << std::get<state_transfer::SnapshotEnd>(*message).route_count;
   }
   return text.str();
 }
 
-std::string LearningNoteMeaning(std::string_view bytes) {
-  const auto note = learning::ReadNote(bytes);
-  if (!note) return kUnreadable;
+std::string DatagramMeaning(std::string_view bytes) {
+  const auto message = state_transfer::DecodeDatagram(bytes);
+  if (!message) return kUnreadable;
   std::ostringstream text;
-  text << "version " << note->version << " nonce " << note->nonce << " asks " << note->asks
-       << " out of range " << note->out_of_range << LanesMeaning(note->lanes);
+  text << "version " << message->version << " nonce " << message->nonce << " is_request "
+       << message->is_request << " out of range " << message->out_of_range << RoutesMeaning(message->routes);
   return text.str();
 }
 
-std::vector<learning::Heard> Lanes() {
-  learning::Heard whole, route, odd;
-  whole.belief.destination = 7;
-  whole.belief.wait = 28.5;
-  route.endpoint = "s-5be2a07c";
-  route.belief.destination = -70'000;
-  route.belief.endpoint = 12;  // a number of this process: it does not travel
-  route.belief.out = 0;
-  route.belief.back = 1.25;
-  route.belief.served = 0.000001;
-  route.belief.refused = 3600;
-  route.belief.pace = 0.1;
-  route.belief.measured = 59.999999;
-  route.belief.latency = 0.0421;
-  route.belief.barred = 12;
-  odd.belief.destination = 1'000'000'007;
-  odd.belief.out = 1e6;    // cut to what is allowed
-  odd.belief.refused = 2;  // with a pace that no reader takes
-  odd.belief.pace = -1;
-  odd.belief.latency = 99;  // not measured
-  return {whole, route, odd};
+std::vector<state_transfer::NamedRouteState> Routes() {
+  state_transfer::NamedRouteState shared, own, invalid;
+  shared.state.destination = 7;
+  shared.state.retry_after = 28.5;
+  own.endpoint = "s-5be2a07c";
+  own.state.destination = -70'000;
+  own.state.endpoint = 12;  // a number of this process: it does not travel
+  own.state.failure_age = 0;
+  own.state.recovery_age = 1.25;
+  own.state.success_age = 0.000001;
+  own.state.rejection_age = 3600;
+  own.state.send_rate = 0.1;
+  own.state.latency_age = 59.999999;
+  own.state.latency = 0.0421;
+  own.state.hedging_disabled_age = 12;
+  invalid.state.destination = 1'000'000'007;
+  invalid.state.failure_age = 1e6;  // clamped to the longest age
+  invalid.state.rejection_age = 2;  // with a send rate that no reader accepts
+  invalid.state.send_rate = -1;
+  invalid.state.latency = 99;  // not measured
+  return {shared, own, invalid};
 }
 
-std::vector<Case> LearningCases() {
-  using learning::Write;
-  const auto frame = [](const char* name, const learning::Message& message) {
-    return Case{std::string("learning ") + name, Write(message), FrameMeaning};
+std::vector<Case> StateTransferCases() {
+  using state_transfer::EncodeFrame;
+  const auto frame = [](const char* name, const state_transfer::Message& message) {
+    return Case{std::string("state transfer ") + name, EncodeFrame(message), FrameMeaning};
   };
   std::vector<Case> cases = {
-      frame("ask", learning::Ask{learning::kVersion, "n0"}),
-      frame("begin", learning::Begin{learning::kVersion, "n1", 12.5, 0}),
-      frame("begin, saved", learning::Begin{7, std::string(300, 'x'), 0, 1'700'000'000'123'456}),
-      frame("chunk, empty", learning::Chunk{}),
-      frame("chunk", learning::Chunk{0.125, Lanes(), 0}),
-      frame("end", learning::End{50'000})};
-  std::string damaged = Write(learning::End{1});
+      frame("request", state_transfer::SnapshotRequest{state_transfer::kVersion, "n0"}),
+      frame("header", state_transfer::SnapshotHeader{state_transfer::kVersion, "n1", 12.5, 0}),
+      frame("header, of a file",
+            state_transfer::SnapshotHeader{7, std::string(300, 'x'), 0, 1'700'000'000'123'456}),
+      frame("chunk, empty", state_transfer::SnapshotChunk{}),
+      frame("chunk", state_transfer::SnapshotChunk{0.125, Routes(), 0}),
+      frame("end", state_transfer::SnapshotEnd{50'000})};
+  std::string damaged = EncodeFrame(state_transfer::SnapshotEnd{1});
   damaged.back() ^= 1;
-  cases.push_back({"learning, damaged", damaged, FrameMeaning});
-  cases.push_back({"learning, a field of a later build",
-                   net::Frame(std::string("\x22\x04\x08\x05\x10\x01", 6)), FrameMeaning});
+  cases.push_back({"state transfer, wrong checksum", damaged, FrameMeaning});
+  cases.push_back({"state transfer, unknown field", net::Frame(std::string("\x22\x04\x08\x05\x10\x01", 6)),
+                   FrameMeaning});
   std::size_t written = 0;
-  learning::Note note;
-  note.nonce = 0xfedcba98;
-  note.asks = true;
-  cases.push_back({"learning note, asks", learning::WriteNote(note, written), LearningNoteMeaning});
-  note.asks = false;
-  note.lanes = Lanes();
-  cases.push_back({"learning note, answers", learning::WriteNote(note, written), LearningNoteMeaning});
-  for (int i = 0; i < 5; ++i) note.lanes.push_back(note.lanes[1]);
-  cases.push_back({"learning note, full", learning::WriteNote(note, written), LearningNoteMeaning});
+  state_transfer::Datagram message;
+  message.nonce = 0xfedcba98;
+  message.is_request = true;
+  cases.push_back({"state transfer datagram, request", state_transfer::EncodeDatagram(message, written),
+                   DatagramMeaning});
+  message.is_request = false;
+  message.routes = Routes();
+  cases.push_back({"state transfer datagram, response", state_transfer::EncodeDatagram(message, written),
+                   DatagramMeaning});
+  for (int i = 0; i < 5; ++i) message.routes.push_back(message.routes[1]);
+  cases.push_back(
+      {"state transfer datagram, full", state_transfer::EncodeDatagram(message, written), DatagramMeaning});
   cases.back().name += " with " + std::to_string(written);
-  cases.push_back({"learning note, another mark", "OLN2\x08\x01", LearningNoteMeaning});
+  cases.push_back({"state transfer datagram, unknown magic", "OLN2\x08\x01", DatagramMeaning});
   return cases;
 }
 
@@ -300,7 +317,7 @@
 
 int main(int argc, char** argv) {
   std::vector<Case> cases;
-  for (const auto& some : {TierCases(), ZonesCases(), LaneCases(), LearningCases()})
+  for (const auto& some : {MembershipCases(), ZoneGossipCases(), RouteGossipCases(), StateTransferCases()})
     cases.insert(cases.end(), some.begin(), some.end());
   if (argc > 1) {
     std::ifstream recorded(argv[1]);
--- a/tests/wire_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,11 +1,11 @@
 // The adapter as text: batches in, replies and complaints out.
-#include "wire.h"
+#include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
 
 #include <string>
 
-namespace opalroute::wire {
+namespace opalroute::simulator {
 namespace {
 
 const std::string kOptions = R"({"az":"a","balancers":1,"classes":[{"aimS":3,"deadlineS":16,
@@ -41,7 +41,9 @@
 std::string Complaint(Host& host, const std::string& line) {
   try {
     host.Reply(line);
-  } catch (const WireError& error) { return error.what(); }
+  } catch (const WireError& error) {
+    return error.what();
+  }
   return "";
 }
 
@@ -124,4 +126,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute::wire
+}  // namespace opalroute::simulator
