--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -43,7 +43,7 @@
   return bytes;
 }
 
-const char* const kUnreadable = "unreadable";
+constexpr const char* kUnreadable = "unreadable";
 
 // ---- membership messages ----
 
@@ -101,16 +101,20 @@
   const auto gossip = zone_failover::DecodeZoneGossip(bytes);
   if (!gossip) return kUnreadable;
   std::ostringstream text;
-  for (const zone_failover::EvacuationState& s : gossip->stages)
+  for (const zone_failover::EvacuationState& s : gossip->stages) {
     text << "evacuation " << s.round << '/' << static_cast<int>(s.phase) << " relapses " << s.relapses
          << " age " << s.since << "; ";
-  if (gossip->report)
-    for (const zone_failover::ZoneReport& r : *gossip->report)
+  }
+  if (gossip->report) {
+    for (const zone_failover::ZoneReport& r : *gossip->report) {
       text << "report " << r.succeeded << '@' << r.success_age << ' ' << r.failed << '@' << r.failure_age
            << " of " << r.observed << " fault " << static_cast<int>(r.fault) << "; ";
-  for (const zone_failover::OperatorOverride& o : gossip->overrides)
+    }
+  }
+  for (const zone_failover::OperatorOverride& o : gossip->overrides) {
     text << "override " << o.sequence << " by " << o.issued_by << " kind " << static_cast<int>(o.kind)
          << " left " << o.expires_at << "; ";
+  }
   return text.str();
 }
 
@@ -231,7 +235,9 @@
 }
 
 std::vector<state_transfer::NamedRouteState> Routes() {
-  state_transfer::NamedRouteState shared, own, invalid;
+  state_transfer::NamedRouteState shared;
+  state_transfer::NamedRouteState own;
+  state_transfer::NamedRouteState invalid;
   shared.state.destination = 7;
   shared.state.retry_after = 28.5;
   own.endpoint = "s-5be2a07c";
@@ -292,25 +298,28 @@
 int Compare(const std::vector<Case>& cases, std::istream& recorded) {
   std::map<std::string, const Case*> unseen;
   for (const Case& c : cases) unseen[c.name] = &c;
-  int wrong = 0;
+  int mismatches = 0;
   for (std::string line; std::getline(recorded, line);) {
-    const std::size_t first = line.find(" | "), second = line.rfind(" | ");
-    const std::string name = line.substr(0, first), hex = line.substr(second + 3);
+    const std::size_t first = line.find(" | ");
+    const std::size_t second = line.rfind(" | ");
+    const std::string name = line.substr(0, first);
+    const std::string hex = line.substr(second + 3);
     const auto it = unseen.find(name);
     if (it == unseen.end()) {
       std::cout << "no such case: " << name << '\n';
-      ++wrong;
+      ++mismatches;
       continue;
     }
-    const std::string written = Hex(it->second->bytes), meaning = it->second->meaning(Unhex(hex));
+    const std::string written = Hex(it->second->bytes);
+    const std::string meaning = it->second->meaning(Unhex(hex));
     if (written != hex)
-      std::cout << name << ": writes  " << written << "\n  recorded " << hex << '\n', ++wrong;
+      std::cout << name << ": writes  " << written << "\n  recorded " << hex << '\n', ++mismatches;
     if (first + 3 > second || meaning != line.substr(first + 3, second - first - 3))
-      std::cout << name << ": reads " << meaning << "\n  recorded " << line << '\n', ++wrong;
+      std::cout << name << ": reads " << meaning << "\n  recorded " << line << '\n', ++mismatches;
     unseen.erase(it);
   }
-  for (const auto& [name, c] : unseen) std::cout << "not recorded: " << name << '\n', ++wrong;
-  return wrong == 0 ? 0 : 1;
+  for (const auto& [name, c] : unseen) std::cout << "not recorded: " << name << '\n', ++mismatches;
+  return mismatches == 0 ? 0 : 1;
 }
 
 }  // namespace
--- a/tests/compatibility/state_player.cpp
+++ b/tests/compatibility/state_player.cpp
@@ -34,9 +34,9 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr int kMostMs = 30'000;   // for all that is expected to arrive
-constexpr int kAfterMs = 400;     // for what is not expected
-constexpr int kRecordMs = 8'000;  // where nothing is compared
+constexpr int kTimeoutMs = 30'000;  // for all that is expected to arrive
+constexpr int kAfterMs = 400;       // for what is not expected
+constexpr int kRecordMs = 8'000;    // where nothing is compared
 
 std::int64_t MonotonicMicros() {
   timespec now{};
@@ -86,7 +86,7 @@
 
 std::string FreeAddress(int type) {
   const int fd = Bind(type);
-  const std::string address = AddressOf(fd);
+  std::string address = AddressOf(fd);
   close(fd);
   return address;
 }
@@ -99,9 +99,10 @@
 }
 
 std::string DecodeBase64(const std::string& text) {
-  static const std::string kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
+  constexpr std::string_view kDigits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   std::string bytes;
-  unsigned bits = 0, count = 0;
+  unsigned bits = 0;
+  unsigned count = 0;
   for (const char c : text) {
     if (c == '=') break;
     bits = bits << 6U | static_cast<unsigned>(kDigits.find(c));
@@ -135,10 +136,12 @@
     for (const auto& [name, fd] : listeners_) all.push_back({fd, POLLIN, 0});
     for (const auto& [fd, connection] : connections_) all.push_back({fd, POLLIN, 0});
     poll(all.data(), all.size(), 20);
-    for (const auto& [name, fd] : listeners_)
-      for (const pollfd& p : all)
+    for (const auto& [name, fd] : listeners_) {
+      for (const pollfd& p : all) {
         if (p.fd == fd && p.revents != 0)
           connections_[accept4(fd, nullptr, nullptr, SOCK_CLOEXEC)] = {name, {}};
+      }
+    }
     for (const pollfd& p : all)
       if (p.revents != 0 && connections_.count(p.fd) > 0) Receive(p.fd);
   }
@@ -186,18 +189,18 @@
     }
     if (head.rfind("GET", 0) == 0) return Answer(200);  // a probe
     if (head.rfind("POST /hook/batch ", 0) != 0) {
-      Called(place, Header(head, "X-Txn"), Header(head, "Idempotency-Key"), body);
+      RecordCall(place, Header(head, "X-Txn"), Header(head, "Idempotency-Key"), body);
       return Answer(200);
     }
     json done = json::array();
     for (const json& one : json::parse(body)) {
-      Called(place, one.at("id"), one.value("key", ""), DecodeBase64(one.at("body")));
+      RecordCall(place, one.at("id"), one.value("key", ""), DecodeBase64(one.at("body")));
       done.push_back({{"id", one.at("id")}, {"state", "done"}});
     }
     return Answer(200, done.dump());
   }
-  void Called(const std::string& place, const std::string& id, const std::string& key,
-              const std::string& body) {
+  void RecordCall(const std::string& place, const std::string& id, const std::string& key,
+                  const std::string& body) {
     const bool sound = body == "body of " + id + std::string("\0\r\n\xff", 4);
     facts_.insert("call " + place + " " + id + " key '" + key + "' body " + (sound ? "as taken" : "changed"));
   }
@@ -207,7 +210,7 @@
   std::map<int, Connection> connections_;
 };
 
-std::string Ask(const std::string& address, const std::string& path) {
+std::string HttpGet(const std::string& address, const std::string& path) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in to{};
   to.sin_family = AF_INET;
@@ -225,9 +228,9 @@
   return answer;
 }
 
-class Play {
+class StatePlayer {
  public:
-  Play(std::string program, const fs::path& fixture, double shift, std::set<std::string> expected)
+  StatePlayer(std::string program, const fs::path& fixture, double shift, std::set<std::string> expected)
       : program_(std::move(program)),
         expected_(std::move(expected)),
         state_(fs::temp_directory_path() / ("opalroute-state-" + std::to_string(getpid()))),
@@ -246,17 +249,17 @@
     WriteFramed(state_ / "clock", clock.dump());
     WriteConfig(fixture.parent_path() / "config.json");
   }
-  ~Play() { fs::remove_all(state_); }
+  ~StatePlayer() { fs::remove_all(state_); }
 
   const std::set<std::string>& Run() {
     TakeSnapshot();
-    const std::uint64_t life = pair_ ? 0 : ReadFramed(state_ / "tier").at("life").get<std::uint64_t>();
+    const std::uint64_t incarnation = pair_ ? 0 : ReadFramed(state_ / "tier").at("life").get<std::uint64_t>();
     const pid_t process = Start();
     Serve();
-    AskFigures();
+    ReadMetrics();
     kill(process, SIGKILL);
     waitpid(process, nullptr, 0);
-    if (!pair_) TierFacts(life);
+    if (!pair_) ReadMembershipFile(incarnation);
     std::istringstream bans(ReadFile(state_ / "bans"));
     for (std::string id; std::getline(bans, id);) facts_.insert("suspended " + id);
     return facts_;
@@ -297,14 +300,15 @@
     _exit(127);
   }
   bool AllArrived() const {
-    for (const std::string& line : expected_)
+    for (const std::string& line : expected_) {
       if ((line.rfind("call ", 0) == 0 || line.rfind("notice ", 0) == 0) && facts_.count(line) == 0)
         return false;
+    }
     return !expected_.empty();
   }
   void Serve() {
     const std::int64_t began = MonotonicMicros();
-    std::int64_t until = began + (expected_.empty() ? kRecordMs : kMostMs) * 1000LL;
+    std::int64_t until = began + (expected_.empty() ? kRecordMs : kTimeoutMs) * 1000LL;
     for (bool all = false; MonotonicMicros() < until;) {
       stand_ins_.Pump();
       if (all || !AllArrived()) continue;
@@ -312,27 +316,30 @@
       until = MonotonicMicros() + kAfterMs * 1000LL;
     }
   }
-  void AskFigures() {
+  void ReadMetrics() {
     std::smatch found;
-    const std::string counters = Ask(addresses_["listen"], "/counters");
+    const std::string counters = HttpGet(addresses_["listen"], "/counters");
     if (std::regex_search(counters, found, std::regex("\"restored\":[0-9]+")))
       facts_.insert("counters " + found.str());
-    std::istringstream lines(Ask(addresses_["ops"], "/v1/metrics"));
-    for (std::string line; std::getline(lines, line);)
+    std::istringstream lines(HttpGet(addresses_["ops"], "/v1/metrics"));
+    for (std::string line; std::getline(lines, line);) {
       if (line.rfind("edge.known", 0) == 0 || line.rfind("edge.skipped", 0) == 0 ||
           line.rfind("edge.in_p", 0) == 0)
         facts_.insert("figure " + line);
+    }
   }
-  void TierFacts(std::uint64_t before) {
+  void ReadMembershipFile(std::uint64_t before) {
     const json tier = ReadFramed(state_ / "tier");
-    const auto life = tier.at("life").get<std::uint64_t>();
-    facts_.insert(life == before + 1 ? "tier life is the next"
-                  : life > before    ? "tier life is later"
-                                     : "tier life is old");
-    for (const auto& [zone, row] : tier.at("zones").items())
-      if (row.contains("order"))
+    const auto incarnation = tier.at("life").get<std::uint64_t>();
+    facts_.insert(incarnation == before + 1 ? "tier life is the next"
+                  : incarnation > before    ? "tier life is later"
+                                            : "tier life is old");
+    for (const auto& [zone, row] : tier.at("zones").items()) {
+      if (row.contains("order")) {
         facts_.insert("tier order " + zone + " " + row["order"]["what"].get<std::string>() + " " +
                       row["order"]["number"].dump());
+      }
+    }
   }
 
   const std::string program_;
@@ -355,16 +362,16 @@
     for (std::string line; std::getline(file, line);) expected.insert(line);
     if (expected.empty()) return 2;
   }
-  Play play(argv[1], argv[2], std::stod(argv[3]), expected);
-  const std::set<std::string> facts = play.Run();
+  StatePlayer player(argv[1], argv[2], std::stod(argv[3]), expected);
+  const std::set<std::string> facts = player.Run();
   if (expected.empty()) {
     for (const std::string& line : facts) std::cout << line << '\n';
     return 0;
   }
-  int wrong = 0;
+  int mismatches = 0;
   for (const std::string& line : expected)
-    if (facts.count(line) == 0) std::cout << "missing: " << line << '\n', ++wrong;
+    if (facts.count(line) == 0) std::cout << "missing: " << line << '\n', ++mismatches;
   for (const std::string& line : facts)
-    if (expected.count(line) == 0) std::cout << "unexpected: " << line << '\n', ++wrong;
-  return wrong == 0 ? 0 : 1;
+    if (expected.count(line) == 0) std::cout << "unexpected: " << line << '\n', ++mismatches;
+  return mismatches == 0 ? 0 : 1;
 }
