--- a/lab/call.h
+++ b/lab/call.h
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "decision/state.h"  // ProvesNeverRan
+#include "decision/outcome.h"
 #include "lab/auditor.h"
 #include "lab/tally.h"
 #include "lab/world.h"
--- a/src/decision/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -10,7 +10,10 @@
 
 #include <optional>
 
-#include "decision/state.h"
+#include "decision/never.h"
+#include "decision/random.h"
+#include "opalroute/events.h"
+#include "opalroute/settings.h"
 
 namespace opalroute {
 
--- /dev/null
+++ b/src/decision/outcome.cpp
@@ -0,0 +1,24 @@
+#include "decision/outcome.h"
+
+namespace opalroute {
+
+bool ProvesNeverRan(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed ||
+         outcome == Outcome::kNotSent || outcome == Outcome::kOutOfConnections ||
+         outcome == Outcome::kLocalShortage;
+}
+
+bool MayStillRun(Outcome outcome) {
+  return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
+}
+
+bool IsRetriedAtOnce(Outcome outcome) {
+  return outcome == Outcome::kRejected || outcome == Outcome::kTimeout || outcome == Outcome::kNotSent ||
+         outcome == Outcome::kCancelled;
+}
+
+bool IsInconclusive(Outcome outcome) {
+  return outcome == Outcome::kCancelled || outcome == Outcome::kNotSent || outcome == Outcome::kLocalShortage;
+}
+
+}  // namespace opalroute
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -40,7 +40,6 @@
 constexpr double kBundleWork = 0.2;    // of a call: what each further message of a bundle may add; not told
 constexpr double kReclaimAfter = 1.5;  // patiences after which a call is thought lost
 constexpr double kRoomKept = 0.05;     // of the room: kept free for newcomers
-constexpr double kJitter = 0.25;       // either way, of every wait of our own
 constexpr int kKeepers = 8;         // couriers that may all keep idle connections: a table is hardly smaller
 constexpr double kCrowdedFor = 4;   // ramp_times after one was turned away: connections go when unused
 constexpr double kWayKept = 0.1;    // of a key's window, at most: kept for a repeat's way, else a usual call
@@ -125,8 +124,6 @@
   }
 
  private:
-  double Jitter() { return 1 - kJitter + 2 * kJitter * random_.Unit(); }
-
   // ---- the list of endpoints ---------------------------------------------------------------
 
   void On(const ListUpdate& update) {
@@ -173,7 +170,7 @@
     if (std::exchange(lane.limit, limit) <= 0) {
       const double start = limit / parts_;  // where that is no call in many seconds
       if (limit * s_.overload_window > s_.relay_count) lane.pace = std::min(lane.pace, start);
-      lane.bucket = {1, std::max(lane.bucket.filled, now_)};
+      lane.bucket = {1, std::max(lane.bucket.filled_at, now_)};
     }
     lane.pace = std::min(lane.pace, limit);
   }
@@ -250,8 +247,8 @@
   bool TakeShare(int tenant) {  // an even part of the allowance; what comes above it has little worth
     TokenBucket& bucket = tenant_buckets_[tenant];
     const double rate = s_.tenants[tenant].quota / parts_;
-    bucket.Fill(now_, rate, kTenantBurst * rate);
-    return bucket.Take();
+    bucket.Refill(now_, rate, kTenantBurst * rate);
+    return bucket.TryTake();
   }
 
   // Rule 6: the head of a key's line may go once the rest after an attempt that may still run is over.
@@ -475,17 +472,17 @@
     const bool bound = IsBound(e);
     Seconds wait = std::max({0.0, lane.held_until - now_, bound ? 0 : lane.pause_until - now_});
     if (lane.pace < kNever) {
-      const Seconds passed = now_ - lane.bucket.filled;
+      const Seconds passed = now_ - lane.bucket.filled_at;
       if (lane.limit > 0)
         lane.pace = std::min(lane.limit,
                              lane.pace + EvenShare(lane) * passed / (kPaceRegain * s_.slow_start_duration));
-      lane.bucket.Fill(now_, lane.pace, std::max(1.0, lane.pace * kPaceDepth * s_.overload_window));
-      wait = std::max(wait, lane.bucket.Wait(lane.pace));
+      lane.bucket.Refill(now_, lane.pace, std::max(1.0, lane.pace * kPaceDepth * s_.overload_window));
+      wait = std::max(wait, lane.bucket.TimeUntilToken(lane.pace));
     }
     if (bound && !IsTrial(e)) {
       const double rate = WarmingRate(e);
-      lane.warming.Fill(now_, rate, 1);
-      wait = std::max(wait, lane.warming.Wait(rate));
+      lane.warming.Refill(now_, rate, 1);
+      wait = std::max(wait, lane.warming.TimeUntilToken(rate));
     } else if (bound) {
       if (lane.next_trial < now_ - kTrialKept * s_.overload_window)  // unused, it lapses: none is saved
         lane.next_trial = now_ + wait + TrialGap(e) * random_.Unit();
@@ -667,7 +664,7 @@
 
   void Charge(Endpoint& e) {  // a call or a probe: both count for the limit and while it is cold
     if (e.lane->pace < kNever) e.lane->bucket.tokens -= 1;
-    if (IsTrial(e)) e.lane->next_trial = now_ + TrialGap(e) * Jitter();
+    if (IsTrial(e)) e.lane->next_trial = now_ + TrialGap(e) * random_.Jitter();
     e.lane->warming.tokens -= 1;
   }
 
@@ -718,9 +715,7 @@
          now_ - e.crowded_at < kCrowdedFor * s_.slow_start_duration))
       unused_.insert(e.endpoint);
     if (r.outcome == Outcome::kTimeout) ++m.timeouts;
-    const bool may_still_run =
-        r.outcome == Outcome::kTimeout || r.outcome == Outcome::kReset || r.outcome == Outcome::kCancelled;
-    if (s_.ordered_key_pause && !m.key.empty() && may_still_run) {
+    if (s_.ordered_key_pause && !m.key.empty() && MayStillRun(r.outcome)) {
       Seconds& rest = keys_[m.key].rest_until;
       rest = std::max(rest, now_ + *s_.ordered_key_pause);
     }
@@ -740,7 +735,7 @@
     const Seconds usual = std::max(shortage, Usual(destinations_[m.destination]));
     const Seconds backoff = std::max(s_.tick, usual * std::exp2(std::min(Count(m.attempts), 5) - 3));
     m.where = Message::Where::kDelayed;
-    m.not_before = now_ + backoff * Jitter();
+    m.not_before = now_ + backoff * random_.Jitter();
     delayed_.insert({m.not_before, m.request_id});
     SetExpiry(m);
   }
@@ -765,8 +760,8 @@
       Refused(e, r.retry_after, now_ - r.duration);
     } else if (r.outcome == Outcome::kOutOfConnections) {
       e.unmet = e.latest_good = false;
-      if (Crowd(e) && s_.relay_count > kKeepers) TellOthers(e, LaneNote::Kind::kCrowded);
-    } else if (news && !SaysNothing(r.outcome)) {
+      if (Crowd(e) && s_.relay_count > kKeepers) TellOthers(e, RouteGossip::Kind::kOutOfConnections);
+    } else if (news && !IsInconclusive(r.outcome)) {
       if (r.outcome == Outcome::kTimeout)
         e.latency.Add(single, kLatencyGain, now_);  // the next time-out is wider
       Failed(e, r.outcome == Outcome::kConnectFailed, now_ - r.duration);
@@ -786,7 +781,7 @@
     lane.bad = 0;
     lane.last_served = now_;
     if (back) StartSlowly(lane);
-    if (back) TellOthers(e, LaneNote::Kind::kBack);
+    if (back) TellOthers(e, RouteGossip::Kind::kRecovered);
     if (e.circuit != Circuit::kOpen) return;
     e.circuit = back ? Circuit::kHalfOpen : Circuit::kClosed;
     Note(e, back ? "served again, slow start" : "served again, circuit closed");
@@ -807,8 +802,9 @@
     const Seconds first = std::max(std::min(kMostBackoff, kRefusalBackoff * parts_) * s_.overload_window,
                                    lane.limit > 0 ? 0.5 / lane.limit : 0);
     const Seconds backoff = std::min(s_.slow_start_duration, first * std::exp2(lane.refusals++));
-    lane.pause_until = std::max(lane.pause_until, std::max(now_, lane.held_until) + backoff * Jitter());
-    if (CutPace(lane)) TellOthers(e, LaneNote::Kind::kRefused);
+    lane.pause_until =
+        std::max(lane.pause_until, std::max(now_, lane.held_until) + backoff * random_.Jitter());
+    if (CutPace(lane)) TellOthers(e, RouteGossip::Kind::kRejected);
     if (wait > s_.overload_window)
       lane.bad += kBadIfServed;  // Danger: shut looks like a full limit, for longer
   }
@@ -825,21 +821,22 @@
 
   // Danger: else each of hundreds learns of it by a call of its own; these alone keep a lane full, or cold.
   // Cut off from one another, though, each would tell all: it keeps to its part of one a span and endpoint.
-  void TellOthers(const Endpoint& e, LaneNote::Kind kind) {
-    notes_.Fill(now_, Count(endpoints_) / (s_.relay_count * kPaceDepth * s_.overload_window), 2);
-    if (!s_.may_gossip || s_.relay_count <= 1 || !notes_.Take()) return;
-    actions_->push_back(SendGossip{{}, WriteLaneNote({kind, e.destination, IsApart(e) ? e.name_hash : 0})});
+  void TellOthers(const Endpoint& e, RouteGossip::Kind kind) {
+    notes_.Refill(now_, Count(endpoints_) / (s_.relay_count * kPaceDepth * s_.overload_window), 2);
+    if (!s_.may_gossip || s_.relay_count <= 1 || !notes_.TryTake()) return;
+    actions_->push_back(
+        SendGossip{{}, EncodeRouteGossip({kind, e.destination, IsApart(e) ? e.name_hash : 0})});
   }
 
   void On(const GossipReceived& told) {
-    const auto note = ReadLaneNote(told.payload);
+    const auto note = DecodeRouteGossip(told.payload);
     const auto d = note ? destinations_.find(note->destination) : destinations_.end();
     if (d == destinations_.end()) return;
     for (Endpoint* e : d->second.endpoints) {
-      if (note->route != (IsApart(*e) ? e->name_hash : 0)) continue;
-      if (note->kind == LaneNote::Kind::kRefused) CutPace(*e->lane);
-      if (note->kind == LaneNote::Kind::kCrowded && Crowd(*e)) unused_.insert(e->endpoint);
-      if (note->kind != LaneNote::Kind::kBack || !IsTrial(*e)) continue;
+      if (note->name_hash != (IsApart(*e) ? e->name_hash : 0)) continue;
+      if (note->kind == RouteGossip::Kind::kRejected) CutPace(*e->lane);
+      if (note->kind == RouteGossip::Kind::kOutOfConnections && Crowd(*e)) unused_.insert(e->endpoint);
+      if (note->kind != RouteGossip::Kind::kRecovered || !IsTrial(*e)) continue;
       if (e->lane->ramp_from != now_) StartSlowly(*e->lane);
       if (e->circuit == Circuit::kOpen) e->circuit = Circuit::kHalfOpen;
     }
@@ -918,7 +915,7 @@
     if (it == endpoints_.end()) return;
     Endpoint& e = it->second;
     e.probing = false;
-    if (SaysNothing(r.outcome)) return;  // it says nothing of the endpoint
+    if (IsInconclusive(r.outcome)) return;  // it says nothing of the endpoint
     LearnLimit(e, r.load_report.calls_per_second.value_or(0));
     if (r.outcome == Outcome::kServed && e.circuit == Circuit::kOpen) {
       e.circuit = Circuit::kHalfOpen;  // a probe shows little: calls start slowly
--- a/src/decision/state.h
+++ b/src/decision/state.h
@@ -11,43 +11,14 @@
 #include <utility>
 #include <vector>
 
-#include "opalroute/request_router.h"
+#include "decision/never.h"
+#include "decision/outcome.h"
+#include "decision/random.h"
+#include "decision/token_bucket.h"
+#include "opalroute/events.h"
 
 namespace opalroute {
 
-constexpr Seconds kNever = std::numeric_limits<Seconds>::infinity();
-
-class Random {  // SplitMix64
- public:
-  explicit Random(std::uint64_t seed) : state_(seed) {}
-  std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
-  double Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }  // from 0 to below 1
-
- private:
-  std::uint64_t Next() {
-    std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
-    z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
-    z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
-    return z ^ (z >> 31);
-  }
-  std::uint64_t state_;
-};
-
-struct TokenBucket {
-  double tokens = 0;
-  Seconds filled = 0;
-  void Fill(Seconds now, double rate, double depth) {
-    tokens = std::min(depth, tokens + rate * std::max(0.0, now - filled));
-    filled = now;
-  }
-  bool Take() {
-    const bool there = tokens >= 1;
-    if (there) tokens -= 1;
-    return there;
-  }
-  Seconds Wait(double rate) const { return tokens >= 1 ? 0 : rate > 0 ? (1 - tokens) / rate : kNever; }
-};
-
 struct Latency {  // smoothed mean; 0: nothing is known
   double mean = 0;
   Seconds at = -kNever;  // of the newest value
@@ -97,24 +68,7 @@
   return static_cast<int>(things.size());
 }
 
-inline bool ProvesNeverRan(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kConnectFailed || o == Outcome::kNotSent ||
-         o == Outcome::kOutOfConnections || o == Outcome::kLocalShortage;
-}
-
-// After these a message waits for an endpoint again and for nothing else: a lane's own backoff keeps it back,
-// or the endpoint has had its time.
-inline bool IsRetriedAtOnce(Outcome o) {
-  return o == Outcome::kRejected || o == Outcome::kTimeout || o == Outcome::kNotSent ||
-         o == Outcome::kCancelled;
-}
-
 // Of the settings' tick: the least that a further attempt's backoff grows from where one could not leave.
 constexpr double kShortageTicks = 8;
 
-// Whether nothing of the endpoint can be learnt from it.
-inline bool SaysNothing(Outcome o) {
-  return o == Outcome::kCancelled || o == Outcome::kNotSent || o == Outcome::kLocalShortage;
-}
-
 }  // namespace opalroute
--- /dev/null
+++ b/src/decision/token_bucket.cpp
@@ -0,0 +1,23 @@
+#include "decision/token_bucket.h"
+
+#include <algorithm>
+
+namespace opalroute {
+
+void TokenBucket::Refill(Seconds now, double rate, double capacity) {
+  tokens = std::min(capacity, tokens + rate * std::max(0.0, now - filled_at));
+  filled_at = now;
+}
+
+bool TokenBucket::TryTake() {
+  if (tokens < 1) return false;
+  tokens -= 1;
+  return true;
+}
+
+Seconds TokenBucket::TimeUntilToken(double rate) const {
+  if (tokens >= 1) return 0;
+  return rate > 0 ? (1 - tokens) / rate : kNever;
+}
+
+}  // namespace opalroute
--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "decision/state.h"
+#include "decision/outcome.h"
 #include "log/log.h"
 
 namespace opalroute {
--- a/src/zone_failover/zone_evacuation.cpp
+++ b/src/zone_failover/zone_evacuation.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "decision/state.h"
+#include "decision/random.h"
 
 namespace opalroute::zone_failover {
 
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -198,8 +198,8 @@
 // touch.
 bool ZoneFailover::MayReport(Seconds now) {
   const double rate = std::clamp(options_.reports_per_second / options_.membership.fleet_size, 1.0 / 60, 4.0);
-  report_bucket_.Fill(now, rate, kBurst);
-  urgent_bucket_.Fill(now, options_.urgent_reports_per_second, kBurst);
+  report_bucket_.Refill(now, rate, kBurst);
+  urgent_bucket_.Refill(now, options_.urgent_reports_per_second, kBurst);
   return report_bucket_.tokens >= 1 || (urgent_bucket_.tokens >= 1 && IsUrgent(now));
 }
 
@@ -214,7 +214,7 @@
   if (!MayReport(now)) return;
   next_report_at_ = kNever;
   if (IsReportRedundant(now) && !HasStateToSpread()) return;
-  if (!report_bucket_.Take()) urgent_bucket_.Take();
+  if (!report_bucket_.TryTake()) urgent_bucket_.TryTake();
   for (int zone = 0; zone < options_.zones; ++zone) {
     const ZoneObservation sight = observer_.Observe(now, zone);
     zones_[static_cast<std::size_t>(zone)].reported_at = std::max(sight.success_at, sight.failure_at);
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -9,7 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "decision/state.h"
+#include "decision/never.h"
+#include "decision/random.h"
+#include "decision/token_bucket.h"
 #include "membership/membership.h"
 #include "zone_failover/operator_override.h"
 #include "zone_failover/zone_consensus.h"
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -371,27 +371,27 @@
   EXPECT_EQ(release.watching.size(), 300U);
 }
 
-TEST(LaneNoteTest, EveryNoteComesBackAsItWasAndNothingElseIsRead) {
+TEST(RouteGossipTest, EveryNoteComesBackAsItWasAndNothingElseIsRead) {
   for (const DestinationId destination : {0LL, 1LL, -1LL, 63LL, 64LL, 1LL << 40, -(1LL << 62)}) {
     for (const std::uint32_t route : {0U, 1U, 0xfedcba98U}) {
-      const std::string bytes = WriteLaneNote({LaneNote::Kind::kRefused, destination, route});
-      const auto note = ReadLaneNote(bytes);
+      const std::string bytes = EncodeRouteGossip({RouteGossip::Kind::kRejected, destination, route});
+      const auto note = DecodeRouteGossip(bytes);
       ASSERT_TRUE(note);
       EXPECT_EQ(note->destination, destination);
-      EXPECT_EQ(note->route, route);
+      EXPECT_EQ(note->name_hash, route);
       for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        const auto part = ReadLaneNote(bytes.substr(0, cut));
+        const auto part = DecodeRouteGossip(bytes.substr(0, cut));
         EXPECT_TRUE(!part || (route != 0 && cut + 4 == bytes.size()));  // which is a note as well
       }
-      EXPECT_FALSE(ReadLaneNote(bytes + "x"));
+      EXPECT_FALSE(DecodeRouteGossip(bytes + "x"));
     }
   }
-  EXPECT_FALSE(ReadLaneNote(""));
-  EXPECT_FALSE(ReadLaneNote(std::string("L?\0", 3)));
-  EXPECT_FALSE(ReadLaneNote("L" + std::string(20, '\xff')));
+  EXPECT_FALSE(DecodeRouteGossip(""));
+  EXPECT_FALSE(DecodeRouteGossip(std::string("L?\0", 3)));
+  EXPECT_FALSE(DecodeRouteGossip("L" + std::string(20, '\xff')));
 }
 
-TEST(LaneNoteTest, ANoteOnARouteCutsThatRouteAlone) {
+TEST(RouteGossipTest, ANoteOnARouteCutsThatRouteAlone) {
   Settings s = FleetSettings(100);
   s.overload_window = 2;
   s.may_hedge = false;
@@ -400,7 +400,7 @@
   const std::vector<ListedEndpoint> list = {{1, 0, 1, 1, EndpointStatus::kInService, 400, HashName("one")},
                                             {2, 0, 1, 1, EndpointStatus::kInService, 400, HashName("two")}};
   courier.Handle(100, ListUpdate{ListScope::kComplete, list}, actions);
-  courier.Handle(100, GossipReceived{3, WriteLaneNote({LaneNote::Kind::kRefused, 1, HashName("two")})},
+  courier.Handle(100, GossipReceived{3, EncodeRouteGossip({RouteGossip::Kind::kRejected, 1, HashName("two")})},
                  actions);
   std::optional<DestinationId> from = 0;
   const auto beliefs = courier.ExportRouteStates(100, from, 10);
--- a/tests/decision/request_router_test.cpp
+++ b/tests/decision/request_router_test.cpp
@@ -499,7 +499,7 @@
     RunTo(now_ + 0.5);
   }
   for (const SendGossip& tell : All<SendGossip>())
-    EXPECT_EQ(ReadLaneNote(tell.payload)->kind, LaneNote::Kind::kCrowded);
+    EXPECT_EQ(DecodeRouteGossip(tell.payload)->kind, RouteGossip::Kind::kOutOfConnections);
 }
 
 // What is down refuses connects: after its return connections are kept.
