--- /dev/null
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -0,0 +1,98 @@
+#include "decision/attempt_outcome_handler.h"
+
+#include <utility>
+
+#include "decision/outcome.h"
+#include "decision/recovery_budget.h"
+
+namespace opalroute {
+
+AttemptOutcomeHandler::AttemptOutcomeHandler(DecisionContext& context, EndpointTable& table,
+                                             RequestTable& requests, CallTable& calls,
+                                             LatencyEstimator& latency, EndpointHealth& health,
+                                             GossipSender& gossip, IdleConnections& idle_connections,
+                                             RequestLifecycle& lifecycle)
+    : context_(context),
+      table_(table),
+      requests_(requests),
+      calls_(calls),
+      latency_(latency),
+      health_(health),
+      gossip_(gossip),
+      idle_connections_(idle_connections),
+      lifecycle_(lifecycle) {}
+
+void AttemptOutcomeHandler::Handle(const AttemptOutcome& outcome) {
+  Request* request = requests_.Find(outcome.request_id);
+  if (request == nullptr) return;
+  if (outcome.attempt < 0 || outcome.attempt >= static_cast<int>(request->attempts.size())) return;
+  Attempt& attempt = request->attempts[outcome.attempt];
+  if (!std::exchange(attempt.in_flight, false)) return;
+  attempt.may_have_run = !ProvesNeverRan(outcome.outcome);
+  if (outcome.outcome == Outcome::kLocalShortage) ++request->local_shortages;
+  --request->in_flight;
+  Call& call = calls_.At(attempt.call);
+  const bool is_first = !std::exchange(call.judged, true);
+  const int batch_size = static_cast<int>(call.attempts.size());
+  Endpoint& endpoint = table_.EndpointAt(attempt.endpoint);  // stays while a call is in flight there
+  calls_.EndAttempt(attempt.call, table_.FindOrAddDestination(request->destination), endpoint);
+  Judge(endpoint, *request, outcome, is_first, batch_size);
+  idle_connections_.OnCallEnded(endpoint);
+  lifecycle_.OnAttemptEnded(*request, outcome.outcome, outcome.request_ended);
+}
+
+// The requests of a batch have one fate, so a failure or rejection counts once for the endpoint and its
+// route: with the batch's first outcome. Counted for each request, one lost batch would open the circuit.
+void AttemptOutcomeHandler::Judge(Endpoint& endpoint, const Request& request, const AttemptOutcome& outcome,
+                                  bool is_first, int batch_size) {
+  table_.LearnLimit(endpoint, outcome.load_report.calls_per_second.value_or(0));
+  if (outcome.retry_after > 0) {
+    endpoint.route->rate_limiter.ExtendRetryAfter(context_.now + outcome.retry_after +
+                                                  context_.settings.tick);
+  }
+  if (outcome.outcome == Outcome::kServed) {
+    OnServed(endpoint, request, outcome, batch_size);
+  } else if (outcome.outcome == Outcome::kRejected) {
+    if (is_first) OnRejected(endpoint, outcome);
+  } else if (outcome.outcome == Outcome::kOutOfConnections) {
+    OnOutOfConnections(endpoint);
+  } else if (is_first && !IsInconclusive(outcome.outcome)) {
+    OnFailed(endpoint, outcome, batch_size);
+  }
+}
+
+void AttemptOutcomeHandler::OnServed(Endpoint& endpoint, const Request& request,
+                                     const AttemptOutcome& outcome, int batch_size) {
+  Destination& destination = table_.DestinationOf(endpoint);
+  const RequestClass& request_class = context_.settings.classes[request.request_class];
+  endpoint.untried = false;
+  endpoint.latest_in_objective = outcome.duration <= request_class.latency_objective;
+  latency_.AddServed(endpoint, destination, outcome.duration / BatchStretch(batch_size));
+  destination.hedging.Enable();
+  health_.OnServed(endpoint, context_.now - outcome.duration);
+}
+
+void AttemptOutcomeHandler::OnRejected(Endpoint& endpoint, const AttemptOutcome& outcome) {
+  endpoint.untried = false;
+  endpoint.latest_in_objective = false;
+  table_.DestinationOf(endpoint).hedging.Disable(context_.now);
+  health_.OnRejected(endpoint, outcome.retry_after, context_.now - outcome.duration);
+}
+
+// Neither a limit nor an outage: the send rate and the suspicion stay as they are.
+void AttemptOutcomeHandler::OnOutOfConnections(Endpoint& endpoint) {
+  endpoint.untried = false;
+  endpoint.latest_in_objective = false;
+  const bool is_new = idle_connections_.MarkOutOfConnections(endpoint);
+  if (is_new && context_.settings.relay_count > kLargeFleet)
+    gossip_.Notify(endpoint, RouteGossip::Kind::kOutOfConnections);
+}
+
+void AttemptOutcomeHandler::OnFailed(Endpoint& endpoint, const AttemptOutcome& outcome, int batch_size) {
+  if (outcome.outcome == Outcome::kTimeout)  // the next timeout is longer
+    endpoint.latency.Add(outcome.duration / BatchStretch(batch_size), context_.now);
+  const bool never_ran = outcome.outcome == Outcome::kConnectFailed;
+  health_.OnFailed(endpoint, never_ran, context_.now - outcome.duration);
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/call_pacer.cpp
@@ -0,0 +1,51 @@
+#include "decision/call_pacer.h"
+
+#include <algorithm>
+
+namespace opalroute {
+
+CallPacer::CallPacer(DecisionContext& context, EndpointHealth& health, const RecoveryBudget& budget,
+                     const ZoneTraffic& zones)
+    : context_(context), health_(health), budget_(budget), zones_(zones) {}
+
+Seconds CallPacer::TimeUntilCall(Endpoint& endpoint) {
+  UpstreamRoute& route = *endpoint.route;
+  const bool in_recovery = health_.IsInRecovery(endpoint);
+  const Seconds wait = route.rate_limiter.TimeUntilCall(in_recovery, context_);
+  if (!in_recovery) return wait;
+  if (endpoint.NeedsTrial()) return TimeUntilTrial(endpoint, wait);
+  return std::max(wait, route.health.TimeUntilSlowStartCall(SlowStartRate(endpoint), context_.now));
+}
+
+// A trial that was not sent in time lapses, so that relays do not save them up.
+Seconds CallPacer::TimeUntilTrial(Endpoint& endpoint, Seconds wait) {
+  RouteHealth& health = endpoint.route->health;
+  if (health.next_trial_at() < context_.now - budget_.TrialLapse())
+    health.ScheduleTrial(context_.now + wait + TrialInterval(endpoint) * context_.random.Unit());
+  return std::max(wait, health.next_trial_at() - context_.now);
+}
+
+// The budget binds relays that have seen a fault; silence alone binds none.
+Seconds CallPacer::TrialInterval(const Endpoint& endpoint) const {
+  const UpstreamRoute& route = *endpoint.route;
+  const double capacity = budget_.EstimateCapacity(route.rate_limiter.limit(), endpoint.kind);
+  const Seconds interval = budget_.TrialInterval(capacity, zones_.TryingRelays(endpoint.zone));
+  return route.health.has_faults() ? interval : std::min(interval, context_.settings.overload_window);
+}
+
+double CallPacer::SlowStartRate(const Endpoint& endpoint) const {
+  const UpstreamRoute& route = *endpoint.route;
+  const double limit = route.rate_limiter.limit();
+  const double capacity = budget_.EstimateCapacity(limit, endpoint.kind);
+  return budget_.SlowStartRate(limit, capacity, context_.now - route.health.slow_start_at());
+}
+
+void CallPacer::Charge(Endpoint& endpoint) {
+  UpstreamRoute& route = *endpoint.route;
+  route.rate_limiter.Charge();
+  if (endpoint.NeedsTrial())
+    route.health.ScheduleTrial(context_.now + TrialInterval(endpoint) * context_.random.Jitter());
+  route.health.Charge(1);
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/call_pacer.h
@@ -0,0 +1,33 @@
+// When an endpoint may get its next call or health check: Retry-After, backoff, rate limit, recovery trials
+// and slow start together.
+#pragma once
+
+#include "decision/context.h"
+#include "decision/endpoint_health.h"
+#include "decision/recovery_budget.h"
+#include "decision/zone_traffic.h"
+
+namespace opalroute {
+
+class CallPacer {
+ public:
+  CallPacer(DecisionContext& context, EndpointHealth& health, const RecoveryBudget& budget,
+            const ZoneTraffic& zones);
+
+  // 0: at once. Draws the moment of the next recovery trial where one is needed.
+  Seconds TimeUntilCall(Endpoint& endpoint);
+  // Counts a call or a health check against all limits.
+  void Charge(Endpoint& endpoint);
+
+ private:
+  Seconds TimeUntilTrial(Endpoint& endpoint, Seconds wait);
+  Seconds TrialInterval(const Endpoint& endpoint) const;
+  double SlowStartRate(const Endpoint& endpoint) const;
+
+  DecisionContext& context_;
+  EndpointHealth& health_;
+  const RecoveryBudget& budget_;
+  const ZoneTraffic& zones_;
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/call_sender.h
@@ -0,0 +1,41 @@
+// Fills a call with waiting requests and sends it, with a hedged call beside it where that is allowed.
+#pragma once
+
+#include <cstdint>
+#include <vector>
+
+#include "decision/call_pacer.h"
+#include "decision/call_table.h"
+#include "decision/context.h"
+#include "decision/endpoint_health.h"
+#include "decision/request_lifecycle.h"
+#include "decision/request_queue.h"
+#include "decision/request_table.h"
+
+namespace opalroute {
+
+class CallSender {
+ public:
+  CallSender(DecisionContext& context, RequestTable& requests, RequestQueue& queue,
+             RequestLifecycle& lifecycle, CallTable& calls, CallPacer& pacer, EndpointHealth& health);
+
+  // At least one waiting request may go to `pair.first`.
+  void SendCall(Destination& destination, EndpointPair pair);
+
+ private:
+  std::vector<Request*> TakeBatch(Destination& destination, Endpoint& endpoint);
+  std::uint64_t OpenCall(Destination& destination, Endpoint& endpoint);
+  void SendAttempt(Request& request, Endpoint& endpoint, std::uint64_t call, double stretch);
+  bool MayHedgeNow(const Destination& destination, Endpoint& second);
+  void SendHedged(Destination& destination, EndpointPair pair, const std::vector<Request*>& batch);
+
+  DecisionContext& context_;
+  RequestTable& requests_;
+  RequestQueue& queue_;
+  RequestLifecycle& lifecycle_;
+  CallTable& calls_;
+  CallPacer& pacer_;
+  EndpointHealth& health_;
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/call_table.cpp
@@ -0,0 +1,79 @@
+#include "decision/call_table.h"
+
+#include <algorithm>
+#include <iterator>
+#include <set>
+#include <utility>
+
+namespace opalroute {
+namespace {
+
+constexpr double kLostCallTimeouts = 1.5;  // call timeouts after which a call counts as lost
+constexpr double kOutlierSlots = 0.3;      // of the concurrency limit: for all outliers together
+
+}  // namespace
+
+CallTable::CallTable(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency)
+    : context_(context), table_(table), latency_(latency) {}
+
+std::uint64_t CallTable::Open(Destination& destination, Endpoint& endpoint) {
+  const std::uint64_t id = ++latest_call_;
+  Call& call = calls_[id];
+  call.endpoint = endpoint.endpoint;
+  call.sent = context_.now;
+  ++destination.calls_in_flight;
+  destination.latest_call = id;
+  endpoint.in_flight.insert(context_.now);
+  return id;
+}
+
+void CallTable::AddAttempt(std::uint64_t call, AttemptId attempt) {
+  Call& entry = calls_.at(call);
+  ++entry.pending;
+  entry.attempts.push_back(attempt);
+}
+
+void CallTable::EndAttempt(std::uint64_t call, Destination& destination, Endpoint& endpoint) {
+  const auto it = calls_.find(call);
+  if (--it->second.pending > 0) return;
+  const Seconds sent = it->second.sent;
+  calls_.erase(it);
+  --destination.calls_in_flight;
+  endpoint.in_flight.erase(endpoint.in_flight.find(sent));
+}
+
+int CallTable::FreeSlots() const {
+  return context_.settings.concurrency_limit - static_cast<int>(calls_.size());
+}
+
+bool CallTable::MayHoldAnotherCall(const Endpoint& endpoint) const {
+  if (!endpoint.IsOutlier()) return true;
+  std::set<EndpointId> outliers;
+  for (const auto& [id, call] : calls_) {
+    if (table_.EndpointAt(call.endpoint).IsOutlier()) outliers.insert(call.endpoint);
+  }
+  const Seconds lost_before = context_.now - kLostCallTimeouts * latency_.CallTimeout(endpoint);
+  const auto live = std::distance(endpoint.in_flight.upper_bound(lost_before), endpoint.in_flight.end());
+  const int slots = static_cast<int>(kOutlierSlots * context_.settings.concurrency_limit);
+  return live < std::max(1, slots / std::max(1, static_cast<int>(outliers.size())));
+}
+
+void CallTable::ReclaimSlot(EndpointHealth& health) {
+  for (auto& [id, call] : calls_) {  // in the order sent
+    Endpoint& endpoint = table_.EndpointAt(call.endpoint);
+    health.DetectStall(endpoint);
+    if (CancelIfOverdue(call, endpoint)) return;
+  }
+}
+
+bool CallTable::CancelIfOverdue(Call& call, const Endpoint& endpoint) {
+  const Seconds longest = kLostCallTimeouts * latency_.CallTimeout(endpoint) *
+                          BatchStretch(static_cast<int>(call.attempts.size()));
+  if (!context_.settings.may_cancel || context_.now - call.sent < longest) return false;
+  if (std::exchange(call.cancelled, true)) return false;
+  for (const AttemptId& attempt : call.attempts)
+    context_.Emit(CancelAttempt{attempt.request_id, attempt.index});
+  return true;
+}
+
+}  // namespace opalroute
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -6,77 +6,84 @@
 namespace opalroute {
 namespace {
 
-constexpr double kTriesInTerm = 4;      // so many begin within the shortest term, if the spread leaves room
-constexpr double kTryJitter = 0.25;     // of a step, at most, is added to it: relays are not asked in step
-constexpr double kLateHeartbeat = 1.4;  // heartbeats without a line after which the watch may be silent
-constexpr int kFewRelays = 8;           // they may all ask at once as they start
-constexpr double kSpreadEach = 0.05;    // seconds for each relay: asked in step, discovery is idle in between
+constexpr double kRenewalsPerTerm = 4;       // in the shortest term, if the spread leaves time for them
+constexpr double kSpacingJitter = 0.25;      // of a spacing, at most added: relays drift apart
+constexpr double kHeartbeatTolerance = 1.4;  // heartbeats without a line after which the watch is silent
+constexpr int kSmallFleet = 8;               // relays
+constexpr Seconds kSpreadPerRelay = 0.05;    // so that discovery gets calls evenly
+
+// A relay that has not polled for Settings::max_poll_interval counts as notified, too.
+Seconds Term(const Settings& settings) {
+  const Seconds notified = settings.list_notification_time;
+  const Seconds poll = settings.max_poll_interval;
+  return poll > 0 ? std::min(notified, poll) : notified;
+}
 
 }  // namespace
 
-// Danger: a drain binds whether it was told or not, so no spread may outlast its grace. A relay that has not
-// asked for `ask_within` counts as told, too.
+// A drain binds whether or not it was received, so the spread is never longer than the drain's grace.
 EndpointListLease::EndpointListLease(const Settings& settings)
-    : told_within_(settings.max_poll_interval > 0
-                       ? std::min(settings.list_notification_time, settings.max_poll_interval)
-                       : settings.list_notification_time),
-      told_after_move_(std::min(settings.list_notification_time_after_move, told_within_)),
+    : term_(Term(settings)),
+      term_after_move_(std::min(settings.list_notification_time_after_move, term_)),
       heartbeat_(settings.list_heartbeat),
-      few_(settings.relay_count <= kFewRelays),
-      pushed_(!settings.poll_endpoint_list),
-      spread_(std::min(settings.drain_grace, kSpreadEach * settings.relay_count)),
+      is_small_fleet_(settings.relay_count <= kSmallFleet),
+      changes_are_sent_(!settings.poll_endpoint_list),
+      spread_(std::min(settings.drain_grace, kSpreadPerRelay * settings.relay_count)),
       random_(settings.seed) {}
 
-void EndpointListLease::Heed(ListScope scope, Seconds now) {
+void EndpointListLease::OnListUpdate(ListScope scope, Seconds now) {
   switch (scope) {
     case ListScope::kCached:
-      return Begin(now);
+      return BeginFromCache(now);
     case ListScope::kWatchFailed:
-      return TryFailed(now);
-    default:
+      return OnWatchFailed(now);
+    case ListScope::kComplete:
+    case ListScope::kChanges:
       return Confirm(now);
   }
 }
 
-void EndpointListLease::Begin(Seconds now) {
-  if (pushed_ && heartbeat_ <= 0) return;
-  next_try_ = few_ || pushed_ ? now : now + Spread();
-  expires_ = now + told_within_;
+void EndpointListLease::BeginFromCache(Seconds now) {
+  if (changes_are_sent_ && heartbeat_ <= 0) return;
+  next_renewal_ = is_small_fleet_ || changes_are_sent_ ? now : now + DrawDelay();
+  expires_at_ = now + term_;
 }
 
 void EndpointListLease::Confirm(Seconds now) {
-  const bool silence_is_told = heartbeat_ <= 0;
-  next_try_ = silence_is_told ? kNever : now + kLateHeartbeat * heartbeat_ + Spread();
-  expires_ = silence_is_told ? kNever : now + told_within_;
+  const bool end_is_notified = heartbeat_ <= 0;
+  next_renewal_ = end_is_notified ? kNever : now + kHeartbeatTolerance * heartbeat_ + DrawDelay();
+  expires_at_ = end_is_notified ? kNever : now + term_;
 }
 
-// The step counts from the try before: one that fails at once does not bring the next one forward.
-void EndpointListLease::TryFailed(Seconds now) {
-  next_try_ = std::min(next_try_, std::max(now + Spread(), last_try_ + TrySpacing()));
-  expires_ = std::min(expires_, now + told_within_);
+// The spacing counts from the attempt before, so one that fails at once does not bring the next one forward.
+void EndpointListLease::OnWatchFailed(Seconds now) {
+  next_renewal_ = std::min(next_renewal_, std::max(now + DrawDelay(), latest_renewal_ + DrawSpacing()));
+  expires_at_ = std::min(expires_at_, now + term_);
 }
 
-void EndpointListLease::Moved(Seconds now) {
-  next_try_ = now;
-  expires_ = std::min(expires_, now + told_after_move_);
+void EndpointListLease::OnDiscoveryMoved(Seconds now) {
+  next_renewal_ = now;
+  expires_at_ = std::min(expires_at_, now + term_after_move_);
 }
 
-bool EndpointListLease::TakeDueTry(Seconds now) {
-  if (now < next_try_) return false;
-  last_try_ = now;
-  next_try_ = now + TrySpacing();
+bool EndpointListLease::TakeDueRenewal(Seconds now) {
+  if (now < next_renewal_) return false;
+  latest_renewal_ = now;
+  next_renewal_ = now + DrawSpacing();
   return true;
 }
 
 std::optional<bool> EndpointListLease::TakeChange(Seconds now) {
-  const bool expired = now > expires_;
+  const bool expired = now > expires_at_;
   if (std::exchange(was_expired_, expired) == expired) return std::nullopt;
   return expired;
 }
 
-Seconds EndpointListLease::TrySpacing() {
-  const Seconds step = std::max(told_after_move_ / kTriesInTerm, spread_);
-  return step * (1 + kTryJitter * random_.Unit());
+Seconds EndpointListLease::DrawDelay() { return spread_ * random_.Unit(); }
+
+Seconds EndpointListLease::DrawSpacing() {
+  const Seconds spacing = std::max(term_after_move_ / kRenewalsPerTerm, spread_);
+  return spacing * (1 + kSpacingJitter * random_.Unit());
 }
 
 }  // namespace opalroute
--- /dev/null
+++ b/src/decision/endpoint_table.cpp
@@ -0,0 +1,74 @@
+#include "decision/endpoint_table.h"
+
+#include <algorithm>
+
+namespace opalroute {
+
+EndpointTable::EndpointTable(DecisionContext& context, RecoveryBudget& budget)
+    : context_(context), budget_(budget) {}
+
+void EndpointTable::Apply(const ListUpdate& update) {
+  if (update.scope == ListScope::kWatchFailed) return;
+  if (update.scope != ListScope::kChanges) {
+    for (auto& [id, endpoint] : endpoints_) {  // those that the list names are placed again below
+      endpoint.status = EndpointStatus::kRemoved;
+      AddToMaintenance(id);
+    }
+  }
+  for (const ListedEndpoint& entry : update.entries) Place(entry);
+}
+
+void EndpointTable::Place(const ListedEndpoint& entry) {
+  const auto [it, is_new] = endpoints_.try_emplace(entry.endpoint);
+  Endpoint& endpoint = it->second;
+  static_cast<ListedEndpoint&>(endpoint) = entry;
+  Destination& destination = destinations_[entry.destination];
+  destination.id = entry.destination;
+  if (is_new) {
+    const auto by_id = [](const Endpoint* a, const Endpoint* b) { return a->endpoint < b->endpoint; };
+    std::vector<Endpoint*>& endpoints = destination.endpoints;
+    endpoints.insert(std::upper_bound(endpoints.begin(), endpoints.end(), &endpoint, by_id), &endpoint);
+  }
+  if (endpoint.status == EndpointStatus::kRemoved) AddToMaintenance(entry.endpoint);
+  const bool has_own_route = context_.settings.kinds[endpoint.kind].limits_per_endpoint;
+  endpoint.route = has_own_route ? &endpoint.own_route : &destination.route;
+  if (context_.settings.listed_rate_accuracy != ListedRateAccuracy::kNone)
+    LearnLimit(endpoint, entry.listed_rate);
+}
+
+void EndpointTable::LearnLimit(Endpoint& endpoint, double limit) {
+  budget_.LearnLimit(endpoint.kind, limit);
+  endpoint.route->rate_limiter.LearnLimit(limit, context_);
+}
+
+void EndpointTable::Remove(Endpoint& endpoint) {
+  Destination& destination = destinations_[endpoint.destination];
+  std::vector<Endpoint*>& endpoints = destination.endpoints;
+  endpoints.erase(std::find(endpoints.begin(), endpoints.end(), &endpoint));
+  destination.load_balancer.Clear();
+  RemoveIfUnused(endpoint.destination);
+  endpoints_.erase(EndpointId{endpoint.endpoint});
+}
+
+void EndpointTable::RemoveIfUnused(DestinationId id) {
+  const auto it = destinations_.find(id);
+  if (it != destinations_.end() && it->second.endpoints.empty() && it->second.requests_held == 0)
+    destinations_.erase(it);
+}
+
+Endpoint* EndpointTable::FindEndpoint(EndpointId id) {
+  const auto it = endpoints_.find(id);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+const Endpoint* EndpointTable::FindEndpoint(EndpointId id) const {
+  const auto it = endpoints_.find(id);
+  return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+Destination* EndpointTable::FindDestination(DestinationId id) {
+  const auto it = destinations_.find(id);
+  return it == destinations_.end() ? nullptr : &it->second;
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/gossip_sender.cpp
@@ -0,0 +1,28 @@
+#include "decision/gossip_sender.h"
+
+#include "decision/rate_limiter.h"
+
+namespace opalroute {
+namespace {
+
+constexpr double kBurst = 2;  // datagrams
+
+}  // namespace
+
+GossipSender::GossipSender(DecisionContext& context, EndpointTable& table)
+    : context_(context), table_(table), budget_{kBurst, 0} {}
+
+// One datagram spares each of hundreds of relays a rejected call of its own. The budget holds while relays
+// are cut off from one another and each would notify all: a relay's part of one datagram per span and
+// endpoint.
+void GossipSender::Notify(const Endpoint& endpoint, RouteGossip::Kind kind) {
+  const Settings& settings = context_.settings;
+  const double rate = static_cast<int>(table_.endpoints().size()) /
+                      (settings.relay_count * kRateControlSpan * settings.overload_window);
+  budget_.Refill(context_.now, rate, kBurst);
+  if (!settings.may_gossip || settings.relay_count <= 1 || !budget_.TryTake()) return;
+  const RouteGossip gossip{kind, endpoint.destination, endpoint.RouteNameHash()};
+  context_.Emit(SendGossip{{}, EncodeRouteGossip(gossip)});
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/gossip_sender.h
@@ -0,0 +1,24 @@
+// Notifies the other relays of events on upstream routes, within a budget.
+#pragma once
+
+#include "decision/context.h"
+#include "decision/endpoint_table.h"
+#include "decision/route_gossip.h"
+#include "decision/token_bucket.h"
+
+namespace opalroute {
+
+class GossipSender {
+ public:
+  GossipSender(DecisionContext& context, EndpointTable& table);
+
+  // Sends one datagram to all relays, unless the settings or the budget forbid it.
+  void Notify(const Endpoint& endpoint, RouteGossip::Kind kind);
+
+ private:
+  DecisionContext& context_;
+  EndpointTable& table_;
+  TokenBucket budget_;
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/hedging.cpp
@@ -0,0 +1,37 @@
+#include "decision/hedging.h"
+
+#include <utility>
+
+#include "decision/upstream.h"
+
+namespace opalroute {
+namespace {
+
+constexpr double kHedgedShare = 0.1;  // hedged requests per first send of a destination
+
+}  // namespace
+
+bool HedgingBudget::AllowsAnother() const {
+  return static_cast<double>(hedged_ + 1) <= kHedgedShare * static_cast<double>(first_sends_);
+}
+
+void HedgingBudget::Disable(Seconds now) {
+  disabled_ = true;
+  disabled_at_ = now;
+}
+
+void HedgingBudget::MergeDisabled(Seconds disabled_at) {
+  if (!std::exchange(disabled_, true)) disabled_at_ = disabled_at;
+}
+
+bool MayHedge(const Request& request, const Endpoint& first, const Endpoint& second,
+              const Settings& settings) {
+  const RequestClass& request_class = settings.classes[request.request_class];
+  if (request_class.idempotency == Idempotency::kNonIdempotent) return false;
+  if (request.attempts.size() > 1 || settings.max_attempts < 2) return false;
+  const bool bound_to_zone = request_class.idempotency == Idempotency::kIdempotencyKey &&
+                             request_class.deduplication_scope == DeduplicationScope::kZone;
+  return !bound_to_zone || second.zone == first.zone;
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/latency_average.h
@@ -0,0 +1,15 @@
+// A smoothed mean of latencies.
+#pragma once
+
+#include "decision/never.h"
+
+namespace opalroute {
+
+struct LatencyAverage {
+  Seconds mean = 0;  // 0: nothing is known
+  Seconds measured_at = -kNever;
+
+  void Add(Seconds latency, Seconds now);
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/request.h
@@ -0,0 +1,75 @@
+// A request that the router holds, and its attempts.
+#pragma once
+
+#include <cstdint>
+#include <set>
+#include <tuple>
+#include <vector>
+
+#include "decision/never.h"
+#include "opalroute/events.h"
+
+namespace opalroute {
+
+constexpr int kAnyZone = -1;
+
+struct Attempt {
+  EndpointId endpoint = 0;
+  int zone = 0;
+  std::uint64_t call = 0;
+  Seconds sent = 0;
+  bool in_flight = true;
+  bool may_have_run = false;
+};
+
+// Waiting requests of one bucket are alike for the choice of the next one, but for their age.
+struct BucketKey {
+  int request_class = 0;
+  bool over_quota = false;
+  int zone = 0;  // that an attempt is bound to, or kAnyZone
+
+  bool operator<(const BucketKey& other) const {
+    return std::tie(request_class, over_quota, zone) <
+           std::tie(other.request_class, other.over_quota, other.zone);
+  }
+};
+
+// A request in an order by time.
+struct QueueEntry {
+  Seconds time = 0;
+  RequestId request_id = 0;
+
+  bool operator<(const QueueEntry& other) const {
+    return std::tie(time, request_id) < std::tie(other.time, other.request_id);
+  }
+};
+
+using RequestLine = std::set<QueueEntry>;
+
+enum class RequestPhase {
+  kWaiting,      // for an endpoint
+  kDelayed,      // by a backoff
+  kQueuedByKey,  // behind an earlier request of its ordering key
+  kInFlight,     // or ended
+};
+
+struct Request : NewRequest {
+  bool over_quota = false;
+  bool ended = false;
+  bool released = false;  // no longer counted as held
+  Seconds received_at = 0;
+  Seconds deadline = 0;
+  Seconds not_before = 0;  // end of a backoff
+  Seconds expiry = kNever;
+  std::vector<Attempt> attempts;
+  int in_flight = 0;        // attempts
+  int timeouts = 0;         // attempts
+  int local_shortages = 0;  // attempts that never left this relay and do not count
+  RequestPhase phase = RequestPhase::kInFlight;
+  BucketKey bucket;
+
+  // Attempts that count against Settings::max_attempts.
+  int AttemptsUsed() const { return static_cast<int>(attempts.size()) - local_shortages; }
+};
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/request_lifecycle.cpp
@@ -0,0 +1,163 @@
+#include "decision/request_lifecycle.h"
+
+#include <algorithm>
+#include <string>
+
+#include "decision/outcome.h"
+
+namespace opalroute {
+
+RequestLifecycle::RequestLifecycle(DecisionContext& context, EndpointTable& table, RequestTable& requests,
+                                   RequestQueue& queue, RetryPolicy& retry_policy)
+    : context_(context),
+      table_(table),
+      requests_(requests),
+      queue_(queue),
+      retry_policy_(retry_policy),
+      key_order_(context, requests),
+      admission_(context) {}
+
+void RequestLifecycle::Receive(const NewRequest& received) {
+  Request& request = Admit(received);
+  request.over_quota = admission_.IsOverQuota(received.tenant);
+  Queue(request);
+}
+
+void RequestLifecycle::Recover(const RecoveredRequest& recovered) {
+  Request& request = Admit(recovered.request);
+  for (const EarlierAttempt& earlier : recovered.attempts) {
+    Attempt attempt;
+    attempt.endpoint = earlier.endpoint;
+    attempt.zone = earlier.zone;
+    attempt.sent = context_.now - earlier.age;
+    attempt.in_flight = false;
+    attempt.may_have_run = earlier.may_have_run;
+    request.attempts.push_back(attempt);
+  }
+  Queue(request);
+}
+
+Request& RequestLifecycle::Admit(const NewRequest& received) {
+  const RequestClass& request_class = context_.settings.classes[received.request_class];
+  Request& request = requests_.Add(received);
+  request.deadline = context_.now + received.remaining_time;
+  request.received_at = request.deadline - request_class.deadline;
+  Destination& destination = table_.FindOrAddDestination(request.destination);
+  destination.id = request.destination;
+  admission_.Hold(destination);
+  if (!request_class.ordered_by_key) request.key.clear();
+  return request;
+}
+
+void RequestLifecycle::Queue(Request& request) {
+  if (request.key.empty()) return Enqueue(request);
+  key_order_.Append(request);
+  timers_.SetExpiry(request, retry_policy_.Expiry(request));
+  AdvanceKey(std::string(request.key));  // a copy, as the request may end
+}
+
+void RequestLifecycle::AdvanceKey(const std::string& key) {
+  if (const auto next = key_order_.Advance(key)) Enqueue(requests_.At(*next));
+}
+
+void RequestLifecycle::Enqueue(Request& request) {
+  const auto bounds = retry_policy_.Bounds(request);
+  if (!retry_policy_.MayAttempt(request, bounds)) return Answer(request);
+  queue_.Add(request, bounds->zone);
+  timers_.SetExpiry(request, retry_policy_.Expiry(request));
+}
+
+void RequestLifecycle::SendAttempt(Request& request, const Endpoint& endpoint, std::uint64_t call,
+                                   double stretch) {
+  Attempt attempt;
+  attempt.endpoint = endpoint.endpoint;
+  attempt.zone = endpoint.zone;
+  attempt.call = call;
+  attempt.sent = context_.now;
+  request.attempts.push_back(attempt);
+  ++request.in_flight;
+  request.phase = RequestPhase::kInFlight;
+  const Seconds send_deadline = retry_policy_.Bounds(request).value_or(AttemptBounds{}).until;
+  const Seconds timeout_at = retry_policy_.TimeoutAt(request, endpoint, stretch);
+  context_.Emit(Send{request.request_id, endpoint.endpoint, timeout_at, send_deadline});
+  timers_.SetExpiry(request, retry_policy_.Expiry(request));
+}
+
+void RequestLifecycle::OnAttemptEnded(Request& request, Outcome outcome, bool request_ended) {
+  if (outcome == Outcome::kTimeout) ++request.timeouts;
+  const auto pause = context_.settings.ordered_key_pause;
+  if (pause && !request.key.empty() && MayStillRun(outcome))
+    key_order_.Pause(request.key, context_.now + *pause);
+  if (request.ended) {
+    Release(request);
+  } else if (request_ended) {
+    End(request);
+  } else if (request.in_flight == 0) {  // a failed attempt waits for its hedged request
+    Retry(request, outcome);
+  }
+}
+
+void RequestLifecycle::Retry(Request& request, Outcome last) {
+  if (!retry_policy_.MayRetry(request)) return Answer(request);
+  if (IsRetriedAtOnce(last)) return Enqueue(request);
+  timers_.Delay(request, retry_policy_.DrawBackoffEnd(request, last));
+  timers_.SetExpiry(request, retry_policy_.Expiry(request));
+}
+
+void RequestLifecycle::OnBatchEnd() {
+  while (const auto key = key_order_.TakeDuePause()) AdvanceKey(*key);
+  while (const auto id = timers_.TakeDelayed(context_.now)) Enqueue(requests_.At(*id));
+  while (const auto id = timers_.FindExpired(context_.now)) Answer(requests_.At(*id));
+  while (admission_.MustShedLoad() && !queue_.active_destinations().empty())
+    Answer(requests_.At(queue_.LeastValuableOfLongestQueue()));
+}
+
+Seconds RequestLifecycle::NextDue() const { return std::min(key_order_.NextDue(), timers_.NextDue()); }
+
+// The router gives the request up: rejected, with a time to come back, where it surely has no effect that a
+// repeat would double.
+void RequestLifecycle::Answer(Request& request) {
+  const Destination& destination = table_.FindOrAddDestination(request.destination);
+  const bool gives_advice = context_.settings.may_send_retry_after;
+  if (retry_policy_.MayReject(request)) {
+    const Seconds retry_after = gives_advice ? admission_.RetryAfterAdvice(destination) : 0;
+    context_.Emit(Reject{request.request_id, retry_after});
+  } else {
+    context_.Emit(Fail{request.request_id});
+  }
+  End(request);
+}
+
+void RequestLifecycle::End(Request& request) {
+  timers_.CancelDelay(request);
+  queue_.Remove(request);
+  request.ended = true;
+  const int attempts = static_cast<int>(request.attempts.size());
+  for (int i = 0; context_.settings.may_cancel && i < attempts; ++i) {
+    if (request.attempts[i].in_flight) context_.Emit(CancelAttempt{request.request_id, i});
+  }
+  Release(request);
+}
+
+void RequestLifecycle::Abort(RequestId id) {
+  Request* request = requests_.Find(id);
+  if (request != nullptr && !request->ended) End(*request);
+}
+
+void RequestLifecycle::OnResponseStarted(RequestId id) {
+  if (Request* request = requests_.Find(id)) timers_.ClearExpiry(*request);
+}
+
+// The request is forgotten once all its attempts have come to their outcomes.
+void RequestLifecycle::Release(Request& request) {
+  timers_.ClearExpiry(request);
+  request.phase = RequestPhase::kInFlight;
+  admission_.Release(request, table_.FindOrAddDestination(request.destination));
+  if (request.in_flight > 0) return;
+  table_.RemoveIfUnused(request.destination);
+  const std::string key = request.key;
+  requests_.Remove(request.request_id);
+  if (!key.empty()) AdvanceKey(key);
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/retry_policy.cpp
@@ -0,0 +1,90 @@
+#include "decision/retry_policy.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace opalroute {
+namespace {
+
+constexpr double kMaxTransitShare = 0.1;      // of a deduplication window: kept for the way of a repeat
+constexpr double kMaxServiceTimeShare = 0.1;  // of a deadline: kept for the attempt of a waiting request
+constexpr int kMinServiceTicks = 2;           // ticks, likewise
+constexpr double kMaxTimeoutShare = 0.4;      // of a deadline: leaves time for another attempt
+constexpr double kShortageTicks = 8;          // ticks: least base of the backoff after a local shortage
+constexpr int kMaxBackoffExponent = 5;
+constexpr int kBackoffExponentOffset = 3;  // the first backoffs are a part of the expected latency
+
+}  // namespace
+
+RetryPolicy::RetryPolicy(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency)
+    : context_(context), table_(table), latency_(latency) {}
+
+std::optional<AttemptBounds> RetryPolicy::Bounds(const Request& request) const {
+  const RequestClass& request_class = context_.settings.classes[request.request_class];
+  if (request_class.idempotency == Idempotency::kIdempotent) return AttemptBounds{};
+  const auto first =
+      std::find_if(request.attempts.begin(), request.attempts.end(),
+                   [](const Attempt& attempt) { return attempt.in_flight || attempt.may_have_run; });
+  if (first == request.attempts.end()) return AttemptBounds{};
+  if (request_class.idempotency == Idempotency::kNonIdempotent) return std::nullopt;
+  const Seconds window = request_class.deduplication_window;
+  const Seconds expected = latency_.Expected(table_.DestinationAt(request.destination));
+  const Seconds longest_transit = kMaxTransitShare * window;
+  const Seconds transit = expected > 0 ? std::min(expected, longest_transit) : longest_transit;
+  const bool is_bound_to_zone = request_class.deduplication_scope == DeduplicationScope::kZone;
+  return AttemptBounds{is_bound_to_zone ? first->zone : kAnyZone,
+                       first->sent + window - context_.settings.tick - transit};
+}
+
+bool RetryPolicy::MayAttempt(const Request& request, const std::optional<AttemptBounds>& bounds) const {
+  return bounds && bounds->until > context_.now && request.AttemptsUsed() < context_.settings.max_attempts;
+}
+
+bool RetryPolicy::MayReject(const Request& request) const {
+  const RequestClass& request_class = context_.settings.classes[request.request_class];
+  if (request_class.idempotency == Idempotency::kIdempotent) return true;
+  if (request_class.idempotency == Idempotency::kIdempotencyKey &&
+      request_class.deduplication_scope == DeduplicationScope::kAll)
+    return true;
+  return std::none_of(request.attempts.begin(), request.attempts.end(),
+                      [](const Attempt& attempt) { return attempt.in_flight || attempt.may_have_run; });
+}
+
+Seconds RetryPolicy::Expiry(const Request& request) const {
+  if (request.in_flight > 0) return request.deadline;
+  const Settings& settings = context_.settings;
+  const auto bounds = Bounds(request);
+  const Seconds expected = latency_.Expected(table_.FindOrAddDestination(request.destination));
+  const Seconds longest_service = kMaxServiceTimeShare * settings.classes[request.request_class].deadline;
+  const Seconds expiry =
+      request.deadline - std::max(kMinServiceTicks * settings.tick, std::min(expected, longest_service));
+  return bounds ? std::min(expiry, bounds->until) : expiry;
+}
+
+bool RetryPolicy::MayRetry(const Request& request) const {
+  return context_.now < request.deadline - kMinServiceTicks * context_.settings.tick && Bounds(request);
+}
+
+Seconds RetryPolicy::DrawBackoffEnd(const Request& request, Outcome last) {
+  const Settings& settings = context_.settings;
+  const Seconds shortage = last == Outcome::kLocalShortage ? kShortageTicks * settings.tick : 0;
+  const Seconds expected = latency_.Expected(table_.FindOrAddDestination(request.destination));
+  const int attempts = static_cast<int>(request.attempts.size());
+  const int exponent = std::min(attempts, kMaxBackoffExponent) - kBackoffExponentOffset;
+  const Seconds backoff = std::max(settings.tick, std::max(shortage, expected) * std::exp2(exponent));
+  return context_.now + backoff * context_.random.Jitter();
+}
+
+// Each attempt gets twice the time of the one before, so that requests that take long come through. A timeout
+// would end a request that may not be repeated, so its attempts have none.
+Seconds RetryPolicy::TimeoutAt(const Request& request, const Endpoint& endpoint, double stretch) const {
+  const Settings& settings = context_.settings;
+  const RequestClass& request_class = settings.classes[request.request_class];
+  if (request_class.idempotency == Idempotency::kNonIdempotent) return 0;
+  if (request.AttemptsUsed() >= settings.max_attempts) return 0;
+  const Seconds timeout = latency_.CallTimeout(endpoint) * stretch * std::exp2(request.timeouts);
+  const Seconds until = context_.now + std::min(timeout, kMaxTimeoutShare * request_class.deadline);
+  return until < request.deadline ? until : 0;
+}
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/route_health.cpp
@@ -0,0 +1,85 @@
+#include "decision/route_health.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+namespace opalroute {
+namespace {
+
+constexpr int kMinFaultsToSuspect = 2;
+constexpr int kMaxFaultsToSuspect = 4;    // also where the route served this relay within a slow start's time
+constexpr double kSlowStartCapacity = 1;  // calls
+
+}  // namespace
+
+void RouteHealth::CountFault(Seconds sent, Seconds now) {
+  if (sent >= fault_at_) ++faults_;
+  fault_at_ = now;
+}
+
+void RouteHealth::CountLongRetryAfter() { faults_ += kMaxFaultsToSuspect; }
+
+// A relay counts as informed of an outage after one fault, which may as well be a full limit: docs/design.md,
+// 'Doubt'.
+bool RouteHealth::Update(double capacity, DecisionContext& context, RecoveryBudget& budget) {
+  const Settings& settings = context.settings;
+  const bool may_be_out =
+      faults_ >= kMinFaultsToSuspect && last_served_ <= context.now - settings.overload_window;
+  if (may_be_out && faults_ >= FaultsToSuspect(capacity, context, budget)) {
+    if (!std::exchange(in_recovery_, true)) ScheduleFirstTrial(context.now, budget);
+    slow_start_at_ = kNever;
+  }
+  if (context.now - slow_start_at_ < settings.slow_start_duration) return false;
+  in_recovery_ = false;
+  return true;
+}
+
+int RouteHealth::FaultsToSuspect(double capacity, const DecisionContext& context,
+                                 const RecoveryBudget& budget) const {
+  const Settings& settings = context.settings;
+  if (last_served_ > context.now - settings.slow_start_duration) return kMaxFaultsToSuspect;
+  const double own_calls = budget.FleetRate(capacity, settings.slow_start_initial_share) *
+                           settings.overload_window / context.share_count;
+  return std::min(kMaxFaultsToSuspect, kMinFaultsToSuspect + static_cast<int>(std::lround(own_calls)));
+}
+
+void RouteHealth::OnServed(Seconds now) {
+  faults_ = 0;
+  last_served_ = now;
+}
+
+void RouteHealth::ScheduleFirstTrial(Seconds now, RecoveryBudget& budget) {
+  next_trial_at_ = now + budget.DrawFirstTrialDelay();
+}
+
+void RouteHealth::StartSlowStart(double initial_tokens, Seconds now) {
+  faults_ = 0;
+  slow_start_at_ = now;
+  slow_start_bucket_ = {initial_tokens, now};
+}
+
+Seconds RouteHealth::TimeUntilSlowStartCall(double rate, Seconds now) {
+  slow_start_bucket_.Refill(now, rate, kSlowStartCapacity);
+  return slow_start_bucket_.TimeUntilToken(rate);
+}
+
+// What others report may be wrong, so it counts no fault: a trial leaves soon, and a success ends the
+// suspicion.
+void RouteHealth::MergeFailure(Seconds failed_at, Seconds now, RecoveryBudget& budget) {
+  in_recovery_ = true;
+  slow_start_at_ = kNever;
+  fault_at_ = std::max(fault_at_, failed_at);
+  ScheduleFirstTrial(now, budget);
+}
+
+void RouteHealth::MergeSlowStart(Seconds since, Seconds now) {
+  if (in_recovery_ && since <= slow_start_at_) return;
+  in_recovery_ = true;
+  slow_start_at_ = since;
+  slow_start_bucket_ = {std::min(0.0, slow_start_bucket_.tokens), now};
+}
+
+bool RouteHealth::IsFailing() const { return IsSuspectedOut() || faults_ >= kMinFaultsToSuspect; }
+
+}  // namespace opalroute
--- /dev/null
+++ b/src/decision/wake_timer.cpp
@@ -0,0 +1,19 @@
+#include "decision/wake_timer.h"
+
+#include <algorithm>
+
+namespace opalroute {
+
+void WakeTimer::Arm(Seconds due, DecisionContext& context) {
+  if (due == kNever) return;
+  if (armed_for_ > context.now && due >= armed_for_) return;
+  armed_for_ = std::max(due, context.now + context.settings.tick / 2);
+  context.Emit(SetTimer{armed_for_, ++latest_id_});
+}
+
+// A timer may fire a rounding error before its time; it must not pass for one that is still to come.
+void WakeTimer::OnFired(const TimerFired& fired) {
+  if (fired.timer_id == latest_id_) armed_for_ = -kNever;
+}
+
+}  // namespace opalroute
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -34,9 +34,9 @@
   for (Seconds now = from; now < to; now += kStep) {
     if (now >= fails_at) {
       fails_at = kNever;
-      lease.Heed(ListScope::kWatchFailed, now);
+      lease.OnListUpdate(ListScope::kWatchFailed, now);
     }
-    if (!lease.TakeDueTry(now)) continue;
+    if (!lease.TakeDueRenewal(now)) continue;
     tries.push_back(now);
     if (fails_after >= 0) fails_at = now + fails_after;
   }
@@ -54,13 +54,13 @@
     for (const Seconds fails_after : {-1.0, 0.0, 0.5, 1.0, 3.0}) {
       const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
       EndpointListLease lease(s);
-      lease.Heed(ListScope::kCached, 100);
+      lease.OnListUpdate(ListScope::kCached, 100);
       TriesOf(lease, 100, 130, 0.5);  // a long outage, then four moves as in the incident
       for (const Seconds at : {130.0, 130.3, 130.7}) {
-        lease.Moved(at);
-        EXPECT_TRUE(lease.TakeDueTry(at));
+        lease.OnDiscoveryMoved(at);
+        EXPECT_TRUE(lease.TakeDueRenewal(at));
       }
-      lease.Moved(131.6);
+      lease.OnDiscoveryMoved(131.6);
       const std::vector<Seconds> tries = TriesOf(lease, 131.6, 141.6, fails_after);
       ASSERT_FALSE(tries.empty());
       EXPECT_NEAR(tries.front(), 131.6, kStep);
@@ -75,7 +75,7 @@
   for (int seed = 1; seed <= kSeeds; ++seed) {
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
-    lease.Heed(ListScope::kComplete, 100);
+    lease.OnListUpdate(ListScope::kComplete, 100);
     const std::vector<Seconds> tries = TriesOf(lease, 100, 100 + s.list_notification_time + s.drain_grace);
     EXPECT_GE(CountWithin(tries, 100 + s.list_notification_time), GetParam() <= 20 ? 2 : 1);
     EXPECT_GE(tries.size(), 2U);
@@ -89,14 +89,14 @@
     std::uniform_real_distribution<double> after(0, 4);
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
-    lease.Heed(ListScope::kCached, 100);
+    lease.OnListUpdate(ListScope::kCached, 100);
     std::vector<Seconds> tries;
     for (Seconds now = 100, fails_at = 100; now < 160; now += kStep) {
       if (now >= fails_at) {
-        lease.Heed(ListScope::kWatchFailed, now);
+        lease.OnListUpdate(ListScope::kWatchFailed, now);
         fails_at = now + after(draw);
       }
-      if (lease.TakeDueTry(now)) tries.push_back(now);
+      if (lease.TakeDueRenewal(now)) tries.push_back(now);
     }
     ASSERT_GE(tries.size(), 60 / kLongestGap - 1);
     EXPECT_LE(tries.size(), 60 / (s.list_notification_time_after_move / 4) + 1);
@@ -108,9 +108,9 @@
 
 TEST(EndpointListLeaseTest, AWatchInOrderIsLeftAlone) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kComplete, 100);
+  lease.OnListUpdate(ListScope::kComplete, 100);
   for (Seconds now = 102; now < 200; now += 2) {
-    EXPECT_FALSE(lease.TakeDueTry(now));
+    EXPECT_FALSE(lease.TakeDueRenewal(now));
     lease.Confirm(now);
   }
 }
@@ -118,13 +118,13 @@
 // Guards against a rush at a discovery that hands out its list and closes.
 TEST(EndpointListLeaseTest, WatchesThatEndAsSoonAsTheyStandAreNotOpenedInARush) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kCached, 100);
+  lease.OnListUpdate(ListScope::kCached, 100);
   int tries = 0;
   for (Seconds now = 100; now < 160; now += kStep) {
-    if (!lease.TakeDueTry(now)) continue;
+    if (!lease.TakeDueRenewal(now)) continue;
     ++tries;
-    lease.Heed(ListScope::kComplete, now);
-    lease.Heed(ListScope::kWatchFailed, now);
+    lease.OnListUpdate(ListScope::kComplete, now);
+    lease.OnListUpdate(ListScope::kWatchFailed, now);
   }
   EXPECT_GE(tries, 40);
   EXPECT_LE(tries, 61);
@@ -134,29 +134,29 @@
   Settings s = ListSettings(6, 1);
   s.list_heartbeat = 0;
   EndpointListLease lease(s);
-  lease.Heed(ListScope::kChanges, 100);
-  EXPECT_EQ(lease.next_try(), kNever);
-  lease.Heed(ListScope::kWatchFailed, 200);
-  EXPECT_LE(lease.next_try(), 201.3);
+  lease.OnListUpdate(ListScope::kChanges, 100);
+  EXPECT_EQ(lease.next_renewal(), kNever);
+  lease.OnListUpdate(ListScope::kWatchFailed, 200);
+  EXPECT_LE(lease.next_renewal(), 201.3);
 }
 
 TEST(EndpointListLeaseTest, ChangesThatComeByThemselvesNeedNoWatchUnlessTheyComeOverOne) {
   Settings s = ListSettings(300, 1);
   s.poll_endpoint_list = false;
   EndpointListLease watched(s);
-  watched.Heed(ListScope::kCached, 100);
-  EXPECT_EQ(watched.next_try(), 100);  // what is published binds from the first moment
+  watched.OnListUpdate(ListScope::kCached, 100);
+  EXPECT_EQ(watched.next_renewal(), 100);  // what is published binds from the first moment
   s.list_heartbeat = 0;
   EndpointListLease pushed(s);
-  pushed.Heed(ListScope::kCached, 100);
-  EXPECT_EQ(pushed.next_try(), kNever);
+  pushed.OnListUpdate(ListScope::kCached, 100);
+  EXPECT_EQ(pushed.next_renewal(), kNever);
 }
 
 TEST(EndpointListLeaseTest, AsksMoreOftenWhereTheSettingsWantItAskedSooner) {
   Settings s = ListSettings(6, 1);
   s.max_poll_interval = 2;
   EndpointListLease lease(s);
-  lease.Heed(ListScope::kCached, 100);
+  lease.OnListUpdate(ListScope::kCached, 100);
   const std::vector<Seconds> tries = TriesOf(lease, 100, 110);
   EXPECT_GE(CountWithin(tries, 102), 4);
   EXPECT_LE(tries.size(), 21U);
@@ -165,13 +165,13 @@
 
 TEST(EndpointListLeaseTest, SaysOnceThatItHasRunOutAndOnceThatItIsCurrentAgain) {
   EndpointListLease lease(ListSettings(6, 1));
-  lease.Heed(ListScope::kComplete, 100);
+  lease.OnListUpdate(ListScope::kComplete, 100);
   EXPECT_EQ(lease.TakeChange(105.9), std::nullopt);
   EXPECT_EQ(lease.TakeChange(106.1), true);
   EXPECT_EQ(lease.TakeChange(107), std::nullopt);
   lease.Confirm(108);
   EXPECT_EQ(lease.TakeChange(108), false);
-  lease.Moved(109);
+  lease.OnDiscoveryMoved(109);
   EXPECT_EQ(lease.TakeChange(112.9), std::nullopt);
   EXPECT_EQ(lease.TakeChange(113.1), true);
 }
