--- a/tests/decision/fixture.h
+++ b/tests/decision/fixture.h
@@ -134,4 +134,23 @@
   std::vector<Action> actions_;
 };
 
+// Starts with the test's settings.
+class StartedRouterTest : public CourierTest {
+ protected:
+  void SetUp() override { Start(TestSettings()); }
+
+  // Requests that are sent to one endpoint each and served, one after the other.
+  void ServeSafely(RequestId from, int count, DestinationId destination = 1) {
+    for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
+      Take(id, kUnsafeClass, destination);
+      EndTurn();
+      const auto sends = SendsOf(id);
+      ASSERT_EQ(sends.size(), 1U);
+      now_ += 0.1;
+      Tell(id, 0, sends[0].endpoint, Outcome::kServed);
+      EndTurn();
+    }
+  }
+};
+
 }  // namespace opalroute
