--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -6,39 +6,39 @@
 
 class AdmissionTest : public StartedRouterTest {};
 
-TEST_F(AdmissionTest, TheLongestLineMakesRoom) {
+TEST_F(AdmissionTest, TheLongestQueueIsShedFirst) {
   Settings s = TestSettings();
   s.request_capacity = 20;
   Start(s);
-  List({Entry(1, 2)});
-  for (RequestId id = 1; id <= 25; ++id) Take(id, kSafeClass, 1);
-  Take(40, kSafeClass, 2);
-  EndTurn();
-  EXPECT_GE(All<Reject>().size(), 6U);
-  for (const Reject& refuse : All<Reject>()) EXPECT_NE(refuse.request_id, 40U);
+  UpdateList({MakeEndpoint(1, 2)});
+  for (RequestId id = 1; id <= 25; ++id) Receive(id, kIdempotentClass, 1);
+  Receive(40, kIdempotentClass, 2);
+  EndBatch();
+  EXPECT_GE(Emitted<Reject>().size(), 6U);
+  for (const Reject& reject : Emitted<Reject>()) EXPECT_NE(reject.request_id, 40U);
 }
 
-TEST_F(AdmissionTest, ATenantAboveItsShareGivesWay) {
+TEST_F(AdmissionTest, ATenantAboveItsQuotaHasLowerPriority) {
   Settings s = TestSettings();
   s.tenants = {{1}, {1}};
   s.concurrency_limit = 1;
   Start(s);
-  List({Entry(1, 1)});
-  for (RequestId id = 1; id <= 20; ++id) Play(NewRequest{id, kSafeClass, 0, "", 20, 1});
-  EndTurn();
-  Play(NewRequest{30, kSafeClass, 1, "", 20, 1});
+  UpdateList({MakeEndpoint(1, 1)});
+  for (RequestId id = 1; id <= 20; ++id) Handle(NewRequest{id, kIdempotentClass, 0, "", 20, 1});
+  EndBatch();
+  Handle(NewRequest{30, kIdempotentClass, 1, "", 20, 1});
   now_ += 0.1;
   for (RequestId id = 1; id <= 20; ++id) {
-    if (SendsOf(id).empty()) continue;
-    Tell(id, 0, 1, Outcome::kServed);
+    if (SendsFor(id).empty()) continue;
+    EndAttempt(id, 0, 1, Outcome::kServed);
   }
-  EndTurn();
+  EndBatch();
   for (int i = 0; i < 5; ++i) {
-    const Send last = All<Send>().back();
-    Tell(last.request_id, 0, 1, Outcome::kServed);
-    EndTurn();
+    const Send last = Emitted<Send>().back();
+    EndAttempt(last.request_id, 0, 1, Outcome::kServed);
+    EndBatch();
   }
-  EXPECT_EQ(SendsOf(30).size(), 1U);
+  EXPECT_EQ(SendsFor(30).size(), 1U);
 }
 
 }  // namespace
--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -10,29 +10,30 @@
 
 class CircuitBreakerTest : public StartedRouterTest {};
 
-TEST_F(CircuitBreakerTest, AReturnFromAnOutageFindsNoBurst) {
+TEST_F(CircuitBreakerTest, ARecoveryAfterAnOutageGetsNoBurst) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(s);
-  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 10)});
+  UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 10)});
   RequestId id = 1;
-  std::size_t told = 0;
+  std::size_t answered = 0;
   const Seconds returns = 115;
   std::vector<Seconds> arrived;
   while (now_ < 130) {
-    Take(id++, kSafeClass);
-    EndTurn();
-    const auto sends = All<Send>();
-    for (; told < sends.size(); ++told) {
+    Receive(id++, kIdempotentClass);
+    EndBatch();
+    const auto sends = Emitted<Send>();
+    for (; answered < sends.size(); ++answered) {
       if (now_ >= returns) arrived.push_back(now_);
-      const int attempt = static_cast<int>(SendsOf(sends[told].request_id).size()) - 1;
-      Tell(sends[told].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
+      const int attempt = static_cast<int>(SendsFor(sends[answered].request_id).size()) - 1;
+      EndAttempt(sends[answered].request_id, attempt, 1,
+                 now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
-    RunTo(now_ + 0.1);
-    for (const auto all = All<Send>(); told < all.size(); ++told) {
+    RunUntil(now_ + 0.1);
+    for (const auto all = Emitted<Send>(); answered < all.size(); ++answered) {
       if (now_ >= returns) arrived.push_back(now_);
-      const int attempt = static_cast<int>(SendsOf(all[told].request_id).size()) - 1;
-      Tell(all[told].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
+      const int attempt = static_cast<int>(SendsFor(all[answered].request_id).size()) - 1;
+      EndAttempt(all[answered].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
   }
   // Cold capacity is 2 a second and 4.4 after 3 s, if it warms evenly: twice that makes 19 in 3 s.
@@ -43,129 +44,130 @@
 }
 
 // With many couriers a budget's interval is tens of seconds: a false alarm must not last that long.
-TEST_F(CircuitBreakerTest, AFalseAlarmOfAnOutageEndsSoon) {
+TEST_F(CircuitBreakerTest, AWronglySuspectedOutageEndsSoon) {
   Settings s = TestSettings();
   s.relay_count = 12;
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(s);
-  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 24)});
-  ServeSafely(50, 1);
+  UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 24)});
+  ServeRequests(50, 1);
   RequestId id = 1;
   for (; id <= 3; ++id) {
-    Take(id, kUnsafeClass);
-    RunTo(now_ + 0.5);
-    ASSERT_EQ(SendsOf(id).size(), 1U);
-    Tell(id, 0, 1, Outcome::kError);
+    Receive(id, kNonIdempotentClass);
+    RunUntil(now_ + 0.5);
+    ASSERT_EQ(SendsFor(id).size(), 1U);
+    EndAttempt(id, 0, 1, Outcome::kError);
   }
-  Take(id, kSafeClass);
-  EndTurn();
-  EXPECT_EQ(SendsOf(id).size(), 0U);
-  RunTo(now_ + 0.7);
-  EXPECT_EQ(SendsOf(id).size(), 1U);
+  Receive(id, kIdempotentClass);
+  EndBatch();
+  EXPECT_EQ(SendsFor(id).size(), 0U);
+  RunUntil(now_ + 0.7);
+  EXPECT_EQ(SendsFor(id).size(), 1U);
 }
 
 // Hundreds of couriers that each find out at each endpoint send a crashed destination many times its traffic.
-TEST_F(CircuitBreakerTest, AQuietCourierTriesADestinationThatIsOutSeldom) {
+TEST_F(CircuitBreakerTest, ARelayWithLittleTrafficSendsFewRecoveryTrials) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 400;
   Start(s);
   for (EndpointId id = 1; id <= 4; ++id)
-    List({Entry(id, 1, 0, 0, EndpointStatus::kInService, 8)}, ListScope::kChanges);
-  Take(1, kUnsafeClass);
-  EndTurn();
-  std::size_t told = 0;
+    UpdateList({MakeEndpoint(id, 1, 0, 0, EndpointStatus::kInService, 8)}, ListScope::kChanges);
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  std::size_t answered = 0;
   while (now_ < 112) {
-    for (; told < SendsOf(1).size(); ++told)
-      Tell(1, static_cast<int>(told), SendsOf(1)[told].endpoint, Outcome::kConnectFailed, 0, 0.05);
-    RunTo(now_ + 0.01);
+    for (; answered < SendsFor(1).size(); ++answered)
+      EndAttempt(1, static_cast<int>(answered), SendsFor(1)[answered].endpoint, Outcome::kConnectFailed, 0,
+                 0.05);
+    RunUntil(now_ + 0.01);
   }
-  EXPECT_GE(told, 2U);  // a first trial comes soon: it may have been a false alarm
-  EXPECT_LE(told, 3U);
+  EXPECT_GE(answered, 2U);  // a first trial comes soon: it may have been a false alarm
+  EXPECT_LE(answered, 3U);
 }
 
-TEST_F(CircuitBreakerTest, AServedTrialClearsWhatWasOnlySuspected) {
+TEST_F(CircuitBreakerTest, AServedTrialClosesCircuitsThatWereOnlySuspected) {
   Settings s = TestSettings();
   s.relay_count = 400;
   Start(s);
-  List({Entry(1, 1), Entry(2, 1), Entry(3, 1)});
-  Take(1, kUnsafeClass);
-  EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kConnectFailed, 0, 0.05);
-  RunTo(now_ + 1.5);
-  ASSERT_EQ(SendsOf(1).size(), 2U);
-  Tell(1, 1, SendsOf(1)[1].endpoint, Outcome::kServed);
-  for (RequestId id = 2; id <= 4; ++id) Take(id, kUnsafeClass);
-  RunTo(now_ + 0.2);
-  for (RequestId id = 2; id <= 4; ++id) EXPECT_EQ(SendsOf(id).size(), 1U) << id;
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 1)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kConnectFailed, 0, 0.05);
+  RunUntil(now_ + 1.5);
+  ASSERT_EQ(SendsFor(1).size(), 2U);
+  EndAttempt(1, 1, SendsFor(1)[1].endpoint, Outcome::kServed);
+  for (RequestId id = 2; id <= 4; ++id) Receive(id, kNonIdempotentClass);
+  RunUntil(now_ + 0.2);
+  for (RequestId id = 2; id <= 4; ++id) EXPECT_EQ(SendsFor(id).size(), 1U) << id;
 }
 
 // One call with many messages has one fate: counting each as a failure opened circuits all day long.
-TEST_F(CircuitBreakerTest, AFailedBundleIsOneFailure) {
+TEST_F(CircuitBreakerTest, AFailedBatchIsOneFailure) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 0, 2)});
-  ServeSafely(50, 1);
-  for (RequestId id = 1; id <= 5; ++id) Take(id, kUnsafeClass);
-  EndTurn();
-  for (RequestId id = 1; id <= 5; ++id) Tell(id, 0, 1, Outcome::kError);
-  Take(6, kUnsafeClass);
-  EndTurn();
-  EXPECT_EQ(SendsOf(6).size(), 1U);
+  UpdateList({MakeEndpoint(1, 1, 0, 2)});
+  ServeRequests(50, 1);
+  for (RequestId id = 1; id <= 5; ++id) Receive(id, kNonIdempotentClass);
+  EndBatch();
+  for (RequestId id = 1; id <= 5; ++id) EndAttempt(id, 0, 1, Outcome::kError);
+  Receive(6, kNonIdempotentClass);
+  EndBatch();
+  EXPECT_EQ(SendsFor(6).size(), 1U);
 }
 
 // Guards against a lack of connections here, or a drain told meanwhile, that counts as an endpoint's failure.
-TEST_F(CircuitBreakerTest, AProbeThatWasNotSentSaysNothingOfItsEndpoint) {
+TEST_F(CircuitBreakerTest, AHealthCheckThatWasNotSentIsInconclusive) {
   Settings s = TestSettings();
   s.may_health_check = true;
   Start(s);
-  List({Entry(1, 1)});
-  Take(20, kSafeClass);
-  EndTurn();
-  Tell(20, 0, 1, Outcome::kReset);
-  for (int i = 0; i < 400 && All<HealthCheck>().empty(); ++i) RunTo(now_ + 0.1);
-  ASSERT_EQ(All<HealthCheck>().size(), 1U);
-  const auto out_since = [this] {
+  UpdateList({MakeEndpoint(1, 1)});
+  Receive(20, kIdempotentClass);
+  EndBatch();
+  EndAttempt(20, 0, 1, Outcome::kReset);
+  for (int i = 0; i < 400 && Emitted<HealthCheck>().empty(); ++i) RunUntil(now_ + 0.1);
+  ASSERT_EQ(Emitted<HealthCheck>().size(), 1U);
+  const auto failure_age = [this] {
     std::optional<DestinationId> from = 0;
-    return courier_->ExportRouteStates(now_, from, 10).at(0).failure_age;
+    return router_->ExportRouteStates(now_, from, 10).at(0).failure_age;
   };
-  const std::optional<Seconds> before = out_since();
+  const std::optional<Seconds> before = failure_age();
   ASSERT_GT(before.value_or(0), 0);
-  Play(HealthCheckOutcome{1, Outcome::kNotSent, 0.1, {}});
-  EXPECT_EQ(out_since(), before);
-  RunTo(now_ + 60);
-  EXPECT_GT(All<HealthCheck>().size(), 1U);
+  Handle(HealthCheckOutcome{1, Outcome::kNotSent, 0.1, {}});
+  EXPECT_EQ(failure_age(), before);
+  RunUntil(now_ + 60);
+  EXPECT_GT(Emitted<HealthCheck>().size(), 1U);
 }
 
 // Guards against a rush at the end of a told wait: calls that were out when a partner shut still come back
 // served, and say nothing of its return.
-TEST_F(CircuitBreakerTest, ACallServedAfterALongWaitWasToldIsNoReturn) {
+TEST_F(CircuitBreakerTest, ACallServedAfterALongRetryAfterIsNoRecovery) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1)});
-  Take(20, kSafeClass);
-  EndTurn();
-  Tell(20, 0, 1, Outcome::kServed);
+  UpdateList({MakeEndpoint(1, 1)});
+  Receive(20, kIdempotentClass);
+  EndBatch();
+  EndAttempt(20, 0, 1, Outcome::kServed);
   now_ += 0.3;
-  Take(1, kSafeClass);
-  Take(2, kSafeClass);
-  EndTurn();
-  Tell(1, 0, 1, Outcome::kRejected, 6, 0.05);
+  Receive(1, kIdempotentClass);
+  Receive(2, kIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, 1, Outcome::kRejected, 6, 0.05);
   now_ += 0.1;
-  Tell(2, 0, 1, Outcome::kServed, 0, 0.15);  // sent before the refusal
-  const auto belief = [this] {
+  EndAttempt(2, 0, 1, Outcome::kServed, 0, 0.15);  // sent before the refusal
+  const auto state = [this] {
     std::optional<DestinationId> from = 0;
-    return courier_->ExportRouteStates(now_, from, 10).at(0);
+    return router_->ExportRouteStates(now_, from, 10).at(0);
   };
-  EXPECT_TRUE(belief().failure_age);
-  for (RequestId id = 3; id <= 12; ++id) Take(id, kSafeClass, 1, "", 200);
-  while (All<Send>().size() < 4 && now_ < 140) RunTo(now_ + 0.1);
-  const Send trial = All<Send>().back();
-  Tell(trial.request_id, 0, 1, Outcome::kServed);
-  EXPECT_FALSE(belief().failure_age);
-  EXPECT_TRUE(belief().recovery_age);  // a slow start
+  EXPECT_TRUE(state().failure_age);
+  for (RequestId id = 3; id <= 12; ++id) Receive(id, kIdempotentClass, 1, "", 200);
+  while (Emitted<Send>().size() < 4 && now_ < 140) RunUntil(now_ + 0.1);
+  const Send trial = Emitted<Send>().back();
+  EndAttempt(trial.request_id, 0, 1, Outcome::kServed);
+  EXPECT_FALSE(state().failure_age);
+  EXPECT_TRUE(state().recovery_age);  // a slow start
 }
 
 }  // namespace
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr Seconds kStep = 0.005;  // between two looks at the lease
 constexpr int kSeeds = 200;
-constexpr Seconds kLongestGap =
+constexpr Seconds kLongestSpacing =
     2.5;  // between two tries, in a fleet of any size: a step of 2 s and its jitter
 
 Settings ListSettings(int relays, std::uint64_t seed) {
@@ -28,8 +28,9 @@
 
 // The tries that a lease makes from `from` to `to`; after each, `fails_after` seconds later, it is told of a
 // failure (negative: never, it is silent).
-std::vector<Seconds> TriesOf(EndpointListLease& lease, Seconds from, Seconds to, Seconds fails_after = -1) {
-  std::vector<Seconds> tries;
+std::vector<Seconds> RenewalsOf(EndpointListLease& lease, Seconds from, Seconds to,
+                                Seconds fails_after = -1) {
+  std::vector<Seconds> renewals;
   Seconds fails_at = kNever;
   for (Seconds now = from; now < to; now += kStep) {
     if (now >= fails_at) {
@@ -37,76 +38,78 @@
       lease.OnListUpdate(ListScope::kWatchFailed, now);
     }
     if (!lease.TakeDueRenewal(now)) continue;
-    tries.push_back(now);
+    renewals.push_back(now);
     if (fails_after >= 0) fails_at = now + fails_after;
   }
-  return tries;
+  return renewals;
 }
 
-long CountWithin(const std::vector<Seconds>& tries, Seconds until) {
-  return std::count_if(tries.begin(), tries.end(), [until](Seconds at) { return at < until; });
+long CountWithin(const std::vector<Seconds>& renewals, Seconds until) {
+  return std::count_if(renewals.begin(), renewals.end(), [until](Seconds at) { return at < until; });
 }
 
 class EndpointListLeaseTest : public testing::TestWithParam<int> {};  // by the number of relays
 
-TEST_P(EndpointListLeaseTest, AfterAMoveTriesFollowOneAnotherWithinTheTermWhateverBecomesOfThem) {
+TEST_P(EndpointListLeaseTest, AfterAMoveRenewalsKeepTheirSpacingWhateverTheirOutcome) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     for (const Seconds fails_after : {-1.0, 0.0, 0.5, 1.0, 3.0}) {
       const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
       EndpointListLease lease(s);
       lease.OnListUpdate(ListScope::kCached, 100);
-      TriesOf(lease, 100, 130, 0.5);  // a long outage, then four moves as in the incident
+      RenewalsOf(lease, 100, 130, 0.5);  // a long outage, then four moves as in the incident
       for (const Seconds at : {130.0, 130.3, 130.7}) {
         lease.OnDiscoveryMoved(at);
         EXPECT_TRUE(lease.TakeDueRenewal(at));
       }
       lease.OnDiscoveryMoved(131.6);
-      const std::vector<Seconds> tries = TriesOf(lease, 131.6, 141.6, fails_after);
-      ASSERT_FALSE(tries.empty());
-      EXPECT_NEAR(tries.front(), 131.6, kStep);
-      EXPECT_GE(CountWithin(tries, 131.6 + s.list_notification_time_after_move), GetParam() <= 20 ? 4 : 2);
-      for (std::size_t i = 1; i < tries.size(); ++i)
-        EXPECT_LE(tries[i] - tries[i - 1], kLongestGap + kStep) << "seed " << seed;
+      const std::vector<Seconds> renewals = RenewalsOf(lease, 131.6, 141.6, fails_after);
+      ASSERT_FALSE(renewals.empty());
+      EXPECT_NEAR(renewals.front(), 131.6, kStep);
+      EXPECT_GE(CountWithin(renewals, 131.6 + s.list_notification_time_after_move), GetParam() <= 20 ? 4 : 2);
+      for (std::size_t i = 1; i < renewals.size(); ++i)
+        EXPECT_LE(renewals[i] - renewals[i - 1], kLongestSpacing + kStep) << "seed " << seed;
     }
   }
 }
 
-TEST_P(EndpointListLeaseTest, ASilentWatchIsDoubledBeforeAChangeBinds) {
+TEST_P(EndpointListLeaseTest, ASilentWatchIsRenewedBeforeAChangeBinds) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
     lease.OnListUpdate(ListScope::kComplete, 100);
-    const std::vector<Seconds> tries = TriesOf(lease, 100, 100 + s.list_notification_time + s.drain_grace);
-    EXPECT_GE(CountWithin(tries, 100 + s.list_notification_time), GetParam() <= 20 ? 2 : 1);
-    EXPECT_GE(tries.size(), 2U);
-    EXPECT_GT(tries.front(), 100 + s.list_heartbeat);
+    const std::vector<Seconds> renewals =
+        RenewalsOf(lease, 100, 100 + s.list_notification_time + s.drain_grace);
+    EXPECT_GE(CountWithin(renewals, 100 + s.list_notification_time), GetParam() <= 20 ? 2 : 1);
+    EXPECT_GE(renewals.size(), 2U);
+    EXPECT_GT(renewals.front(), 100 + s.list_heartbeat);
   }
 }
 
-TEST_P(EndpointListLeaseTest, NoFailureBringsATryForwardAndNoneDelaysIt) {
+TEST_P(EndpointListLeaseTest, NoFailureMovesTheNextRenewal) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 draw(static_cast<unsigned>(seed));
     std::uniform_real_distribution<double> after(0, 4);
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
     lease.OnListUpdate(ListScope::kCached, 100);
-    std::vector<Seconds> tries;
+    std::vector<Seconds> renewals;
     for (Seconds now = 100, fails_at = 100; now < 160; now += kStep) {
       if (now >= fails_at) {
         lease.OnListUpdate(ListScope::kWatchFailed, now);
         fails_at = now + after(draw);
       }
-      if (lease.TakeDueRenewal(now)) tries.push_back(now);
+      if (lease.TakeDueRenewal(now)) renewals.push_back(now);
     }
-    ASSERT_GE(tries.size(), 60 / kLongestGap - 1);
-    EXPECT_LE(tries.size(), 60 / (s.list_notification_time_after_move / 4) + 1);
-    for (std::size_t i = 1; i < tries.size(); ++i) EXPECT_LE(tries[i] - tries[i - 1], kLongestGap + kStep);
+    ASSERT_GE(renewals.size(), 60 / kLongestSpacing - 1);
+    EXPECT_LE(renewals.size(), 60 / (s.list_notification_time_after_move / 4) + 1);
+    for (std::size_t i = 1; i < renewals.size(); ++i)
+      EXPECT_LE(renewals[i] - renewals[i - 1], kLongestSpacing + kStep);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Fleets, EndpointListLeaseTest, testing::Values(1, 6, 20, 40, 300, 900));
 
-TEST(EndpointListLeaseTest, AWatchInOrderIsLeftAlone) {
+TEST(EndpointListLeaseTest, AConfirmedWatchIsNotRenewed) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kComplete, 100);
   for (Seconds now = 102; now < 200; now += 2) {
@@ -116,21 +119,21 @@
 }
 
 // Guards against a rush at a discovery that hands out its list and closes.
-TEST(EndpointListLeaseTest, WatchesThatEndAsSoonAsTheyStandAreNotOpenedInARush) {
+TEST(EndpointListLeaseTest, WatchesThatEndAtOnceAreRenewedWithSpacing) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kCached, 100);
-  int tries = 0;
+  int renewals = 0;
   for (Seconds now = 100; now < 160; now += kStep) {
     if (!lease.TakeDueRenewal(now)) continue;
-    ++tries;
+    ++renewals;
     lease.OnListUpdate(ListScope::kComplete, now);
     lease.OnListUpdate(ListScope::kWatchFailed, now);
   }
-  EXPECT_GE(tries, 40);
-  EXPECT_LE(tries, 61);
+  EXPECT_GE(renewals, 40);
+  EXPECT_LE(renewals, 61);
 }
 
-TEST(EndpointListLeaseTest, WhereAWatchsEndIsAlwaysToldNothingIsAskedBeforeIt) {
+TEST(EndpointListLeaseTest, WithoutAHeartbeatAWatchIsRenewedOnlyAfterItsEnd) {
   Settings s = ListSettings(6, 1);
   s.list_heartbeat = 0;
   EndpointListLease lease(s);
@@ -140,7 +143,7 @@
   EXPECT_LE(lease.next_renewal(), 201.3);
 }
 
-TEST(EndpointListLeaseTest, ChangesThatComeByThemselvesNeedNoWatchUnlessTheyComeOverOne) {
+TEST(EndpointListLeaseTest, PushedChangesNeedNoWatchUnlessItHasAHeartbeat) {
   Settings s = ListSettings(300, 1);
   s.poll_endpoint_list = false;
   EndpointListLease watched(s);
@@ -152,18 +155,18 @@
   EXPECT_EQ(pushed.next_renewal(), kNever);
 }
 
-TEST(EndpointListLeaseTest, AsksMoreOftenWhereTheSettingsWantItAskedSooner) {
+TEST(EndpointListLeaseTest, AShorterPollIntervalMeansMoreRenewals) {
   Settings s = ListSettings(6, 1);
   s.max_poll_interval = 2;
   EndpointListLease lease(s);
   lease.OnListUpdate(ListScope::kCached, 100);
-  const std::vector<Seconds> tries = TriesOf(lease, 100, 110);
-  EXPECT_GE(CountWithin(tries, 102), 4);
-  EXPECT_LE(tries.size(), 21U);
+  const std::vector<Seconds> renewals = RenewalsOf(lease, 100, 110);
+  EXPECT_GE(CountWithin(renewals, 102), 4);
+  EXPECT_LE(renewals.size(), 21U);
   EXPECT_EQ(lease.TakeChange(102.1), true);
 }
 
-TEST(EndpointListLeaseTest, SaysOnceThatItHasRunOutAndOnceThatItIsCurrentAgain) {
+TEST(EndpointListLeaseTest, ReportsEachChangeOfExpiryOnce) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kComplete, 100);
   EXPECT_EQ(lease.TakeChange(105.9), std::nullopt);
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -7,53 +7,53 @@
 class EndpointListTest : public StartedRouterTest {};
 
 TEST_F(EndpointListTest, NothingGoesToADrainingEndpoint) {
-  List({Entry(1, 1), Entry(2, 1)});
-  List({Entry(1, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
-  ServeSafely(1, 30);
-  for (const Send& send : All<Send>()) EXPECT_EQ(send.endpoint, 2U);
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
+  UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
+  ServeRequests(1, 30);
+  for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 2U);
 }
 
-TEST_F(EndpointListTest, AnEndpointMissingFromAWholeListIsGone) {
-  List({Entry(1, 1), Entry(2, 1)});
-  List({Entry(2, 1)});
-  ServeSafely(1, 30);
-  for (const Send& send : All<Send>()) EXPECT_EQ(send.endpoint, 2U);
+TEST_F(EndpointListTest, AnEndpointMissingFromACompleteListIsRemoved) {
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
+  UpdateList({MakeEndpoint(2, 1)});
+  ServeRequests(1, 30);
+  for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 2U);
 }
 
-TEST_F(EndpointListTest, AsksForChangesAtTheStartAndAgainAfterARefusal) {
+TEST_F(EndpointListTest, WatchesTheListAtTheStartAndAgainAfterAFailure) {
   Settings s = TestSettings();
   s.poll_endpoint_list = true;
   Start(s);
-  List({Entry(1, 1)}, ListScope::kCached);
-  EndTurn();
-  EXPECT_EQ(All<WatchEndpointList>().size(), 1U);
-  List({}, ListScope::kWatchFailed);
-  EndTurn();
-  EXPECT_EQ(All<WatchEndpointList>().size(), 1U);
-  RunTo(now_ + 2);
-  EXPECT_EQ(All<WatchEndpointList>().size(), 2U);
+  UpdateList({MakeEndpoint(1, 1)}, ListScope::kCached);
+  EndBatch();
+  EXPECT_EQ(Emitted<WatchEndpointList>().size(), 1U);
+  UpdateList({}, ListScope::kWatchFailed);
+  EndBatch();
+  EXPECT_EQ(Emitted<WatchEndpointList>().size(), 1U);
+  RunUntil(now_ + 2);
+  EXPECT_EQ(Emitted<WatchEndpointList>().size(), 2U);
 }
 
 // A ban by hand, or what DNS says, is news of endpoints and none of the list's age.
-TEST_F(EndpointListTest, NewsOfAnotherSourceDoesNotStandForTheList) {
+TEST_F(EndpointListTest, UpdatesFromOtherSourcesDoNotConfirmTheList) {
   Settings s = TestSettings();
   s.poll_endpoint_list = true;
   s.list_heartbeat = 2;
   Start(s);
-  List({Entry(1, 1)}, ListScope::kCached);
-  EndTurn();
+  UpdateList({MakeEndpoint(1, 1)}, ListScope::kCached);
+  EndBatch();
   for (int i = 0; i < 10; ++i) {
-    RunTo(now_ + 0.5);
-    Play(ListUpdate{ListScope::kChanges, {}, false});
+    RunUntil(now_ + 0.5);
+    Handle(ListUpdate{ListScope::kChanges, {}, false});
   }
-  EXPECT_GE(All<WatchEndpointList>().size(), 4U);
-  EXPECT_EQ(All<Log>().size(), 0U);
-  RunTo(now_ + 2);
-  ASSERT_EQ(All<Log>().size(), 1U);
-  EXPECT_EQ(All<Log>()[0].text, "endpoint list not confirmed in time, the one held serves on");
-  Play(ListConfirmed{});
-  EndTurn();
-  EXPECT_EQ(All<Log>().size(), 2U);
+  EXPECT_GE(Emitted<WatchEndpointList>().size(), 4U);
+  EXPECT_EQ(Emitted<Log>().size(), 0U);
+  RunUntil(now_ + 2);
+  ASSERT_EQ(Emitted<Log>().size(), 1U);
+  EXPECT_EQ(Emitted<Log>()[0].text, "endpoint list not confirmed in time, the one held serves on");
+  Handle(ListConfirmed{});
+  EndBatch();
+  EXPECT_EQ(Emitted<Log>().size(), 2U);
 }
 
 }  // namespace
--- a/tests/decision/fixture.h
+++ b/tests/decision/fixture.h
@@ -16,7 +16,7 @@
 
 namespace opalroute {
 
-enum ClassIndex { kSafeClass, kKeyedClass, kUnsafeClass, kOrderedClass };
+enum ClassIndex { kIdempotentClass, kDeduplicatedClass, kNonIdempotentClass, kOrderedClass };
 
 inline Settings TestSettings() {
   Settings s;
@@ -47,108 +47,109 @@
 }
 
 // One courier of many, with its wake and the numbers of its messages and attempts.
-struct Member {
-  explicit Member(const Settings& s) : courier(s) {}
-  void Heed(const SetTimer& wake) { std::tie(wake_at, label) = std::tie(wake.due, wake.timer_id); }
+struct TestRelay {
+  explicit TestRelay(const Settings& s) : router(s) {}
+  void SetWake(const SetTimer& wake) { std::tie(timer_due, timer_id) = std::tie(wake.due, wake.timer_id); }
   // Its wake if that is due, once.
-  std::optional<TimerFired> Due(Seconds now) {
-    if (wake_at <= 0 || wake_at > now) return std::nullopt;
-    wake_at = 0;
-    return TimerFired{label};
+  std::optional<TimerFired> TakeDueTimer(Seconds now) {
+    if (timer_due <= 0 || timer_due > now) return std::nullopt;
+    timer_due = 0;
+    return TimerFired{timer_id};
   }
-  RequestRouter courier;
-  Seconds wake_at = 0;
-  std::uint64_t label = 0;
+  RequestRouter router;
+  Seconds timer_due = 0;
+  std::uint64_t timer_id = 0;
   std::map<RequestId, int> attempts;
   std::map<EndpointId, int> idle;  // connections
   RequestId next = 1;
 };
 
-class CourierTest : public ::testing::Test {
+class RouterTest : public ::testing::Test {
  protected:
   void Start(const Settings& settings) {
-    courier_ = std::make_unique<RequestRouter>(settings);
+    router_ = std::make_unique<RequestRouter>(settings);
     actions_.clear();
   }
 
-  static ListedEndpoint Entry(EndpointId id, DestinationId destination, int zone = 0, int kind = 0,
-                              EndpointStatus listing = EndpointStatus::kInService, double rating = 0) {
-    return {id, zone, kind, destination, listing, rating};
+  static ListedEndpoint MakeEndpoint(EndpointId id, DestinationId destination, int zone = 0, int kind = 0,
+                                     EndpointStatus status = EndpointStatus::kInService,
+                                     double listed_rate = 0) {
+    return {id, zone, kind, destination, status, listed_rate};
   }
-  void List(std::vector<ListedEndpoint> entries, ListScope scope = ListScope::kComplete) {
-    Play(ListUpdate{scope, std::move(entries)});
+  void UpdateList(std::vector<ListedEndpoint> entries, ListScope scope = ListScope::kComplete) {
+    Handle(ListUpdate{scope, std::move(entries)});
   }
-  void Play(const Event& event) { courier_->Handle(now_, event, actions_); }
-  void EndTurn() { Play(BatchEnd{}); }
+  void Handle(const Event& event) { router_->Handle(now_, event, actions_); }
+  void EndBatch() { Handle(BatchEnd{}); }
 
-  void Take(RequestId id, int message_class, DestinationId destination = 1, const std::string& key = "",
-            Seconds patience = 20) {
-    Play(NewRequest{id, message_class, {}, key, patience, destination});
+  void Receive(RequestId id, int request_class, DestinationId destination = 1, const std::string& key = "",
+               Seconds remaining_time = 20) {
+    Handle(NewRequest{id, request_class, {}, key, remaining_time, destination});
   }
 
   // Turns of one tick up to the time; wakes are played when they are due.
-  void RunTo(Seconds time) {
-    EndTurn();
+  void RunUntil(Seconds time) {
+    EndBatch();
     while (now_ < time - 1e-9) {
       now_ += 0.01;
       std::vector<std::uint64_t> due;
-      for (const SetTimer& wake : All<SetTimer>()) {
+      for (const SetTimer& wake : Emitted<SetTimer>()) {
         if (wake.due <= now_ && wake.due > now_ - 0.01) due.push_back(wake.timer_id);
       }
-      for (const std::uint64_t label : due) Play(TimerFired{label});
-      if (!due.empty()) EndTurn();
+      for (const std::uint64_t timer_id : due) Handle(TimerFired{timer_id});
+      if (!due.empty()) EndBatch();
     }
   }
 
-  void Tell(RequestId id, int attempt, EndpointId endpoint, Outcome outcome, Seconds wait = 0,
-            Seconds duration = 0.1) {
-    AttemptOutcome r;
-    r.request_id = id;
-    r.attempt = attempt;
-    r.endpoint = endpoint;
-    r.outcome = outcome;
-    r.retry_after = wait;
-    r.duration = duration;
-    r.request_ended = outcome == Outcome::kServed;
-    Play(r);
+  void EndAttempt(RequestId id, int attempt, EndpointId endpoint, Outcome outcome, Seconds retry_after = 0,
+                  Seconds duration = 0.1) {
+    AttemptOutcome attempt_outcome;
+    attempt_outcome.request_id = id;
+    attempt_outcome.attempt = attempt;
+    attempt_outcome.endpoint = endpoint;
+    attempt_outcome.outcome = outcome;
+    attempt_outcome.retry_after = retry_after;
+    attempt_outcome.duration = duration;
+    attempt_outcome.request_ended = outcome == Outcome::kServed;
+    Handle(attempt_outcome);
   }
 
   template <typename T>
-  std::vector<T> All() const {
+  std::vector<T> Emitted() const {
     std::vector<T> found;
     for (const Action& action : actions_) {
       if (const auto* hit = std::get_if<T>(&action)) found.push_back(*hit);
     }
     return found;
   }
-  std::vector<Send> SendsOf(RequestId id) const {
+  std::vector<Send> SendsFor(RequestId id) const {
     std::vector<Send> found;
-    for (const Send& send : All<Send>()) {
+    for (const Send& send : Emitted<Send>()) {
       if (send.request_id == id) found.push_back(send);
     }
     return found;
   }
 
   Seconds now_ = 100;
-  std::unique_ptr<RequestRouter> courier_;
+  std::unique_ptr<RequestRouter> router_;
   std::vector<Action> actions_;
 };
 
 // Starts with the test's settings.
-class StartedRouterTest : public CourierTest {
+class StartedRouterTest : public RouterTest {
  protected:
   void SetUp() override { Start(TestSettings()); }
 
   // Requests that are sent to one endpoint each and served, one after the other.
-  void ServeSafely(RequestId from, int count, DestinationId destination = 1) {
+  void ServeRequests(RequestId from, int count, DestinationId destination = 1) {
     for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
-      Take(id, kUnsafeClass, destination);
-      EndTurn();
-      const auto sends = SendsOf(id);
+      Receive(id, kNonIdempotentClass, destination);
+      EndBatch();
+      const auto sends = SendsFor(id);
       ASSERT_EQ(sends.size(), 1U);
       now_ += 0.1;
-      Tell(id, 0, sends[0].endpoint, Outcome::kServed);
-      EndTurn();
+      EndAttempt(id, 0, sends[0].endpoint, Outcome::kServed);
+      EndBatch();
     }
   }
 };
--- a/tests/decision/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -8,114 +8,118 @@
 namespace opalroute {
 namespace {
 
-class LegalRunTest : public CourierTest, public ::testing::WithParamInterface<int> {
+class LegalRunTest : public RouterTest, public ::testing::WithParamInterface<int> {
  protected:
-  struct Try {
+  struct AttemptRecord {
     EndpointId endpoint;
     Seconds sent;
-    bool out;
+    bool in_flight;
     bool may_have_run;
-    Seconds until;
+    Seconds timeout_at;
   };
-  struct Held {
-    int message_class;
+  struct HeldRequest {
+    int request_class;
     std::string key;
     DestinationId destination;
     Seconds deadline;
-    std::vector<Try> tries;
-    bool over = false;
+    std::vector<AttemptRecord> attempts;
+    bool ended = false;
   };
 
   static int ZoneOf(EndpointId id) { return static_cast<int>(id % 2); }
   static DestinationId DestinationOf(EndpointId id) { return id / 4; }
 
   void CheckSend(const Send& send) {
-    Held& m = held_.at(send.request_id);
-    ASSERT_FALSE(m.over) << "rule 1: sent after its end";
-    ASSERT_EQ(DestinationOf(send.endpoint), m.destination);
-    ASSERT_EQ(drained_.count(send.endpoint), 0U) << "rule 3";
-    ASSERT_GE(now_ + 1e-9, waits_[m.destination]) << "rule 5";
-    for (const Try& t : m.tries) {
-      if (!t.out && !t.may_have_run) continue;
-      ASSERT_NE(m.message_class, kUnsafeClass) << "rule 2: an unsafe repeat";
-      if (m.message_class == kKeyedClass) {
-        ASSERT_EQ(ZoneOf(t.endpoint), ZoneOf(send.endpoint)) << "rule 2: out of the group";
-        ASSERT_LE(now_, t.sent + 8) << "rule 2: out of the window";
+    HeldRequest& request = requests_.at(send.request_id);
+    ASSERT_FALSE(request.ended) << "rule 1: sent after its end";
+    ASSERT_EQ(DestinationOf(send.endpoint), request.destination);
+    ASSERT_EQ(draining_.count(send.endpoint), 0U) << "rule 3";
+    ASSERT_GE(now_ + 1e-9, retry_after_[request.destination]) << "rule 5";
+    for (const AttemptRecord& attempt : request.attempts) {
+      if (!attempt.in_flight && !attempt.may_have_run) continue;
+      ASSERT_NE(request.request_class, kNonIdempotentClass) << "rule 2: an unsafe repeat";
+      if (request.request_class == kDeduplicatedClass) {
+        ASSERT_EQ(ZoneOf(attempt.endpoint), ZoneOf(send.endpoint)) << "rule 2: out of the group";
+        ASSERT_LE(now_, attempt.sent + 8) << "rule 2: out of the window";
       }
     }
-    if (m.message_class == kOrderedClass) {
-      for (const RequestId id : lines_[m.key]) {
+    if (request.request_class == kOrderedClass) {
+      for (const RequestId id : key_queues_[request.key]) {
         if (id == send.request_id) break;
-        const Held& earlier = held_.at(id);
-        const bool out =
-            std::any_of(earlier.tries.begin(), earlier.tries.end(), [](const Try& t) { return t.out; });
-        ASSERT_TRUE(earlier.over && !out) << "rule 6: out of turn";
+        const HeldRequest& earlier = requests_.at(id);
+        const bool in_flight = std::any_of(earlier.attempts.begin(), earlier.attempts.end(),
+                                           [](const AttemptRecord& attempt) { return attempt.in_flight; });
+        ASSERT_TRUE(earlier.ended && !in_flight) << "rule 6: out of turn";
       }
-      ASSERT_TRUE(!m.tries.empty() || now_ + 1e-9 >= rests_[m.key]) << "rule 6: no rest";
+      ASSERT_TRUE(!request.attempts.empty() || now_ + 1e-9 >= key_pauses_[request.key]) << "rule 6: no rest";
     }
-    m.tries.push_back({send.endpoint, now_, true, false, send.timeout_at > 0 ? send.timeout_at : m.deadline});
+    request.attempts.push_back(
+        {send.endpoint, now_, true, false, send.timeout_at > 0 ? send.timeout_at : request.deadline});
   }
 
-  void CheckEnd(RequestId id, bool refused) {
-    Held& m = held_.at(id);
-    ASSERT_FALSE(m.over) << "rule 1: answered twice";
-    m.over = true;
-    if (!refused || m.message_class == kSafeClass || m.message_class == kOrderedClass) return;
-    for (const Try& t : m.tries)
-      ASSERT_FALSE(t.out || t.may_have_run) << "rule 2: refused though it may have run";
+  void CheckEnd(RequestId id, bool rejected) {
+    HeldRequest& request = requests_.at(id);
+    ASSERT_FALSE(request.ended) << "rule 1: answered twice";
+    request.ended = true;
+    if (!rejected || request.request_class == kIdempotentClass || request.request_class == kOrderedClass)
+      return;
+    for (const AttemptRecord& attempt : request.attempts)
+      ASSERT_FALSE(attempt.in_flight || attempt.may_have_run) << "rule 2: refused though it may have run";
   }
 
   void CheckActions() {
     for (; checked_ < actions_.size(); ++checked_) {
       const Action action = actions_[checked_];
       if (const auto* send = std::get_if<Send>(&action)) CheckSend(*send);
-      if (const auto* refuse = std::get_if<Reject>(&action)) CheckEnd(refuse->request_id, true);
+      if (const auto* reject = std::get_if<Reject>(&action)) CheckEnd(reject->request_id, true);
       if (const auto* fail = std::get_if<Fail>(&action)) CheckEnd(fail->request_id, false);
       if (HasFatalFailure()) return;
     }
-    for (const auto& [id, m] : held_) {
-      ASSERT_TRUE(m.over || now_ <= m.deadline + 0.02) << "rule 1: no answer in time";
+    for (const auto& [id, request] : requests_) {
+      ASSERT_TRUE(request.ended || now_ <= request.deadline + 0.02) << "rule 1: no answer in time";
     }
   }
 
   // Draws whether an attempt that is out comes to its outcome now.
   void MaybeFinish(RequestId id, std::mt19937_64& draw) {
-    Held& m = held_.at(id);
-    for (std::size_t i = 0; i < m.tries.size(); ++i) {
-      Try& t = m.tries[i];
-      if (!t.out) continue;
-      const bool timed_out = now_ >= t.until - 1e-9;
+    HeldRequest& request = requests_.at(id);
+    for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+      AttemptRecord& attempt = request.attempts[i];
+      if (!attempt.in_flight) continue;
+      const bool timed_out = now_ >= attempt.timeout_at - 1e-9;
       if (!timed_out && draw() % 20 != 0) continue;
       static const std::vector<Outcome> kOutcomes = {
           Outcome::kServed, Outcome::kServed,   Outcome::kServed, Outcome::kServed,
           Outcome::kError,  Outcome::kRejected, Outcome::kReset,  Outcome::kConnectFailed};
-      AttemptOutcome r;
-      r.request_id = id;
-      r.attempt = static_cast<int>(i);
-      r.endpoint = t.endpoint;
-      r.duration = now_ - t.sent;
-      r.outcome = timed_out ? Outcome::kTimeout : kOutcomes[draw() % kOutcomes.size()];
-      if (r.outcome == Outcome::kRejected && draw() % 2 == 0) r.retry_after = 0.3;
-      t.out = false;
-      t.may_have_run = r.outcome != Outcome::kRejected && r.outcome != Outcome::kConnectFailed;
-      if (m.message_class == kOrderedClass &&
-          (r.outcome == Outcome::kTimeout || r.outcome == Outcome::kReset)) {
-        rests_[m.key] = now_ + 1.5;
+      AttemptOutcome outcome;
+      outcome.request_id = id;
+      outcome.attempt = static_cast<int>(i);
+      outcome.endpoint = attempt.endpoint;
+      outcome.duration = now_ - attempt.sent;
+      outcome.outcome = timed_out ? Outcome::kTimeout : kOutcomes[draw() % kOutcomes.size()];
+      if (outcome.outcome == Outcome::kRejected && draw() % 2 == 0) outcome.retry_after = 0.3;
+      attempt.in_flight = false;
+      attempt.may_have_run =
+          outcome.outcome != Outcome::kRejected && outcome.outcome != Outcome::kConnectFailed;
+      if (request.request_class == kOrderedClass &&
+          (outcome.outcome == Outcome::kTimeout || outcome.outcome == Outcome::kReset)) {
+        key_pauses_[request.key] = now_ + 1.5;
       }
-      if (r.retry_after > 0) new_waits_.push_back({m.destination, now_ + r.retry_after});
-      if (r.outcome == Outcome::kServed) m.over = true;
-      r.request_ended = m.over;
-      Play(r);
+      if (outcome.retry_after > 0)
+        new_retry_after_.push_back({request.destination, now_ + outcome.retry_after});
+      if (outcome.outcome == Outcome::kServed) request.ended = true;
+      outcome.request_ended = request.ended;
+      Handle(outcome);
       return;
     }
   }
 
-  std::map<RequestId, Held> held_;
-  std::map<std::string, std::vector<RequestId>> lines_;
-  std::map<std::string, Seconds> rests_;
-  std::map<DestinationId, Seconds> waits_;
-  std::vector<std::pair<DestinationId, Seconds>> new_waits_;
-  std::map<EndpointId, Seconds> drained_;
+  std::map<RequestId, HeldRequest> requests_;
+  std::map<std::string, std::vector<RequestId>> key_queues_;
+  std::map<std::string, Seconds> key_pauses_;
+  std::map<DestinationId, Seconds> retry_after_;
+  std::vector<std::pair<DestinationId, Seconds>> new_retry_after_;
+  std::map<EndpointId, Seconds> draining_;
   std::size_t checked_ = 0;
 };
 
@@ -125,35 +129,36 @@
   s.may_hedge = GetParam() % 2 == 0;
   Start(s);
   std::vector<ListedEndpoint> entries;
-  for (EndpointId id = 4; id < 16; ++id) entries.push_back(Entry(id, DestinationOf(id), ZoneOf(id)));
-  List(entries);
+  for (EndpointId id = 4; id < 16; ++id) entries.push_back(MakeEndpoint(id, DestinationOf(id), ZoneOf(id)));
+  UpdateList(entries);
   RequestId next = 1;
   std::size_t answered = 0;
   for (int step = 0; step < 4000; ++step) {
     now_ += 0.01;
-    for (const SetTimer& wake : All<SetTimer>()) {
-      if (wake.due <= now_ && wake.due > now_ - 0.01) Play(TimerFired{wake.timer_id});
+    for (const SetTimer& wake : Emitted<SetTimer>()) {
+      if (wake.due <= now_ && wake.due > now_ - 0.01) Handle(TimerFired{wake.timer_id});
     }
     if (step < 3000 && draw() % 4 == 0) {
-      const int message_class = static_cast<int>(draw() % 4);
-      const std::string key = message_class == kOrderedClass ? "k" + std::to_string(draw() % 3) : "";
-      const Seconds patience = 1 + static_cast<double>(draw() % 80) / 10;
-      held_[next] = {message_class, key, static_cast<DestinationId>(1 + draw() % 3), now_ + patience, {}};
-      if (!key.empty()) lines_[key].push_back(next);
-      Take(next, message_class, held_[next].destination, key, patience);
+      const int request_class = static_cast<int>(draw() % 4);
+      const std::string key = request_class == kOrderedClass ? "k" + std::to_string(draw() % 3) : "";
+      const Seconds remaining_time = 1 + static_cast<double>(draw() % 80) / 10;
+      requests_[next] = {
+          request_class, key, static_cast<DestinationId>(1 + draw() % 3), now_ + remaining_time, {}};
+      if (!key.empty()) key_queues_[key].push_back(next);
+      Receive(next, request_class, requests_[next].destination, key, remaining_time);
       ++next;
     }
     if (step == 1000) {
-      List({Entry(5, 1, 1, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
-      drained_[5] = now_;
+      UpdateList({MakeEndpoint(5, 1, 1, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
+      draining_[5] = now_;
     }
     for (RequestId id = next > 400 ? next - 400 : 1; id < next; ++id) MaybeFinish(id, draw);
-    EndTurn();
+    EndBatch();
     CheckActions();
     if (HasFatalFailure()) return;
-    for (const auto& [destination, until] : new_waits_)
-      waits_[destination] = std::max(waits_[destination], until);
-    new_waits_.clear();
+    for (const auto& [destination, timeout_at] : new_retry_after_)
+      retry_after_[destination] = std::max(retry_after_[destination], timeout_at);
+    new_retry_after_.clear();
     if (step % 500 == 499) {  // wakes long past need not be looked through again
       actions_.erase(std::remove_if(actions_.begin(), actions_.end(),
                                     [this](const Action& a) {
@@ -164,9 +169,9 @@
       checked_ = actions_.size();
     }
   }
-  for (const auto& [id, m] : held_) answered += m.over ? 1 : 0;
-  EXPECT_GT(held_.size(), 600U);
-  EXPECT_EQ(answered, held_.size());
+  for (const auto& [id, request] : requests_) answered += request.ended ? 1 : 0;
+  EXPECT_GT(requests_.size(), 600U);
+  EXPECT_EQ(answered, requests_.size());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LegalRunTest, ::testing::Range(1, 7));
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -10,24 +10,24 @@
 class LoadBalancerTest : public StartedRouterTest {};
 
 TEST_F(LoadBalancerTest, FirstSendsSpreadOverEveryReadyEndpoint) {
-  List({Entry(1, 1), Entry(2, 1), Entry(3, 1)});
-  ServeSafely(1, 300);
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 1)});
+  ServeRequests(1, 300);
   std::map<EndpointId, int> sent;
-  for (const Send& send : All<Send>()) ++sent[send.endpoint];
+  for (const Send& send : Emitted<Send>()) ++sent[send.endpoint];
   ASSERT_EQ(sent.size(), 3U);
   for (const auto& [endpoint, count] : sent) EXPECT_NEAR(count, 100, 40) << endpoint;
 }
 
-TEST_F(LoadBalancerTest, OneDrawServesABundle) {
+TEST_F(LoadBalancerTest, OneDrawServesABatch) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 0, 2), Entry(2, 1, 0, 2)});
-  for (RequestId id = 1; id <= 5; ++id) Take(id, kSafeClass);
-  EndTurn();
+  UpdateList({MakeEndpoint(1, 1, 0, 2), MakeEndpoint(2, 1, 0, 2)});
+  for (RequestId id = 1; id <= 5; ++id) Receive(id, kIdempotentClass);
+  EndBatch();
   std::set<EndpointId> used;
-  for (const Send& send : All<Send>()) used.insert(send.endpoint);
-  EXPECT_EQ(All<Send>().size(), 5U);
+  for (const Send& send : Emitted<Send>()) used.insert(send.endpoint);
+  EXPECT_EQ(Emitted<Send>().size(), 5U);
   EXPECT_EQ(used.size(), 1U);
 }
 
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -8,108 +8,109 @@
 
 class RateLimiterTest : public StartedRouterTest {};
 
-TEST_F(RateLimiterTest, AToldWaitHoldsTheWholeDestination) {
-  List({Entry(1, 1), Entry(2, 1), Entry(3, 2)});
-  Take(1, kUnsafeClass);
-  EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kRejected, 1.0);
-  EndTurn();
-  Take(2, kUnsafeClass, 1);
-  Take(3, kUnsafeClass, 2);
-  EndTurn();
-  RunTo(100.99);
-  EXPECT_EQ(SendsOf(1).size() + SendsOf(2).size(), 1U);
-  EXPECT_EQ(SendsOf(3).size(), 1U);
-  RunTo(103);
-  EXPECT_EQ(SendsOf(1).size() + SendsOf(2).size(), 3U);
+TEST_F(RateLimiterTest, RetryAfterBindsTheWholeDestination) {
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 2)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kRejected, 1.0);
+  EndBatch();
+  Receive(2, kNonIdempotentClass, 1);
+  Receive(3, kNonIdempotentClass, 2);
+  EndBatch();
+  RunUntil(100.99);
+  EXPECT_EQ(SendsFor(1).size() + SendsFor(2).size(), 1U);
+  EXPECT_EQ(SendsFor(3).size(), 1U);
+  RunUntil(103);
+  EXPECT_EQ(SendsFor(1).size() + SendsFor(2).size(), 3U);
 }
 
-TEST_F(RateLimiterTest, AToldWaitHoldsOnlyItsRouteWhereRoutesAreApart) {
-  List({Entry(1, 1, 0, 1), Entry(2, 1, 0, 1)});
-  Take(1, kUnsafeClass);
-  EndTurn();
-  const EndpointId first = SendsOf(1)[0].endpoint;
-  Tell(1, 0, first, Outcome::kRejected, 2.0);
-  EndTurn();
-  ASSERT_EQ(SendsOf(1).size(), 2U);
-  EXPECT_NE(SendsOf(1)[1].endpoint, first);
+TEST_F(RateLimiterTest, RetryAfterBindsOneEndpointWhereLimitsArePerEndpoint) {
+  UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 0, 1)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  const EndpointId first = SendsFor(1)[0].endpoint;
+  EndAttempt(1, 0, first, Outcome::kRejected, 2.0);
+  EndBatch();
+  ASSERT_EQ(SendsFor(1).size(), 2U);
+  EXPECT_NE(SendsFor(1)[1].endpoint, first);
 }
 
 // A bundle's refusals may each tell another wait; judging only the first broke the rule.
-TEST_F(RateLimiterTest, TheLongestWaitOfABundleCounts) {
+TEST_F(RateLimiterTest, TheLongestRetryAfterOfABatchCounts) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 0, 2)});
-  Take(1, kUnsafeClass);
-  Take(2, kUnsafeClass);
-  EndTurn();
-  Tell(1, 0, 1, Outcome::kRejected, 0.5);
-  Tell(2, 0, 1, Outcome::kRejected, 1.5);
-  EndTurn();
-  RunTo(101.49);
-  EXPECT_EQ(All<Send>().size(), 2U);
+  UpdateList({MakeEndpoint(1, 1, 0, 2)});
+  Receive(1, kNonIdempotentClass);
+  Receive(2, kNonIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, 1, Outcome::kRejected, 0.5);
+  EndAttempt(2, 0, 1, Outcome::kRejected, 1.5);
+  EndBatch();
+  RunUntil(101.49);
+  EXPECT_EQ(Emitted<Send>().size(), 2U);
 }
 
-TEST_F(RateLimiterTest, PaceFallsAfterRefusals) {
+TEST_F(RateLimiterTest, TheSendRateFallsAfterRejections) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 4;
   s.concurrency_limit = 100;
   Start(s);
-  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 20)});
-  for (RequestId id = 1; id <= 150; ++id) Take(id, kUnsafeClass);
-  EndTurn();
-  std::size_t told = 0;
+  UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 20)});
+  for (RequestId id = 1; id <= 150; ++id) Receive(id, kNonIdempotentClass);
+  EndBatch();
+  std::size_t answered = 0;
   while (now_ < 105) {
-    const auto sends = All<Send>();
-    for (; told < sends.size(); ++told) {
-      const int attempt = static_cast<int>(SendsOf(sends[told].request_id).size()) - 1;
-      Tell(sends[told].request_id, attempt, 1, told % 3 == 0 ? Outcome::kRejected : Outcome::kServed);
+    const auto sends = Emitted<Send>();
+    for (; answered < sends.size(); ++answered) {
+      const int attempt = static_cast<int>(SendsFor(sends[answered].request_id).size()) - 1;
+      EndAttempt(sends[answered].request_id, attempt, 1,
+                 answered % 3 == 0 ? Outcome::kRejected : Outcome::kServed);
     }
-    EndTurn();
-    RunTo(now_ + 0.05);
+    EndBatch();
+    RunUntil(now_ + 0.05);
   }
-  EXPECT_LT(All<Send>().size(), 45U);  // half an even share to two: 2.5 to 10 a second
-  EXPECT_GT(All<Send>().size(), 10U);
+  EXPECT_LT(Emitted<Send>().size(), 45U);  // half an even share to two: 2.5 to 10 a second
+  EXPECT_GT(Emitted<Send>().size(), 10U);
 }
 
 // An N-th of a limit was a call in many seconds for each of hundreds of couriers, most of them idle.
-TEST_F(RateLimiterTest, ACourierAmongHundredsSendsItsFirstMessagesAtOnce) {
+TEST_F(RateLimiterTest, ARelayOfALargeFleetSendsItsFirstRequestsAtOnce) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 400;
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 8)});
-  Take(1, kUnsafeClass);
-  EndTurn();
-  EXPECT_EQ(SendsOf(1).size(), 1U);
-  Take(2, kUnsafeClass);
-  RunTo(now_ + 0.2);
-  EXPECT_EQ(SendsOf(2).size(), 1U);
-  Tell(1, 0, 1, Outcome::kRejected);  // and after a refusal it does not wait for an N-th of the limit
-  RunTo(now_ + 7);
-  EXPECT_EQ(SendsOf(1).size(), 2U);
+  UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 8)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  EXPECT_EQ(SendsFor(1).size(), 1U);
+  Receive(2, kNonIdempotentClass);
+  RunUntil(now_ + 0.2);
+  EXPECT_EQ(SendsFor(2).size(), 1U);
+  EndAttempt(1, 0, 1, Outcome::kRejected);  // and after a refusal it does not wait for an N-th of the limit
+  RunUntil(now_ + 7);
+  EXPECT_EQ(SendsFor(1).size(), 2U);
 }
 
 // Dozens of couriers that knock every second push over what is coming back; no courier sees the others.
-TEST_F(RateLimiterTest, ALaneThatGoesOnRefusingIsTriedEverMoreSeldom) {
+TEST_F(RateLimiterTest, BackoffGrowsWithEachRejectionInARow) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 80;
   Start(s);
-  List({Entry(1, 1, 0, 1, EndpointStatus::kInService, 2)});
-  Take(1, kUnsafeClass);
-  EndTurn();
+  UpdateList({MakeEndpoint(1, 1, 0, 1, EndpointStatus::kInService, 2)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
   std::vector<Seconds> sent;
   while (now_ < 115) {
-    const auto sends = SendsOf(1);
+    const auto sends = SendsFor(1);
     for (std::size_t i = sent.size(); i < sends.size(); ++i) {
       sent.push_back(now_);
-      Tell(1, static_cast<int>(i), 1, Outcome::kRejected, i % 2 == 0 ? 0.3 : 0);  // told waits or not
+      EndAttempt(1, static_cast<int>(i), 1, Outcome::kRejected, i % 2 == 0 ? 0.3 : 0);  // told waits or not
     }
-    RunTo(now_ + 0.01);
+    RunUntil(now_ + 0.01);
   }
   EXPECT_GE(sent.size(), 2U);  // one more after the first, or two; then hardly any
   EXPECT_LE(sent.size(), 4U);
@@ -117,23 +118,23 @@
 
 // What is shared by three is shared by one once the others have gone: the even part, and with it the pace
 // that is regained after a refusal, grows.
-TEST_F(RateLimiterTest, PartsOfLimitsFollowTheTiersSize) {
+TEST_F(RateLimiterTest, TheShareOfALimitFollowsTheFleetSize) {
   std::vector<std::size_t> sent;
-  for (const double parts : {3.0, 1.0}) {
+  for (const double share_count : {3.0, 1.0}) {
     Settings s = TestSettings();
     s.relay_count = 3;
     s.listed_rate_accuracy = ListedRateAccuracy::kExact;
     s.concurrency_limit = 100;
     Start(s);
-    List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 6)});
-    Play(FleetSize{parts});
+    UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 6)});
+    Handle(FleetSize{share_count});
     RequestId id = 1;
-    for (; id <= 100; ++id) Take(id, kSafeClass);
-    EndTurn();
-    Tell(All<Send>().front().request_id, 0, 1, Outcome::kRejected);
+    for (; id <= 100; ++id) Receive(id, kIdempotentClass);
+    EndBatch();
+    EndAttempt(Emitted<Send>().front().request_id, 0, 1, Outcome::kRejected);
     const Seconds until = now_ + 8;
-    RunTo(until);
-    sent.push_back(All<Send>().size());
+    RunUntil(until);
+    sent.push_back(Emitted<Send>().size());
   }
   EXPECT_GT(sent[1], sent[0] * 3 / 2);
 }
--- a/tests/decision/request_queue_test.cpp
+++ b/tests/decision/request_queue_test.cpp
@@ -6,85 +6,85 @@
 
 class RequestQueueTest : public StartedRouterTest {};
 
-TEST_F(RequestQueueTest, AMessageWithNowhereToGoIsRefusedBeforeItsTimeIsUp) {
-  List({});
-  Take(1, kSafeClass, 1, "", 5);
-  EndTurn();
-  RunTo(104.9);
-  EXPECT_EQ(All<Reject>().size(), 0U);
-  RunTo(106);
-  EXPECT_EQ(All<Reject>().size(), 1U);
+TEST_F(RequestQueueTest, ARequestWithoutAnEndpointIsRejectedBeforeItsDeadline) {
+  UpdateList({});
+  Receive(1, kIdempotentClass, 1, "", 5);
+  EndBatch();
+  RunUntil(104.9);
+  EXPECT_EQ(Emitted<Reject>().size(), 0U);
+  RunUntil(106);
+  EXPECT_EQ(Emitted<Reject>().size(), 1U);
 }
 
-TEST_F(RequestQueueTest, AListThatComesLateStillServesAHeldMessage) {
-  List({});
-  Take(1, kSafeClass);
-  EndTurn();
-  List({Entry(1, 1)}, ListScope::kChanges);
-  EndTurn();
-  EXPECT_EQ(SendsOf(1).size(), 1U);
+TEST_F(RequestQueueTest, ALateListStillServesAWaitingRequest) {
+  UpdateList({});
+  Receive(1, kIdempotentClass);
+  EndBatch();
+  UpdateList({MakeEndpoint(1, 1)}, ListScope::kChanges);
+  EndBatch();
+  EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, AnAttemptStillOutIsAnsweredAtTheDeadline) {
-  List({Entry(1, 1)});
-  Take(1, kUnsafeClass, 1, "", 4);
-  EndTurn();
-  RunTo(103.9);
-  EXPECT_EQ(All<Fail>().size(), 0U);
-  RunTo(104.02);
-  EXPECT_EQ(All<Fail>().size(), 1U);
+TEST_F(RequestQueueTest, AnAttemptInFlightIsAnsweredAtTheDeadline) {
+  UpdateList({MakeEndpoint(1, 1)});
+  Receive(1, kNonIdempotentClass, 1, "", 4);
+  EndBatch();
+  RunUntil(103.9);
+  EXPECT_EQ(Emitted<Fail>().size(), 0U);
+  RunUntil(104.02);
+  EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
 
-TEST_F(RequestQueueTest, MessagesOfOneKeyGoOneAtATimeInTheOrderTaken) {
+TEST_F(RequestQueueTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
-  List({Entry(1, 1), Entry(2, 1)});
-  Take(1, kOrderedClass, 1, "k");
-  Take(2, kOrderedClass, 1, "k");
-  Take(3, kOrderedClass, 1, "other");
-  EndTurn();
-  EXPECT_EQ(SendsOf(1).size(), 1U);
-  EXPECT_EQ(SendsOf(2).size(), 0U);
-  EXPECT_EQ(SendsOf(3).size(), 1U);
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kServed);
-  EndTurn();
-  EXPECT_EQ(SendsOf(2).size(), 1U);
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
+  Receive(1, kOrderedClass, 1, "k");
+  Receive(2, kOrderedClass, 1, "k");
+  Receive(3, kOrderedClass, 1, "other");
+  EndBatch();
+  EXPECT_EQ(SendsFor(1).size(), 1U);
+  EXPECT_EQ(SendsFor(2).size(), 0U);
+  EXPECT_EQ(SendsFor(3).size(), 1U);
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kServed);
+  EndBatch();
+  EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, AKeyRestsAfterAnAttemptThatMayStillRun) {
+TEST_F(RequestQueueTest, AKeyPausesAfterAnAttemptThatMayStillRun) {
   Settings s = TestSettings();
   s.may_hedge = false;
   s.max_attempts = 1;
   Start(s);
-  List({Entry(1, 1), Entry(2, 1)});
-  ServeSafely(11, 30);  // in good standing: only the key holds the next one back
+  UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
+  ServeRequests(11, 30);  // in good standing: only the key holds the next one back
   const Seconds start = now_;
-  Take(1, kOrderedClass, 1, "k");
-  Take(2, kOrderedClass, 1, "k");
-  EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kTimeout);
-  EndTurn();
-  RunTo(start + 1.49);
-  EXPECT_EQ(SendsOf(2).size(), 0U);
-  RunTo(start + 1.6);
-  EXPECT_EQ(SendsOf(2).size(), 1U);
+  Receive(1, kOrderedClass, 1, "k");
+  Receive(2, kOrderedClass, 1, "k");
+  EndBatch();
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kTimeout);
+  EndBatch();
+  RunUntil(start + 1.49);
+  EXPECT_EQ(SendsFor(2).size(), 0U);
+  RunUntil(start + 1.6);
+  EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, TheWorthierMessageGoesFirstWhenASlotIsFree) {
+TEST_F(RequestQueueTest, TheRequestOfGreaterWeightGoesFirst) {
   Settings s = TestSettings();
   s.concurrency_limit = 1;
   Start(s);
-  List({Entry(1, 1)});
-  Take(1, kUnsafeClass);
-  EndTurn();
-  Take(2, kSafeClass);
-  Take(3, kUnsafeClass);
-  EndTurn();
-  Tell(1, 0, 1, Outcome::kServed);
-  EndTurn();
-  EXPECT_EQ(SendsOf(3).size(), 1U);
-  EXPECT_EQ(SendsOf(2).size(), 0U);
+  UpdateList({MakeEndpoint(1, 1)});
+  Receive(1, kNonIdempotentClass);
+  EndBatch();
+  Receive(2, kIdempotentClass);
+  Receive(3, kNonIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, 1, Outcome::kServed);
+  EndBatch();
+  EXPECT_EQ(SendsFor(3).size(), 1U);
+  EXPECT_EQ(SendsFor(2).size(), 0U);
 }
 
 }  // namespace
--- a/tests/decision/request_router_test.cpp
+++ b/tests/decision/request_router_test.cpp
@@ -12,23 +12,23 @@
   const auto play = [this] {
     Start(TestSettings());
     now_ = 100;
-    List({Entry(1, 1), Entry(2, 1), Entry(3, 1)});
-    ServeSafely(1, 50);
+    UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 1)});
+    ServeRequests(1, 50);
     std::vector<EndpointId> drawn;
-    for (const Send& send : All<Send>()) drawn.push_back(send.endpoint);
+    for (const Send& send : Emitted<Send>()) drawn.push_back(send.endpoint);
     return drawn;
   };
   const auto first = play();
   EXPECT_EQ(first, play());
 }
 
-TEST_F(RequestRouterTest, UnknownOutcomesAndEndsArePassedOver) {
-  List({Entry(1, 1)});
-  Tell(77, 0, 1, Outcome::kServed);
-  Play(RequestAborted{77});
-  Play(TimerFired{99});
-  EndTurn();
-  EXPECT_EQ(All<Send>().size(), 0U);
+TEST_F(RequestRouterTest, UnknownOutcomesAbortsAndTimersAreIgnored) {
+  UpdateList({MakeEndpoint(1, 1)});
+  EndAttempt(77, 0, 1, Outcome::kServed);
+  Handle(RequestAborted{77});
+  Handle(TimerFired{99});
+  EndBatch();
+  EXPECT_EQ(Emitted<Send>().size(), 0U);
 }
 
 }  // namespace
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -16,74 +16,74 @@
 
 struct Outage {
   const char* name;
-  int couriers;
-  Outcome outcome;            // of every call while it lasts
-  ListedRateAccuracy rating;  // kNone: the limit is not known to anyone
-  bool calm;                  // no clump: else each courier gets one more message as the destination returns
+  int relays;
+  Outcome outcome;                   // of every call while it lasts
+  ListedRateAccuracy rate_accuracy;  // kNone: the limit is not known to anyone
+  bool is_steady;  // no clump: else each courier gets one more message as the destination returns
 };
 
-class FleetTest : public ::testing::TestWithParam<Outage> {
+class SlowStartTest : public ::testing::TestWithParam<Outage> {
  protected:
-  static Settings FleetSettings(const Outage& o) {
+  static Settings FleetSettings(const Outage& outage) {
     Settings s = TestSettings();
-    s.relay_count = o.couriers;
-    s.listed_rate_accuracy = o.rating;
+    s.relay_count = outage.relays;
+    s.listed_rate_accuracy = outage.rate_accuracy;
     s.may_hedge = false;
-    s.classes[kSafeClass].deadline = 1000;
+    s.classes[kIdempotentClass].deadline = 1000;
     return s;
   }
 
-  void Start(const Settings& s, double rating) {
+  void Start(const Settings& s, double listed_rate) {
     for (int i = 0; i < s.relay_count; ++i) {
       Settings own = s;
       own.seed = static_cast<std::uint64_t>(i) + 1;
-      fleet_.emplace_back(own);
-      Play(fleet_.back(),
-           ListUpdate{ListScope::kComplete, {{1, 0, 0, 1, EndpointStatus::kInService, rating}}});
+      relays_.emplace_back(own);
+      Handle(relays_.back(),
+             ListUpdate{ListScope::kComplete, {{1, 0, 0, 1, EndpointStatus::kInService, listed_rate}}});
     }
   }
 
-  void Play(Member& m, const Event& event) {
+  void Handle(TestRelay& relay, const Event& event) {
     std::vector<Action> actions;
-    m.courier.Handle(now_, event, actions);
+    relay.router.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetTimer>(&action)) m.Heed(*wake);
+      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.SetWake(*wake);
       if (const auto* send = std::get_if<Send>(&action)) {
         sent_.push_back(now_);
-        by_.push_back(&m);
-        const int attempt = m.attempts[send->request_id]++;
-        answers_.insert({now_ + 0.05, {&m, {send->request_id, attempt}}});
+        senders_.push_back(&relay);
+        const int attempt = relay.attempts[send->request_id]++;
+        answers_.insert({now_ + 0.05, {&relay, {send->request_id, attempt}}});
       }
     }
   }
 
-  void Take(Member& m, Seconds patience = 1000) {
-    Play(m, NewRequest{m.next++, kSafeClass, {}, "", patience, 1});
-    Play(m, BatchEnd{});
+  void Receive(TestRelay& relay, Seconds remaining_time = 1000) {
+    Handle(relay, NewRequest{relay.next++, kIdempotentClass, {}, "", remaining_time, 1});
+    Handle(relay, BatchEnd{});
   }
 
-  void RunTo(Seconds time, Outcome outcome) {
+  void RunUntil(Seconds time, Outcome outcome) {
     for (; now_ < time; now_ += kTick) {
       while (!answers_.empty() && answers_.begin()->first <= now_) {
-        const auto [member, call] = answers_.begin()->second;
+        const auto [relay, call] = answers_.begin()->second;
         answers_.erase(answers_.begin());
-        AttemptOutcome r;
-        r.request_id = call.first;
-        r.attempt = call.second;
-        r.endpoint = 1;
-        r.outcome = outcome;
-        r.duration = 0.05;
-        r.request_ended = outcome == Outcome::kServed;
-        Play(*member, r);
-        Play(*member, BatchEnd{});
-        if (!r.request_ended) informed_.insert(member);
-        if (r.request_ended && more_) Take(*member);
+        AttemptOutcome outcome_event;
+        outcome_event.request_id = call.first;
+        outcome_event.attempt = call.second;
+        outcome_event.endpoint = 1;
+        outcome_event.outcome = outcome;
+        outcome_event.duration = 0.05;
+        outcome_event.request_ended = outcome == Outcome::kServed;
+        Handle(*relay, outcome_event);
+        Handle(*relay, BatchEnd{});
+        if (!outcome_event.request_ended) informed_.insert(relay);
+        if (outcome_event.request_ended && refills_) Receive(*relay);
       }
-      for (Member& m : fleet_) {
-        const auto wake = m.Due(now_);
+      for (TestRelay& relay : relays_) {
+        const auto wake = relay.TakeDueTimer(now_);
         if (!wake) continue;
-        Play(m, *wake);
-        Play(m, BatchEnd{});
+        Handle(relay, *wake);
+        Handle(relay, BatchEnd{});
       }
     }
   }
@@ -97,28 +97,28 @@
   }
 
   Seconds now_ = 100;
-  std::deque<Member> fleet_;
-  std::multimap<Seconds, std::pair<Member*, std::pair<RequestId, int>>> answers_;
+  std::deque<TestRelay> relays_;
+  std::multimap<Seconds, std::pair<TestRelay*, std::pair<RequestId, int>>> answers_;
   std::vector<Seconds> sent_;
-  std::vector<Member*> by_;     // who sent it
-  std::set<Member*> informed_;  // saw a call fail or be refused
-  bool more_ = true;            // a served message is followed by the next
+  std::vector<TestRelay*> senders_;  // who sent it
+  std::set<TestRelay*> informed_;    // saw a call fail or be refused
+  bool refills_ = true;              // a served message is followed by the next
 };
 
 // Two thirds of more than the budget are a break if they come from couriers that saw the outage, as all here
 // did.
-TEST_P(FleetTest, AllTogetherStayUnderTheBudgetAtAReturn) {
+TEST_P(SlowStartTest, AllRelaysTogetherStayWithinTheBudgetAtARecovery) {
   const Settings s = FleetSettings(GetParam());
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
-  for (Member& m : fleet_)
-    for (int i = 0; i < 3; ++i) Take(m);
-  RunTo(kReturns, GetParam().outcome);
+  for (TestRelay& relay : relays_)
+    for (int i = 0; i < 3; ++i) Receive(relay);
+  RunUntil(kReturns, GetParam().outcome);
   const auto before = sent_.size();
-  EXPECT_GE(before, fleet_.size());  // each of them has seen it
-  if (!GetParam().calm) {
-    for (Member& m : fleet_) Take(m);
+  EXPECT_GE(before, relays_.size());  // each of them has seen it
+  if (!GetParam().is_steady) {
+    for (TestRelay& relay : relays_) Receive(relay);
   }
-  RunTo(kReturns + s.slow_start_duration, Outcome::kServed);
+  RunUntil(kReturns + s.slow_start_duration, Outcome::kServed);
   for (auto last = sent_.begin() + static_cast<std::ptrdiff_t>(before); last != sent_.end(); ++last) {
     const Seconds from = std::max(kReturns, *last - s.overload_window);
     const auto first = std::lower_bound(sent_.begin(), sent_.end(), from);
@@ -129,22 +129,22 @@
 
 // Messages come at the limit, each to some courier, while the destination refuses or fails all. The couriers
 // that have met the outage must not make up two thirds of more than the budget.
-TEST_P(FleetTest, CouriersThatMeetAnOutageOneByOneDoNotPushItOver) {
+TEST_P(SlowStartTest, RelaysThatMeetAnOutageOneByOneStayWithinTheBudget) {
   Settings s = FleetSettings(GetParam());
-  s.classes[kSafeClass].deadline = 15;
-  more_ = false;
+  s.classes[kIdempotentClass].deadline = 15;
+  refills_ = false;
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
   std::mt19937_64 draw(5);
   std::size_t before = 0;
-  std::set<Member*> known;  // saw the outage before the return
+  std::set<TestRelay*> informed_before;  // saw the outage before the return
   const Seconds returns = 120;
   while (now_ < returns + s.slow_start_duration) {
-    Member& m = fleet_[draw() % fleet_.size()];
-    Take(m, 15);
-    RunTo(now_ + 1 / kLimit, now_ < returns ? GetParam().outcome : Outcome::kServed);
+    TestRelay& relay = relays_[draw() % relays_.size()];
+    Receive(relay, 15);
+    RunUntil(now_ + 1 / kLimit, now_ < returns ? GetParam().outcome : Outcome::kServed);
     if (now_ >= returns) continue;
     before = sent_.size();
-    known = informed_;
+    informed_before = informed_;
   }
   for (std::size_t last = before; last < sent_.size(); ++last) {
     const Seconds from = std::max(returns, sent_[last] - s.overload_window);
@@ -152,7 +152,7 @@
     double informed = 0;
     for (std::size_t i = last + 1; i-- > before && sent_[i] >= from;) {
       all += 1;
-      informed += known.count(by_[i]) > 0 ? 1 : 0;
+      informed += informed_before.count(senders_[i]) > 0 ? 1 : 0;
     }
     const bool over = all > Budget(s, sent_[last] - returns);
     EXPECT_FALSE(over && informed >= 2 * all / 3)
@@ -161,19 +161,18 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Outages, FleetTest,
+    Outages, SlowStartTest,
     ::testing::Values(
-        Outage{"OneCourierErrors", 1, Outcome::kError, ListedRateAccuracy::kExact, true},
-        Outage{"OneCourierRefused", 1, Outcome::kRejected, ListedRateAccuracy::kExact, true},
-        Outage{"SixtyCouriersErrors", 60, Outcome::kError, ListedRateAccuracy::kExact, true},
-        Outage{"SixtyCouriersRefused", 60, Outcome::kRejected, ListedRateAccuracy::kExact, true},
-        Outage{"AThousandCouriersErrors", 1000, Outcome::kError, ListedRateAccuracy::kExact, true},
-        Outage{"AThousandCouriersUnconnected", 1000, Outcome::kConnectFailed, ListedRateAccuracy::kExact,
+        Outage{"OneRelayErrors", 1, Outcome::kError, ListedRateAccuracy::kExact, true},
+        Outage{"OneRelayRejected", 1, Outcome::kRejected, ListedRateAccuracy::kExact, true},
+        Outage{"SixtyRelaysErrors", 60, Outcome::kError, ListedRateAccuracy::kExact, true},
+        Outage{"SixtyRelaysRejected", 60, Outcome::kRejected, ListedRateAccuracy::kExact, true},
+        Outage{"AThousandRelaysErrors", 1000, Outcome::kError, ListedRateAccuracy::kExact, true},
+        Outage{"AThousandRelaysNotConnected", 1000, Outcome::kConnectFailed, ListedRateAccuracy::kExact,
                true},
-        Outage{"AThousandCouriersRefused", 1000, Outcome::kRejected, ListedRateAccuracy::kExact, true},
-        Outage{"AThousandCouriersKnowNoLimit", 1000, Outcome::kError, ListedRateAccuracy::kNone, true},
-        Outage{"AThousandCouriersAndAClump", 1000, Outcome::kConnectFailed, ListedRateAccuracy::kExact,
-               false}),
+        Outage{"AThousandRelaysRejected", 1000, Outcome::kRejected, ListedRateAccuracy::kExact, true},
+        Outage{"AThousandRelaysKnowNoLimit", 1000, Outcome::kError, ListedRateAccuracy::kNone, true},
+        Outage{"AThousandRelaysAndABurst", 1000, Outcome::kConnectFailed, ListedRateAccuracy::kExact, false}),
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
--- a/tests/decision/state_transfer_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -8,174 +8,174 @@
 namespace opalroute {
 namespace {
 
-class LearnedTest : public CourierTest {
+class StateTransferTest : public RouterTest {
  protected:
-  void Listed(double rating = 0, int kind = 0) {
+  void StartWithTwoEndpoints(double listed_rate = 0, int kind = 0) {
     Settings s = TestSettings();
-    s.listed_rate_accuracy = rating > 0 ? ListedRateAccuracy::kExact : ListedRateAccuracy::kNone;
+    s.listed_rate_accuracy = listed_rate > 0 ? ListedRateAccuracy::kExact : ListedRateAccuracy::kNone;
     s.relay_count = 3;
     Start(s);
-    List({Entry(1, 1, 0, kind, EndpointStatus::kInService, rating),
-          Entry(2, 1, 0, kind, EndpointStatus::kInService, rating)});
+    UpdateList({MakeEndpoint(1, 1, 0, kind, EndpointStatus::kInService, listed_rate),
+                MakeEndpoint(2, 1, 0, kind, EndpointStatus::kInService, listed_rate)});
   }
-  std::vector<RouteState> Beliefs() const {
+  std::vector<RouteState> ExportStates() const {
     std::optional<DestinationId> from = std::numeric_limits<DestinationId>::min();
-    return courier_->ExportRouteStates(now_, from, 1000);
+    return router_->ExportRouteStates(now_, from, 1000);
   }
-  RouteState Of(DestinationId destination) const {
-    for (const RouteState& b : Beliefs())
-      if (b.destination == destination) return b;
+  RouteState StateOf(DestinationId destination) const {
+    for (const RouteState& state : ExportStates())
+      if (state.destination == destination) return state;
     return {};
   }
-  static RouteState For(DestinationId destination) {
-    RouteState b;
-    b.destination = destination;
-    return b;
+  static RouteState MakeState(DestinationId destination) {
+    RouteState state;
+    state.destination = destination;
+    return state;
   }
 };
 
-TEST_F(LearnedTest, AWaitByHearsayIsHeldToItsEndAndNoLonger) {
-  Listed();
-  RouteState b = For(1);
-  b.retry_after = 1.5;
-  Play(TransferredState{{b}});
-  Take(1, kSafeClass);
-  RunTo(now_ + 1.48);
-  EXPECT_TRUE(All<Send>().empty());
-  EXPECT_FALSE(courier_->MaySend(now_, 1));
-  RunTo(now_ + 0.06);
-  EXPECT_EQ(SendsOf(1).size(), 1U);
+TEST_F(StateTransferTest, ATransferredRetryAfterIsKeptToItsEnd) {
+  StartWithTwoEndpoints();
+  RouteState state = MakeState(1);
+  state.retry_after = 1.5;
+  Handle(TransferredState{{state}});
+  Receive(1, kIdempotentClass);
+  RunUntil(now_ + 1.48);
+  EXPECT_TRUE(Emitted<Send>().empty());
+  EXPECT_FALSE(router_->MaySend(now_, 1));
+  RunUntil(now_ + 0.06);
+  EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(LearnedTest, AWaitThatWasToldOutlastsAShorterOneByHearsay) {
-  Listed();
-  Take(1, kSafeClass);
-  EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kRejected, 2);
-  RouteState b = For(1);
-  b.retry_after = 0.1;
-  Play(TransferredState{{b}});
-  EXPECT_NEAR(Of(1).retry_after, 2, 0.02);
-  RunTo(now_ + 1.9);
-  EXPECT_EQ(SendsOf(1).size(), 1U);
+TEST_F(StateTransferTest, ALongerRetryAfterOfItsOwnStays) {
+  StartWithTwoEndpoints();
+  Receive(1, kIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kRejected, 2);
+  RouteState state = MakeState(1);
+  state.retry_after = 0.1;
+  Handle(TransferredState{{state}});
+  EXPECT_NEAR(StateOf(1).retry_after, 2, 0.02);
+  RunUntil(now_ + 1.9);
+  EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(LearnedTest, AnOutageByHearsayIsTriedByOneCallAndThenStartedSlowly) {
-  Listed(6);
-  RouteState b = For(1);
-  b.failure_age = 1;
-  Play(TransferredState{{b}});
-  for (RequestId id = 1; id <= 40; ++id) Take(id, kSafeClass, 1, "", 200);
-  RunTo(now_ + TestSettings().overload_window + 0.1);
-  ASSERT_EQ(All<Send>().size(), 1U);  // the trial
-  const Send trial = All<Send>()[0];
-  Tell(trial.request_id, 0, trial.endpoint, Outcome::kServed);
+TEST_F(StateTransferTest, ATransferredFailureIsTriedOnceAndThenStartedSlowly) {
+  StartWithTwoEndpoints(6);
+  RouteState state = MakeState(1);
+  state.failure_age = 1;
+  Handle(TransferredState{{state}});
+  for (RequestId id = 1; id <= 40; ++id) Receive(id, kIdempotentClass, 1, "", 200);
+  RunUntil(now_ + TestSettings().overload_window + 0.1);
+  ASSERT_EQ(Emitted<Send>().size(), 1U);  // the trial
+  const Send trial = Emitted<Send>()[0];
+  EndAttempt(trial.request_id, 0, trial.endpoint, Outcome::kServed);
   const Seconds back = now_;
-  RunTo(back + 1);
-  EXPECT_LE(All<Send>().size(), 3U);
-  EXPECT_NEAR(*Of(1).recovery_age, 1, 0.02);
+  RunUntil(back + 1);
+  EXPECT_LE(Emitted<Send>().size(), 3U);
+  EXPECT_NEAR(*StateOf(1).recovery_age, 1, 0.02);
 }
 
 // Guards against a lie that keeps a healthy partner from traffic: a trial leaves within overload_for of a
 // message.
-TEST_F(LearnedTest, ALieAboutAnOutageEndsByItself) {
+TEST_F(StateTransferTest, AFalseTransferredFailureEndsByItself) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Settings s = TestSettings();
     s.seed = seed;
     s.relay_count = 200;
     Start(s);
-    List({Entry(1, 1)});
-    RouteState b = For(1);
-    b.failure_age = 0;
-    Play(TransferredState{{b}});
-    RunTo(now_ + 5);  // nothing to send at first: the trial that was due has lapsed
-    Take(1, kSafeClass);
-    RunTo(now_ + s.overload_window + 0.02);
-    EXPECT_EQ(SendsOf(1).size(), 1U) << "seed " << seed;
+    UpdateList({MakeEndpoint(1, 1)});
+    RouteState state = MakeState(1);
+    state.failure_age = 0;
+    Handle(TransferredState{{state}});
+    RunUntil(now_ + 5);  // nothing to send at first: the trial that was due has lapsed
+    Receive(1, kIdempotentClass);
+    RunUntil(now_ + s.overload_window + 0.02);
+    EXPECT_EQ(SendsFor(1).size(), 1U) << "seed " << seed;
   }
 }
 
-TEST_F(LearnedTest, ALaterServedCallOfOnesOwnOutweighsAnOutageByHearsay) {
-  Listed();
-  Take(1, kSafeClass);
-  EndTurn();
-  Tell(1, 0, SendsOf(1)[0].endpoint, Outcome::kServed);
-  RouteState b = For(1);
-  b.failure_age = 0.5;  // seen before
-  Play(TransferredState{{b}});
-  Take(2, kSafeClass);
-  EndTurn();
-  EXPECT_EQ(SendsOf(2).size(), 1U);
+TEST_F(StateTransferTest, ALaterSuccessOfItsOwnOutweighsATransferredFailure) {
+  StartWithTwoEndpoints();
+  Receive(1, kIdempotentClass);
+  EndBatch();
+  EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kServed);
+  RouteState state = MakeState(1);
+  state.failure_age = 0.5;  // seen before
+  Handle(TransferredState{{state}});
+  Receive(2, kIdempotentClass);
+  EndBatch();
+  EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(LearnedTest, HearsayGetsNoYoungerHoweverOftenItIsPassedOn) {
-  RouteState told = For(1);
-  told.failure_age = 5;
-  told.hedging_disabled_age = 4;
+TEST_F(StateTransferTest, TransferredAgesKeepGrowingOverSeveralRelays) {
+  RouteState received = MakeState(1);
+  received.failure_age = 5;
+  received.hedging_disabled_age = 4;
   for (int hop = 0; hop < 4; ++hop) {
-    Listed();
-    Play(TransferredState{{told}});
+    StartWithTwoEndpoints();
+    Handle(TransferredState{{received}});
     now_ += 1;
-    const RouteState next = Of(1);
+    const RouteState next = StateOf(1);
     ASSERT_TRUE(next.failure_age && next.hedging_disabled_age);
-    EXPECT_NEAR(*next.failure_age, *told.failure_age + 1, 1e-6);
-    EXPECT_NEAR(*next.hedging_disabled_age, *told.hedging_disabled_age + 1, 1e-6);
-    told = next;
+    EXPECT_NEAR(*next.failure_age, *received.failure_age + 1, 1e-6);
+    EXPECT_NEAR(*next.hedging_disabled_age, *received.hedging_disabled_age + 1, 1e-6);
+    received = next;
   }
 }
 
-TEST_F(LearnedTest, BeliefsOfRoutesApartNameTheirEndpoint) {
-  Listed(0, 1);
-  RouteState b = For(1);
-  b.endpoint = 2;
-  b.retry_after = 3;
-  Play(TransferredState{{b}});
-  EXPECT_TRUE(courier_->MaySend(now_, 1));
-  EXPECT_FALSE(courier_->MaySend(now_, 2));
-  b.endpoint = 0;  // the destination as a whole is no lane here
-  Play(TransferredState{{b}});
-  EXPECT_TRUE(courier_->MaySend(now_, 1));
-  b.endpoint = 9;  // never listed
-  b.destination = 4;
-  Play(TransferredState{{b}});
-  EXPECT_EQ(Beliefs().size(), 2U);
+TEST_F(StateTransferTest, StatesOfEndpointRoutesNameTheirEndpoint) {
+  StartWithTwoEndpoints(0, 1);
+  RouteState state = MakeState(1);
+  state.endpoint = 2;
+  state.retry_after = 3;
+  Handle(TransferredState{{state}});
+  EXPECT_TRUE(router_->MaySend(now_, 1));
+  EXPECT_FALSE(router_->MaySend(now_, 2));
+  state.endpoint = 0;  // the destination as a whole is no lane here
+  Handle(TransferredState{{state}});
+  EXPECT_TRUE(router_->MaySend(now_, 1));
+  state.endpoint = 9;  // never listed
+  state.destination = 4;
+  Handle(TransferredState{{state}});
+  EXPECT_EQ(ExportStates().size(), 2U);
 }
 
-TEST_F(LearnedTest, AllAreToldInSlices) {
+TEST_F(StateTransferTest, StatesAreExportedInSlices) {
   Start(TestSettings());
   std::vector<ListedEndpoint> entries;
-  for (EndpointId id = 1; id <= 1000; ++id) entries.push_back(Entry(id, id));
-  List(entries);
+  for (EndpointId id = 1; id <= 1000; ++id) entries.push_back(MakeEndpoint(id, id));
+  UpdateList(entries);
   std::optional<DestinationId> from = std::numeric_limits<DestinationId>::min();
-  std::size_t told = 0;
+  std::size_t received = 0;
   int slices = 0;
   while (from) {
-    told += courier_->ExportRouteStates(now_, from, 64).size();
+    received += router_->ExportRouteStates(now_, from, 64).size();
     ++slices;
   }
-  EXPECT_EQ(told, 1000U);
+  EXPECT_EQ(received, 1000U);
   EXPECT_EQ(slices, 16);
 }
 
 // The invariant: with any beliefs whatever, true or false, nothing leaves earlier or in greater number than
 // without them. The endpoint serves, is full or fails by its own script, the same for both.
-class CareTest : public CourierTest, public ::testing::WithParamInterface<int> {};
+class TransferredStateInvariantTest : public RouterTest, public ::testing::WithParamInterface<int> {};
 
-TEST_P(CareTest, BeliefsNeverMakeMoreCallsLeave) {
+TEST_P(TransferredStateInvariantTest, TransferredStateNeverMakesMoreCallsLeave) {
   std::mt19937 draw(static_cast<unsigned>(GetParam()));
   const auto unit = [&] { return std::uniform_real_distribution<double>(0, 1)(draw); };
   std::vector<Seconds> due;
   for (int i = 0; i < 30; ++i) due.push_back(100 + 10 * unit());
-  RouteState b;
-  b.destination = 1;
-  if (unit() < 0.4) b.retry_after = 3 * unit();
-  if (unit() < 0.4) b.failure_age = 30 * unit();
-  if (unit() < 0.4) b.recovery_age = 15 * unit();
-  if (unit() < 0.4) b.rejection_age = 5 * unit();
-  b.send_rate = 20 * unit();
-  if (unit() < 0.4) b.latency_age = 5 * unit();
-  b.latency = 100 * unit();
-  if (unit() < 0.4) b.hedging_disabled_age = 5 * unit();
+  RouteState state;
+  state.destination = 1;
+  if (unit() < 0.4) state.retry_after = 3 * unit();
+  if (unit() < 0.4) state.failure_age = 30 * unit();
+  if (unit() < 0.4) state.recovery_age = 15 * unit();
+  if (unit() < 0.4) state.rejection_age = 5 * unit();
+  state.send_rate = 20 * unit();
+  if (unit() < 0.4) state.latency_age = 5 * unit();
+  state.latency = 100 * unit();
+  if (unit() < 0.4) state.hedging_disabled_age = 5 * unit();
   std::vector<std::vector<Seconds>> sent(2);
   for (int with = 0; with < 2; ++with) {
     Settings s = TestSettings();
@@ -184,28 +184,28 @@
     s.may_hedge = false;
     now_ = 100;
     Start(s);
-    List({Entry(1, 1, 0, 0, EndpointStatus::kInService, 10)});
-    if (with == 1) Play(TransferredState{{b}});
-    std::vector<std::pair<Seconds, Send>> out;
+    UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 10)});
+    if (with == 1) Handle(TransferredState{{state}});
+    std::vector<std::pair<Seconds, Send>> in_flight;
     std::size_t seen = 0;
     RequestId next = 1;
     for (int tick = 0; tick < 1200; ++tick) {
       for (const Seconds at : due)
-        if (at > now_ - 0.01 && at <= now_) Take(next++, kSafeClass, 1, "", 20);
-      for (std::size_t i = 0; i < out.size();) {
-        if (out[i].first > now_) {
+        if (at > now_ - 0.01 && at <= now_) Receive(next++, kIdempotentClass, 1, "", 20);
+      for (std::size_t i = 0; i < in_flight.size();) {
+        if (in_flight[i].first > now_) {
           ++i;
           continue;
         }
-        Tell(out[i].second.request_id, 0, 1, Outcome::kServed, 0, 0.1);
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
+        EndAttempt(in_flight[i].second.request_id, 0, 1, Outcome::kServed, 0, 0.1);
+        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
       }
-      for (const SetTimer& wake : All<SetTimer>())
-        if (wake.due > now_ - 0.01 && wake.due <= now_) Play(TimerFired{wake.timer_id});
-      EndTurn();
-      const auto sends = All<Send>();
+      for (const SetTimer& wake : Emitted<SetTimer>())
+        if (wake.due > now_ - 0.01 && wake.due <= now_) Handle(TimerFired{wake.timer_id});
+      EndBatch();
+      const auto sends = Emitted<Send>();
       for (; seen < sends.size(); ++seen) {
-        out.emplace_back(now_ + 0.1, sends[seen]);
+        in_flight.emplace_back(now_ + 0.1, sends[seen]);
         sent[static_cast<std::size_t>(with)].push_back(now_);
       }
       now_ += 0.01;
@@ -216,7 +216,7 @@
   for (std::size_t i = 0; i < sent[1].size(); ++i) EXPECT_GE(sent[1][i], sent[0][i] - 1e-9) << "call " << i;
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, CareTest, ::testing::Range(1, 61));
+INSTANTIATE_TEST_SUITE_P(Seeds, TransferredStateInvariantTest, ::testing::Range(1, 61));
 
 }  // namespace
 }  // namespace opalroute
