--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -1,4 +1,4 @@
-// Outages and returns as one relay sees them.
+// Outages and recoveries as one relay sees them.
 #include <algorithm>
 #include <optional>
 #include <vector>
@@ -36,14 +36,14 @@
       EndAttempt(all[answered].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
   }
-  // Cold capacity is 2 a second and 4.4 after 3 s, if it warms evenly: twice that makes 19 in 3 s.
+  // Capacity is 2 calls a second at the recovery and 4.4 after 3 s; overload_factor 2 allows 19 calls in 3 s.
   const auto early = std::count_if(arrived.begin(), arrived.end(), [](Seconds t) { return t < 118; });
   EXPECT_GT(early, 0);
   EXPECT_LE(early, 19);
   EXPECT_GT(arrived.size(), 50U);
 }
 
-// With many couriers a budget's interval is tens of seconds: a false alarm must not last that long.
+// With many relays the interval of recovery trials is tens of seconds; a wrong suspicion must end sooner.
 TEST_F(CircuitBreakerTest, AWronglySuspectedOutageEndsSoon) {
   Settings s = TestSettings();
   s.relay_count = 12;
@@ -65,7 +65,8 @@
   EXPECT_EQ(SendsFor(id).size(), 1U);
 }
 
-// Hundreds of couriers that each find out at each endpoint send a crashed destination many times its traffic.
+// If each of hundreds of relays learnt of an outage at each endpoint by itself, they would send the
+// destination many times its traffic.
 TEST_F(CircuitBreakerTest, ARelayWithLittleTrafficSendsFewRecoveryTrials) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -82,7 +83,7 @@
                  0.05);
     RunUntil(now_ + 0.01);
   }
-  EXPECT_GE(answered, 2U);  // a first trial comes soon: it may have been a false alarm
+  EXPECT_GE(answered, 2U);  // the first trial comes soon
   EXPECT_LE(answered, 3U);
 }
 
@@ -102,7 +103,7 @@
   for (RequestId id = 2; id <= 4; ++id) EXPECT_EQ(SendsFor(id).size(), 1U) << id;
 }
 
-// One call with many messages has one fate: counting each as a failure opened circuits all day long.
+// The requests of a batch fail together; counted one by one, a lost batch would open the circuit.
 TEST_F(CircuitBreakerTest, AFailedBatchIsOneFailure) {
   Settings s = TestSettings();
   s.may_hedge = false;
@@ -117,7 +118,7 @@
   EXPECT_EQ(SendsFor(6).size(), 1U);
 }
 
-// Guards against a lack of connections here, or a drain told meanwhile, that counts as an endpoint's failure.
+// A lack of connections at this relay, or a drain in the meantime, is no failure of the endpoint.
 TEST_F(CircuitBreakerTest, AHealthCheckThatWasNotSentIsInconclusive) {
   Settings s = TestSettings();
   s.may_health_check = true;
@@ -140,8 +141,8 @@
   EXPECT_GT(Emitted<HealthCheck>().size(), 1U);
 }
 
-// Guards against a rush at the end of a told wait: calls that were out when a partner shut still come back
-// served, and say nothing of its return.
+// Calls that were in flight when a destination closed may still be served. Taken for a recovery, they would
+// lead to a burst at the end of the Retry-After.
 TEST_F(CircuitBreakerTest, ACallServedAfterALongRetryAfterIsNoRecovery) {
   Settings s = TestSettings();
   s.may_hedge = false;
@@ -156,7 +157,7 @@
   EndBatch();
   EndAttempt(1, 0, 1, Outcome::kRejected, 6, 0.05);
   now_ += 0.1;
-  EndAttempt(2, 0, 1, Outcome::kServed, 0, 0.15);  // sent before the refusal
+  EndAttempt(2, 0, 1, Outcome::kServed, 0, 0.15);  // sent before the rejection
   const auto state = [this] {
     std::optional<DestinationId> from = 0;
     return router_->ExportRouteStates(now_, from, 10).at(0);
@@ -167,7 +168,7 @@
   const Send trial = Emitted<Send>().back();
   EndAttempt(trial.request_id, 0, 1, Outcome::kServed);
   EXPECT_FALSE(state().failure_age);
-  EXPECT_TRUE(state().recovery_age);  // a slow start
+  EXPECT_TRUE(state().recovery_age);  // slow start is in progress
 }
 
 }  // namespace
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(SendsFor(9).size(), 1U);
 }
 
-// Hung calls of unsafe messages have no time-out: they must not keep every slot until their deadline.
+// Calls of non-idempotent requests have no timeout; stalled ones must not keep every slot until the deadline.
 TEST_F(DispatcherTest, AStalledCallLosesItsSlotToAnotherDestination) {
   Settings s = TestSettings();
   s.concurrency_limit = 3;
@@ -34,7 +34,7 @@
   now_ += 3;
   Receive(30, kNonIdempotentClass, 1);
   Receive(31, kNonIdempotentClass, 2);
-  EndBatch();  // no slot is free: nothing is known of the stall yet, or a call is called off at once
+  EndBatch();  // no slot is free: the stall is detected, or a call is cancelled at once
   EndBatch();
   ASSERT_GE(Emitted<CancelAttempt>().size(), 1U);
   const CancelAttempt cancel = Emitted<CancelAttempt>().front();
@@ -43,7 +43,7 @@
   EXPECT_EQ(SendsFor(31).size(), 1U);
 }
 
-// A few calls lost everywhere leave every circuit closed; their slots must come back all the same.
+// A lost call at an endpoint that serves others leaves its circuit closed; its slot must become free as well.
 TEST_F(DispatcherTest, ALostCallLosesItsSlotThoughItsEndpointServes) {
   Settings s = TestSettings();
   s.concurrency_limit = 2;
@@ -51,7 +51,7 @@
   Start(s);
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 2)});
   ServeRequests(1, 5, 1);
-  Receive(20, kNonIdempotentClass, 1);  // this one is lost
+  Receive(20, kNonIdempotentClass, 1);  // lost
   EndBatch();
   ServeRequests(21, 12, 1);
   Receive(40, kNonIdempotentClass, 2);
@@ -62,10 +62,11 @@
   EXPECT_EQ(Emitted<CancelAttempt>()[0].request_id, 20U);
 }
 
-// Endpoints in trouble share a part of the slots; none of them may be kept from ever trying again.
+// Outliers share a part of the slots; each of them must get at least one call, or it would never recover.
 TEST_F(DispatcherTest, AnOutlierIsStillTriedWhileOthersAreStalled) {
   Settings s = TestSettings();
-  s.classes[kNonIdempotentClass].latency_objective = 0.05;  // every answer is late: all endpoints are slow
+  s.classes[kNonIdempotentClass].latency_objective =
+      0.05;  // every response is late: all endpoints are outliers
   s.may_hedge = false;
   Start(s);
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 2)});
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -1,5 +1,4 @@
-// The lease on the endpoint list, on a clock of the test's own: tries to renew it come in time, whatever
-// fails, and never in a rush.
+// The lease on the endpoint list: renewals come in time, whatever fails, and keep their spacing.
 #include "decision/endpoint_list_lease.h"
 
 #include <gtest/gtest.h>
@@ -12,10 +11,9 @@
 namespace opalroute {
 namespace {
 
-constexpr Seconds kStep = 0.005;  // between two looks at the lease
+constexpr Seconds kStep = 0.005;  // of the test's clock
 constexpr int kSeeds = 200;
-constexpr Seconds kLongestSpacing =
-    2.5;  // between two tries, in a fleet of any size: a step of 2 s and its jitter
+constexpr Seconds kLongestSpacing = 2.5;  // between two renewals, in a fleet of any size: 2 s and its jitter
 
 Settings ListSettings(int relays, std::uint64_t seed) {
   Settings s = TestSettings();
@@ -26,8 +24,8 @@
   return s;
 }
 
-// The tries that a lease makes from `from` to `to`; after each, `fails_after` seconds later, it is told of a
-// failure (negative: never, it is silent).
+// The renewals that the lease asks for between `from` and `to`. Each one fails `fails_after` seconds later;
+// negative: it gets no answer.
 std::vector<Seconds> RenewalsOf(EndpointListLease& lease, Seconds from, Seconds to,
                                 Seconds fails_after = -1) {
   std::vector<Seconds> renewals;
@@ -56,7 +54,7 @@
       const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
       EndpointListLease lease(s);
       lease.OnListUpdate(ListScope::kCached, 100);
-      RenewalsOf(lease, 100, 130, 0.5);  // a long outage, then four moves as in the incident
+      RenewalsOf(lease, 100, 130, 0.5);  // a long outage of discovery, then four moves
       for (const Seconds at : {130.0, 130.3, 130.7}) {
         lease.OnDiscoveryMoved(at);
         EXPECT_TRUE(lease.TakeDueRenewal(at));
@@ -118,7 +116,7 @@
   }
 }
 
-// Guards against a rush at a discovery that hands out its list and closes.
+// Discovery that sends its list and closes the watch must not be called without a pause.
 TEST(EndpointListLeaseTest, WatchesThatEndAtOnceAreRenewedWithSpacing) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kCached, 100);
@@ -148,7 +146,7 @@
   s.poll_endpoint_list = false;
   EndpointListLease watched(s);
   watched.OnListUpdate(ListScope::kCached, 100);
-  EXPECT_EQ(watched.next_renewal(), 100);  // what is published binds from the first moment
+  EXPECT_EQ(watched.next_renewal(), 100);  // published changes bind at once
   s.list_heartbeat = 0;
   EndpointListLease pushed(s);
   pushed.OnListUpdate(ListScope::kCached, 100);
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -34,7 +34,7 @@
   EXPECT_EQ(Emitted<WatchEndpointList>().size(), 2U);
 }
 
-// A ban by hand, or what DNS says, is news of endpoints and none of the list's age.
+// An operator's command or DNS changes endpoints, but says nothing of how current the list is.
 TEST_F(EndpointListTest, UpdatesFromOtherSourcesDoNotConfirmTheList) {
   Settings s = TestSettings();
   s.poll_endpoint_list = true;
--- a/tests/decision/fixture.h
+++ b/tests/decision/fixture.h
@@ -1,4 +1,4 @@
-// A fake clock, a courier and what it has done: the tests play events and look at the actions.
+// A router on a fake clock: tests hand it events and look at the actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,11 +46,11 @@
   return s;
 }
 
-// One courier of many, with its wake and the numbers of its messages and attempts.
+// One relay of a fleet: its router, its timer, and the numbers of its requests and attempts.
 struct TestRelay {
   explicit TestRelay(const Settings& s) : router(s) {}
   void SetWake(const SetTimer& wake) { std::tie(timer_due, timer_id) = std::tie(wake.due, wake.timer_id); }
-  // Its wake if that is due, once.
+  // Its timer if that is due, once.
   std::optional<TimerFired> TakeDueTimer(Seconds now) {
     if (timer_due <= 0 || timer_due > now) return std::nullopt;
     timer_due = 0;
@@ -87,7 +87,7 @@
     Handle(NewRequest{id, request_class, {}, key, remaining_time, destination});
   }
 
-  // Turns of one tick up to the time; wakes are played when they are due.
+  // Advances the clock in ticks up to `time`; timers fire when they are due.
   void RunUntil(Seconds time) {
     EndBatch();
     while (now_ < time - 1e-9) {
@@ -140,7 +140,7 @@
  protected:
   void SetUp() override { Start(TestSettings()); }
 
-  // Requests that are sent to one endpoint each and served, one after the other.
+  // Requests that are served one after the other, each by its first attempt.
   void ServeRequests(RequestId from, int count, DestinationId destination = 1) {
     for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
       Receive(id, kNonIdempotentClass, destination);
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -1,5 +1,4 @@
-// A hundred couriers on one fake clock, each of which meets an endpoint seldom: what all of them together do
-// to it. Counted is what comes there, not what one of them sees.
+// Many relays on one fake clock: the load of all of them together at an endpoint that each calls seldom.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -12,15 +11,16 @@
 namespace {
 
 constexpr Seconds kTick = 0.01;
-constexpr Seconds kCall = 0.05;  // what a call takes
+constexpr Seconds kCall = 0.05;  // duration of a call
 
 class Fleet {
  public:
   struct Endpoint {
-    std::size_t connections = 1000;      // that it takes, idle ones counted
-    double limit = 1e6;                  // calls a second; refused ones use it up: none is served above it
-    Seconds down_from = 0, down_to = 0;  // refuses connects meanwhile
-    bool gossip_is_lost = false;         // no note arrives
+    std::size_t connections = 1000;  // limit, idle ones included
+    double limit = 1e6;              // calls a second, rejected ones included
+    Seconds down_from = 0;           // refuses connections from here
+    Seconds down_to = 0;             // to here
+    bool gossip_is_lost = false;     // no datagram arrives
   };
 
   Fleet(const Settings& settings, std::vector<ListedEndpoint> list, Endpoint endpoint)
@@ -33,7 +33,7 @@
     }
   }
 
-  // Messages of a safe class come at this rate to all couriers together, each to any of them, until `end`.
+  // Idempotent requests come at `rate` a second to all relays together, each to any of them, until `end`.
   void RunUntil(Seconds end, double rate) {
     std::exponential_distribution<double> gap(rate);
     std::uniform_int_distribution<std::size_t> any_relay(0, relays_.size() - 1);
@@ -54,15 +54,21 @@
     }
   }
 
-  std::size_t connections() const {  // that an endpoint holds, mean
+  std::size_t connections() const {  // mean per endpoint
     std::size_t all = 0;
     for (const auto& [id, count] : open_) all += count;
     return all / list_.size();
   }
 
-  int received = 0, served = 0, calls = 0, out_of_connections = 0, handshakes = 0, rejected = 0,
-      gossip_sent = 0, health_checks = 0;
-  std::vector<Seconds> since_return;  // when calls came after the outage
+  int received = 0;
+  int served = 0;
+  int calls = 0;
+  int out_of_connections = 0;
+  int handshakes = 0;
+  int rejected = 0;
+  int gossip_sent = 0;
+  int health_checks = 0;
+  std::vector<Seconds> since_return;  // arrival times of calls after the outage
 
  private:
   struct Call {
@@ -119,7 +125,7 @@
     } else if (now_ >= endpoint_.down_to) {
       since_return.push_back(now_ - endpoint_.down_to);
     }
-    // The calls of the second before, refused ones too, may not exceed the limit.
+    // The calls of the last second, rejected ones included, are limited.
     std::deque<Seconds>& arrivals = arrivals_[send.endpoint];
     if (connected) arrivals.push_back(now_);
     while (!arrivals.empty() && arrivals.front() <= now_ - 1) arrivals.pop_front();
@@ -167,8 +173,8 @@
   return s;
 }
 
-// An idle connection of each of a hundred fills every table: then most calls find no connection, whatever
-// the limit leaves. Seen on the fleet days: 12 tables of 6 to 16, 8 calls in 10 turned away.
+// An idle connection of each of a hundred relays would use up an endpoint's connections, so that most calls
+// find none, whatever the rate limit leaves.
 TEST(FleetTest, IdleConnectionsOfALargeFleetDoNotExhaustAnEndpoint) {
   Fleet fleet(FleetSettings(100), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
   fleet.RunUntil(120, 40);
@@ -176,8 +182,8 @@
   EXPECT_GT(fleet.served, fleet.received * 9 / 10);
 }
 
-// Where notes are allowed the first one turned away tells the others, and an endpoint with room for all keeps
-// their connections: each new one costs.
+// With gossip, the first relay without a connection notifies the others. An endpoint with connections for all
+// keeps them, as each new one costs a handshake.
 TEST(FleetTest, NotifiedOfAConnectionShortageAllRelaysCloseIdleConnections) {
   Settings s = FleetSettings(100);
   s.may_gossip = true;
@@ -190,14 +196,14 @@
   EXPECT_LT(large.handshakes, 150);
 }
 
-// Three couriers keep theirs: a table bears them, and each new connection costs.
+// The connections of three relays are no burden, and each new one costs a handshake.
 TEST(FleetTest, ASmallFleetKeepsIdleConnections) {
   Fleet fleet(FleetSettings(3), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {30});
   fleet.RunUntil(120, 40);
   EXPECT_LT(fleet.handshakes, fleet.calls / 20);
 }
 
-// The same messages cost endpoints about the same, whether three couriers bring them or a hundred.
+// The same requests cost endpoints about the same, whether three relays send them or a hundred.
 TEST(FleetTest, CostPerRequestDoesNotGrowWithTheFleet) {
   std::vector<ListedEndpoint> list;
   for (EndpointId id = 1; id <= 8; ++id) list.push_back({id, 0, 0, 1, EndpointStatus::kInService, 60});
@@ -209,9 +215,9 @@
     const double each = 1 / (30.0 * 8);
     const auto text = std::to_string(relays) + ": calls " + std::to_string(fleet.calls * each) +
                       ", handshakes " + std::to_string(fleet.handshakes * each) + ", refused " +
-                      std::to_string(fleet.rejected * each) + ", probes " +
+                      std::to_string(fleet.rejected * each) + ", health checks " +
                       std::to_string(fleet.health_checks * each) + " a second and endpoint, connections " +
-                      std::to_string(fleet.connections()) + ", notes " +
+                      std::to_string(fleet.connections()) + ", datagrams " +
                       std::to_string(fleet.gossip_sent / 30.0) + " a second";
     RecordProperty("costs" + std::to_string(relays), text);
     EXPECT_GT(fleet.served, fleet.received * 95 / 100) << text;
@@ -221,8 +227,8 @@
   }
 }
 
-// A limit of 40 a second, listed as 60 and met with 36. Refused calls use it up, so the fleet has to fall
-// under it, which takes each courier a refusal unless the first one refused tells the others.
+// A limit of 40 calls a second that is listed as 60. Rejected calls use it up, so the fleet has to send less,
+// which takes a rejection for each relay unless the first one notifies the others.
 TEST(FleetTest, OneRejectionNotifiesAllRelaysOfALowerLimit) {
   Settings s = FleetSettings(100);
   const std::vector<ListedEndpoint> list = {{1, 0, 0, 1, EndpointStatus::kInService, 60}};
@@ -233,11 +239,11 @@
   gossiping.RunUntil(130, 60);
   EXPECT_LT(gossiping.rejected, silent.rejected * 2 / 3);
   EXPECT_GT(gossiping.served, silent.served);
-  EXPECT_LE(gossiping.gossip_sent, 30 * 2.5);  // one in 0.2 of overload_for at most
+  EXPECT_LE(gossiping.gossip_sent, 30 * 2.5);  // at most one in a fifth of the overload window
 }
 
-// Listed with 60 calls a second, a route takes 30. An even share of 60 among 300 is a call in 5 s; were it
-// never less than one in overload_for, refused calls alone would use up nearly all (154 served of 1,200).
+// A route that is listed with 60 calls a second takes 30. An even share of 60 among 300 relays is a call in
+// 5 s. If relays never sent less than a call in the overload window, rejected calls would use the limit up.
 TEST(FleetTest, ALargeFleetFindsALimitBelowOneCallPerWindowAndRelay) {
   Settings s = FleetSettings(300);
   s.may_gossip = true;
@@ -248,9 +254,8 @@
   EXPECT_GT(fleet.served, 40 * 30 / 4);
 }
 
-// Cut off from one another, couriers are refused one by one and would all tell all: ten notes a second and
-// lane where one in 0.2 of overload_for is news. What they tell together stays within that, and heard notes
-// suffer nothing from it.
+// Relays that are cut off from one another are rejected one by one, and each would notify all. Together they
+// keep to about one datagram in a fifth of the overload window and route.
 TEST(FleetTest, PartitionedRelaysKeepToTheGossipBudget) {
   Settings s = FleetSettings(300);
   s.may_gossip = true;
@@ -260,12 +265,12 @@
   cut_off.RunUntil(130, 300);
   const double spans = 30 / (0.2 * s.overload_window);
   EXPECT_GT(cut_off.rejected, 1000);
-  EXPECT_LE(cut_off.gossip_sent, 2 * 300 + static_cast<int>(spans * 4));  // two each may have been saved
+  EXPECT_LE(cut_off.gossip_sent,
+            2 * 300 + static_cast<int>(spans * 4));  // two of each relay may have been saved
 }
 
-// Half a minute's worth of calls waits at a hundred couriers for a partner that is down for 6 s. Whoever
-// finds it back first tells the others: they warm it at once and together, within what it bears while it is
-// cold.
+// Requests wait at a hundred relays for a destination that is out for 6 s. The relay that finds its recovery
+// notifies the others, and all start slowly together, within the overload budget.
 TEST(FleetTest, NotifiedOfARecoveryAllRelaysStartSlowlyWithinTheBudget) {
   Settings s = FleetSettings(100);
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -291,8 +296,8 @@
   }
 }
 
-// Couriers that start at once with the list as they last held it. Discovery answers one call after another,
-// each in `answer`; what has waited for 2 s is refused.
+// Relays that start together with a cached list. Discovery answers one poll after another, each in `answer`
+// seconds, and refuses those that have waited for 2 s.
 struct FleetRestart {
   FleetRestart(Settings s, Seconds answer, const std::vector<ListedEndpoint>& known) : answer_time(answer) {
     s.poll_endpoint_list = true;
@@ -314,7 +319,7 @@
     }
   }
 
-  // Each message goes to any courier; `changes` is what discovery has to tell.
+  // Each request goes to any relay; `changes` is what discovery answers.
   void RunUntil(Seconds end, double rate, const std::vector<ListedEndpoint>& changes) {
     std::uniform_int_distribution<std::size_t> any_relay(0, relays.size() - 1);
     for (; now < end; now += kTick) {
@@ -347,16 +352,15 @@
   std::vector<std::pair<Seconds, EndpointId>> sent;
 };
 
-// Discovery bears six calls a second. Asked and asked again in step it would be idle between the rounds.
+// Discovery answers six polls a second. Polled by all at once, again and again, it would be idle in between.
 TEST(FleetTest, RelaysStartedTogetherPollTheListSpreadOut) {
   FleetRestart fleet(FleetSettings(100), 0.16, {{1, 0, 0, 1, EndpointStatus::kInService, 60}});
   fleet.RunUntil(120, 0, {});
   EXPECT_GE(fleet.watching.size(), 95U);
 }
 
-// An endpoint begins to drain as 300 couriers go down for 2 s. It counts as told 6 s later at the latest, and
-// new work has to stop 2 s after that, whether a courier has asked or not: a spread of 15 s would break the
-// rule.
+// An endpoint begins to drain as 300 relays go down for 2 s. All relays count as notified 6 s later, and new
+// calls have to stop 2 s after that, whether a relay has polled or not: polls spread over 15 s would be late.
 TEST(FleetTest, AfterARestartALargeFleetLearnsOfADrainInTime) {
   Settings s = FleetSettings(300);
   const ListedEndpoint stays{2, 0, 0, 1, EndpointStatus::kInService, 200};
--- a/tests/decision/idle_connections_test.cpp
+++ b/tests/decision/idle_connections_test.cpp
@@ -7,7 +7,7 @@
 
 class IdleConnectionsTest : public StartedRouterTest {};
 
-// Idle connections of others fill an endpoint's table: ours go with their last call, there and nowhere else.
+// Idle connections use up an endpoint's connections: they close with the last call, there and nowhere else.
 TEST_F(IdleConnectionsTest, ConnectionsCloseWithTheLastCallWhereTheyAreShort) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 2)});
   ServeRequests(1, 5, 1);
@@ -15,7 +15,7 @@
   EndBatch();
   EndAttempt(20, 0, 1, Outcome::kOutOfConnections, 0, 0.01);
   RunUntil(now_ + 0.2);
-  ASSERT_EQ(SendsFor(20).size(), 2U);  // it never ran: it goes again, at once but for a short backoff
+  ASSERT_EQ(SendsFor(20).size(), 2U);  // it never ran, so it is retried after a short backoff
   EndAttempt(20, 1, 1, Outcome::kServed);
   EndBatch();
   const std::size_t closed = Emitted<CloseIdleConnections>().size();
@@ -24,7 +24,7 @@
   EXPECT_EQ(Emitted<CloseIdleConnections>().size(), closed);
 }
 
-// Short of connections is neither out nor over its limit: what follows is neither paused nor on trial.
+// An endpoint that is short of connections is neither out nor over its rate limit.
 TEST_F(IdleConnectionsTest, AConnectionShortageReducesNoRateAndSuspectsNoOutage) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -44,7 +44,7 @@
     EXPECT_EQ(DecodeRouteGossip(gossip.payload)->kind, RouteGossip::Kind::kOutOfConnections);
 }
 
-// What is down refuses connects: after its return connections are kept.
+// An endpoint that is down refuses connections; that is no shortage.
 TEST_F(IdleConnectionsTest, AnEndpointAfterAnOutageKeepsItsConnections) {
   UpdateList({MakeEndpoint(1, 1)});
   ServeRequests(1, 5, 1);
--- a/tests/decision/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -1,4 +1,4 @@
-// A long run of legal events, drawn from fixed seeds, with a checker of the rules of its own.
+// A long run of legal events, drawn from fixed seeds, with an independent check of the rules.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -80,7 +80,7 @@
     }
   }
 
-  // Draws whether an attempt that is out comes to its outcome now.
+  // Draws whether an attempt in flight comes to its outcome now.
   void MaybeFinish(RequestId id, std::mt19937_64& draw) {
     HeldRequest& request = requests_.at(id);
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
@@ -159,7 +159,7 @@
     for (const auto& [destination, timeout_at] : new_retry_after_)
       retry_after_[destination] = std::max(retry_after_[destination], timeout_at);
     new_retry_after_.clear();
-    if (step % 500 == 499) {  // wakes long past need not be looked through again
+    if (step % 500 == 499) {  // old timers need not be searched again
       actions_.erase(std::remove_if(actions_.begin(), actions_.end(),
                                     [this](const Action& a) {
                                       const auto* wake = std::get_if<SetTimer>(&a);
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -35,7 +35,7 @@
   EXPECT_NE(SendsFor(1)[1].endpoint, first);
 }
 
-// A bundle's refusals may each tell another wait; judging only the first broke the rule.
+// The rejections of a batch may have different Retry-Afters; all of them bind.
 TEST_F(RateLimiterTest, TheLongestRetryAfterOfABatchCounts) {
   Settings s = TestSettings();
   s.may_hedge = false;
@@ -71,11 +71,11 @@
     EndBatch();
     RunUntil(now_ + 0.05);
   }
-  EXPECT_LT(Emitted<Send>().size(), 45U);  // half an even share to two: 2.5 to 10 a second
+  EXPECT_LT(Emitted<Send>().size(), 45U);  // half an even share to two even shares: 2.5 to 10 a second
   EXPECT_GT(Emitted<Send>().size(), 10U);
 }
 
-// An N-th of a limit was a call in many seconds for each of hundreds of couriers, most of them idle.
+// An even share of a limit is a call in many seconds for each of hundreds of relays, most of them idle.
 TEST_F(RateLimiterTest, ARelayOfALargeFleetSendsItsFirstRequestsAtOnce) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -89,12 +89,12 @@
   Receive(2, kNonIdempotentClass);
   RunUntil(now_ + 0.2);
   EXPECT_EQ(SendsFor(2).size(), 1U);
-  EndAttempt(1, 0, 1, Outcome::kRejected);  // and after a refusal it does not wait for an N-th of the limit
+  EndAttempt(1, 0, 1, Outcome::kRejected);  // after a rejection, too, it does not wait for an even share
   RunUntil(now_ + 7);
   EXPECT_EQ(SendsFor(1).size(), 2U);
 }
 
-// Dozens of couriers that knock every second push over what is coming back; no courier sees the others.
+// Dozens of relays that retry every second would overload a recovering route; none sees the others.
 TEST_F(RateLimiterTest, BackoffGrowsWithEachRejectionInARow) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -108,16 +108,17 @@
     const auto sends = SendsFor(1);
     for (std::size_t i = sent.size(); i < sends.size(); ++i) {
       sent.push_back(now_);
-      EndAttempt(1, static_cast<int>(i), 1, Outcome::kRejected, i % 2 == 0 ? 0.3 : 0);  // told waits or not
+      EndAttempt(1, static_cast<int>(i), 1, Outcome::kRejected,
+                 i % 2 == 0 ? 0.3 : 0);  // with Retry-After or without
     }
     RunUntil(now_ + 0.01);
   }
-  EXPECT_GE(sent.size(), 2U);  // one more after the first, or two; then hardly any
+  EXPECT_GE(sent.size(), 2U);  // one or two after the first
   EXPECT_LE(sent.size(), 4U);
 }
 
-// What is shared by three is shared by one once the others have gone: the even part, and with it the pace
-// that is regained after a refusal, grows.
+// Once two of three relays have left, the third one's share grows, and with it the send rate that it regains
+// after a rejection.
 TEST_F(RateLimiterTest, TheShareOfALimitFollowsTheFleetSize) {
   std::vector<std::size_t> sent;
   for (const double share_count : {3.0, 1.0}) {
--- a/tests/decision/recovery_test.cpp
+++ b/tests/decision/recovery_test.cpp
@@ -1,4 +1,4 @@
-// What the module does with messages of an earlier process, before an end, and just before a first byte.
+// Requests of an earlier process, the time before a shutdown, and sends that have not left yet.
 #include "tests/decision/fixture.h"
 
 namespace opalroute {
@@ -21,8 +21,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-// Guards against a payment that takes effect twice: the call that was out when the process ended may have
-// run.
+// The call that was in flight when the process ended may have run; a second one could double its effect.
 TEST_F(RecoveryTest, ANonIdempotentRequestThatMayHaveRunFailsAtOnce) {
   Recover(kNonIdempotentClass, {{1, 0, 1, true}});
   EXPECT_TRUE(SendsFor(1).empty());
@@ -35,7 +34,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-// The group and the window of a keyed message run from its first attempt that may have run.
+// The zone and the deduplication window are those of the first attempt that may have run.
 TEST_F(RecoveryTest, ADeduplicatedRequestStaysInItsZoneAndWindow) {
   for (int i = 0; i < 20; ++i) {
     SetUp();
@@ -44,7 +43,7 @@
     EXPECT_EQ(SendsFor(1)[0].endpoint, 2U);
   }
   SetUp();
-  Recover(kDeduplicatedClass, {{2, 1, 8.5, true}}, 10);  // its window was 8
+  Recover(kDeduplicatedClass, {{2, 1, 8.5, true}}, 10);  // its window is 8 s
   EXPECT_TRUE(SendsFor(1).empty());
   EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
@@ -61,7 +60,7 @@
   EXPECT_EQ(Emitted<Reject>().size(), 1U);
 }
 
-// A call that can't come back before the process ends would only be cut off.
+// A call that cannot come back before the process ends would be cut off.
 TEST_F(RecoveryTest, BeforeAShutdownOnlyCallsThatCanComeBackAreSent) {
   Receive(1, kIdempotentClass);
   EndBatch();
@@ -77,8 +76,7 @@
   EXPECT_TRUE(SendsFor(3).empty());
 }
 
-// A connection takes time to come up; a wait told or a drain heard meanwhile binds the call that waits for
-// it.
+// A Retry-After or a drain that comes while a call waits for its connection binds that call.
 TEST_F(RecoveryTest, RetryAfterOrADrainStopsASendThatHasNotLeft) {
   EXPECT_TRUE(router_->MaySend(now_, 1));
   EXPECT_FALSE(router_->MaySend(now_, 99));
@@ -93,7 +91,7 @@
   EXPECT_TRUE(router_->MaySend(now_ + 2.1, 2));
 }
 
-// Guards against advice to come back at once for a destination whose last endpoint drains.
+// A destination whose last endpoint drains must not advise clients to come back at once.
 TEST_F(RecoveryTest, RetryAfterAdviceLeavesDrainingEndpointsOut) {
   Settings settings = TestSettings();
   settings.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -107,7 +105,7 @@
 
 class LocalShortageTest : public RouterTest {
  protected:
-  // A message of which no attempt can leave, for so long. Returns how many were asked for.
+  // No attempt of the request can leave for `duration`. Returns the number of Send actions.
   std::size_t SendDuringShortage(int request_class, int max_attempts, Seconds duration) {
     Settings settings = TestSettings();
     settings.max_attempts = max_attempts;
@@ -127,8 +125,7 @@
   }
 };
 
-// Guards against messages that are handed back, untried, for a moment's want of sockets or of room on the
-// disk.
+// A short lack of sockets or disk space must not use up the attempts of a request.
 TEST_F(LocalShortageTest, ALocalShortageIsNoAttemptAndIsRetriedWithBackoff) {
   for (const int request_class : {kIdempotentClass, kDeduplicatedClass, kNonIdempotentClass})
     for (const int max_attempts : {2, 12}) {
@@ -138,7 +135,7 @@
       EXPECT_GE(attempts, 3U);
       EXPECT_LE(attempts, 40U);
       RunUntil(now_ + 2);
-      ASSERT_GT(SendsFor(1).size(), attempts);  // once the trouble is over it is sent
+      ASSERT_GT(SendsFor(1).size(), attempts);  // sent once the shortage is over
       EndAttempt(1, static_cast<int>(attempts), SendsFor(1)[attempts].endpoint, Outcome::kServed);
       EXPECT_TRUE(Emitted<Fail>().empty());
     }
--- a/tests/decision/request_queue_test.cpp
+++ b/tests/decision/request_queue_test.cpp
@@ -58,7 +58,7 @@
   s.max_attempts = 1;
   Start(s);
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
-  ServeRequests(11, 30);  // in good standing: only the key holds the next one back
+  ServeRequests(11, 30);  // healthy endpoints: only the key delays the next request
   const Seconds start = now_;
   Receive(1, kOrderedClass, 1, "k");
   Receive(2, kOrderedClass, 1, "k");
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -35,12 +35,12 @@
     EndBatch();
     const EndpointId first = SendsFor(id)[0].endpoint;
     EndAttempt(id, 0, first, Outcome::kError);
-    RunUntil(now_ + 1);  // an unmet endpoint that fails is tried again after a first pause
+    RunUntil(now_ + 1);  // an untried endpoint that fails is tried again after a backoff
     const auto sends = SendsFor(id);
     ASSERT_EQ(sends.size(), 2U);
     EXPECT_EQ(first == 1, sends[1].endpoint == 1);
     EndAttempt(id, 1, sends[1].endpoint, Outcome::kServed);
-    Receive(id + 100, kNonIdempotentClass);  // keeps the other endpoints in good standing
+    Receive(id + 100, kNonIdempotentClass);  // keeps the other endpoints healthy
     EndBatch();
     EndAttempt(id + 100, 0, SendsFor(id + 100)[0].endpoint, Outcome::kServed);
   }
@@ -53,13 +53,13 @@
   const EndpointId first = SendsFor(1)[0].endpoint;
   UpdateList({MakeEndpoint(first, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
   EndAttempt(1, 0, first, Outcome::kReset);
-  RunUntil(107.1);  // a tenth of the window is kept for its way, as no usual time is known
+  RunUntil(107.1);  // a tenth of the window is reserved for transit, as no latency is known
   EXPECT_EQ(Emitted<Fail>().size(), 0U);
   RunUntil(107.3);
   EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
 
-// Rule 2 binds a repeat's first byte; the call may wait for its connection until then.
+// The deduplication window binds the first byte of a retry; the call may wait for its connection until then.
 TEST_F(RetryPolicyTest, ARetryHasASendDeadline) {
   UpdateList({MakeEndpoint(1, 1)});
   for (const int request_class : {kIdempotentClass, kDeduplicatedClass}) {
@@ -74,7 +74,7 @@
     ASSERT_EQ(SendsFor(id).size(), 2U);
     const Seconds send_deadline = SendsFor(id)[1].send_deadline;
     EXPECT_EQ(send_deadline > 1e9, request_class == kIdempotentClass);
-    // Of the window of 8 s a tenth is kept for the repeat's way, once a call has been served its time.
+    // Of the window of 8 s the usual latency is reserved for transit, at most a tenth.
     const Seconds transit = 0.1;
     EXPECT_TRUE(send_deadline > 1e9 || std::abs(send_deadline - first - 8 + transit) < 0.011)
         << send_deadline;
@@ -82,7 +82,7 @@
   }
 }
 
-// A new process knows no usual time, and a repeat that it sends may be longer on its way than the first one.
+// A new process knows no latency, and its retry may be in transit for longer than the first attempt was.
 TEST_F(RetryPolicyTest, ARetryReservesATenthOfItsWindowWhereNoLatencyIsKnown) {
   UpdateList({MakeEndpoint(1, 1)});
   Receive(1, kDeduplicatedClass);
--- a/tests/decision/route_gossip_test.cpp
+++ b/tests/decision/route_gossip_test.cpp
@@ -20,7 +20,7 @@
       EXPECT_EQ(gossip->name_hash, name_hash);
       for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
         const auto part = DecodeRouteGossip(bytes.substr(0, cut));
-        EXPECT_TRUE(!part || (name_hash != 0 && cut + 4 == bytes.size()));  // which is a note as well
+        EXPECT_TRUE(!part || (name_hash != 0 && cut + 4 == bytes.size()));  // also a datagram
       }
       EXPECT_FALSE(DecodeRouteGossip(bytes + "x"));
     }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Rule 4 with many couriers on one fake clock: what all of them send to a destination that comes back.
+// Slow start with many relays on one fake clock: what all of them send to a recovering destination.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -10,7 +10,7 @@
 namespace opalroute {
 namespace {
 
-constexpr double kLimit = 10;      // calls a second that the destination takes from all
+constexpr double kLimit = 10;      // calls a second that the destination takes from all relays
 constexpr Seconds kReturns = 140;  // the outage lasts from the start, at 100, until then
 constexpr Seconds kTick = 0.01;
 
@@ -19,7 +19,7 @@
   int relays;
   Outcome outcome;                   // of every call while it lasts
   ListedRateAccuracy rate_accuracy;  // kNone: the limit is not known to anyone
-  bool is_steady;  // no clump: else each courier gets one more message as the destination returns
+  bool is_steady;                    // else each relay gets one more request as the destination recovers
 };
 
 class SlowStartTest : public ::testing::TestWithParam<Outage> {
@@ -88,8 +88,8 @@
     }
   }
 
-  // A destination that warms evenly may be sent so many calls in any span of overload_for: overload_factor
-  // times what it can do at the end of that span.
+  // Calls that the destination may be sent in any overload window: overload_factor times its capacity at the
+  // end of the window.
   static double Budget(const Settings& s, Seconds since_return) {
     const double warm =
         s.slow_start_initial_share + (1 - s.slow_start_initial_share) * since_return / s.slow_start_duration;
@@ -100,13 +100,12 @@
   std::deque<TestRelay> relays_;
   std::multimap<Seconds, std::pair<TestRelay*, std::pair<RequestId, int>>> answers_;
   std::vector<Seconds> sent_;
-  std::vector<TestRelay*> senders_;  // who sent it
-  std::set<TestRelay*> informed_;    // saw a call fail or be refused
-  bool refills_ = true;              // a served message is followed by the next
+  std::vector<TestRelay*> senders_;  // of the calls
+  std::set<TestRelay*> informed_;    // saw a call fail or be rejected
+  bool refills_ = true;              // a served request is followed by the next
 };
 
-// Two thirds of more than the budget are a break if they come from couriers that saw the outage, as all here
-// did.
+// All relays have seen the outage, so all their calls count against the budget.
 TEST_P(SlowStartTest, AllRelaysTogetherStayWithinTheBudgetAtARecovery) {
   const Settings s = FleetSettings(GetParam());
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
@@ -114,7 +113,7 @@
     for (int i = 0; i < 3; ++i) Receive(relay);
   RunUntil(kReturns, GetParam().outcome);
   const auto before = sent_.size();
-  EXPECT_GE(before, relays_.size());  // each of them has seen it
+  EXPECT_GE(before, relays_.size());  // each relay has seen the outage
   if (!GetParam().is_steady) {
     for (TestRelay& relay : relays_) Receive(relay);
   }
@@ -127,8 +126,8 @@
   }
 }
 
-// Messages come at the limit, each to some courier, while the destination refuses or fails all. The couriers
-// that have met the outage must not make up two thirds of more than the budget.
+// Requests come at the rate of the limit, each to some relay, while the destination rejects or fails all. In
+// a window over the budget, relays that have seen the outage must send less than two thirds of the calls.
 TEST_P(SlowStartTest, RelaysThatMeetAnOutageOneByOneStayWithinTheBudget) {
   Settings s = FleetSettings(GetParam());
   s.classes[kIdempotentClass].deadline = 15;
@@ -136,7 +135,7 @@
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
   std::mt19937_64 draw(5);
   std::size_t before = 0;
-  std::set<TestRelay*> informed_before;  // saw the outage before the return
+  std::set<TestRelay*> informed_before;  // saw the outage before the recovery
   const Seconds returns = 120;
   while (now_ < returns + s.slow_start_duration) {
     TestRelay& relay = relays_[draw() % relays_.size()];
--- a/tests/decision/state_transfer_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -1,5 +1,4 @@
-// Beliefs of other couriers: what the decision module says of its own, and that those of others add care and
-// never daring.
+// State of routes: what a relay exports, and that state of other relays makes a relay only more careful.
 #include <cmath>
 #include <random>
 
@@ -67,7 +66,7 @@
   Handle(TransferredState{{state}});
   for (RequestId id = 1; id <= 40; ++id) Receive(id, kIdempotentClass, 1, "", 200);
   RunUntil(now_ + TestSettings().overload_window + 0.1);
-  ASSERT_EQ(Emitted<Send>().size(), 1U);  // the trial
+  ASSERT_EQ(Emitted<Send>().size(), 1U);  // the recovery trial
   const Send trial = Emitted<Send>()[0];
   EndAttempt(trial.request_id, 0, trial.endpoint, Outcome::kServed);
   const Seconds back = now_;
@@ -76,8 +75,7 @@
   EXPECT_NEAR(*StateOf(1).recovery_age, 1, 0.02);
 }
 
-// Guards against a lie that keeps a healthy partner from traffic: a trial leaves within overload_for of a
-// message.
+// A false report must not keep a healthy destination from traffic: a trial leaves within the overload window.
 TEST_F(StateTransferTest, AFalseTransferredFailureEndsByItself) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Settings s = TestSettings();
@@ -88,7 +86,7 @@
     RouteState state = MakeState(1);
     state.failure_age = 0;
     Handle(TransferredState{{state}});
-    RunUntil(now_ + 5);  // nothing to send at first: the trial that was due has lapsed
+    RunUntil(now_ + 5);  // no request at first: the trial that was due has lapsed
     Receive(1, kIdempotentClass);
     RunUntil(now_ + s.overload_window + 0.02);
     EXPECT_EQ(SendsFor(1).size(), 1U) << "seed " << seed;
@@ -101,7 +99,7 @@
   EndBatch();
   EndAttempt(1, 0, SendsFor(1)[0].endpoint, Outcome::kServed);
   RouteState state = MakeState(1);
-  state.failure_age = 0.5;  // seen before
+  state.failure_age = 0.5;  // before the success
   Handle(TransferredState{{state}});
   Receive(2, kIdempotentClass);
   EndBatch();
@@ -132,7 +130,7 @@
   Handle(TransferredState{{state}});
   EXPECT_TRUE(router_->MaySend(now_, 1));
   EXPECT_FALSE(router_->MaySend(now_, 2));
-  state.endpoint = 0;  // the destination as a whole is no lane here
+  state.endpoint = 0;  // the destination as a whole is no route here
   Handle(TransferredState{{state}});
   EXPECT_TRUE(router_->MaySend(now_, 1));
   state.endpoint = 9;  // never listed
@@ -157,8 +155,7 @@
   EXPECT_EQ(slices, 16);
 }
 
-// The invariant: with any beliefs whatever, true or false, nothing leaves earlier or in greater number than
-// without them. The endpoint serves, is full or fails by its own script, the same for both.
+// With any transferred state, true or false, no call leaves earlier than without it, and no more of them.
 class TransferredStateInvariantTest : public RouterTest, public ::testing::WithParamInterface<int> {};
 
 TEST_P(TransferredStateInvariantTest, TransferredStateNeverMakesMoreCallsLeave) {
--- a/tests/decision/zone_traffic_test.cpp
+++ b/tests/decision/zone_traffic_test.cpp
@@ -13,7 +13,7 @@
   Handle(ZoneTrafficShare{1, 0, false});
   ServeRequests(1, 40);
   for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 1U);
-  // Never the last zone of a destination, and not while the other one does not serve either.
+  // The last zone of a destination stays in use, and so does a zone while the other one fails.
   Receive(50, kNonIdempotentClass, 2);
   EndBatch();
   ASSERT_EQ(SendsFor(50).size(), 1U);
@@ -35,11 +35,11 @@
   ServeRequests(1, 400);
   int there = 0;
   for (const Send& send : Emitted<Send>()) there += send.endpoint == 2;
-  EXPECT_GT(there, 20);  // one in eight: half of a quarter
+  EXPECT_GT(there, 20);  // one in eight: a quarter of an even half
   EXPECT_LT(there, 90);
 }
 
-// While another zone is in question, the one that has been left is not a way out.
+// An evacuated zone does not take the traffic of a zone that is partly evacuated.
 TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallWhileAnotherIsBeingEvacuated) {
   UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1)});
   Handle(ZoneTrafficShare{1, 0, false});
@@ -75,7 +75,7 @@
   }
 }
 
-// All of them come back at one moment, to endpoints that nobody has called meanwhile.
+// All relays come back together, to endpoints that nobody has called in the meantime.
 TEST_F(ZoneTrafficTest, AZoneStartsSlowlyAfterAnEvacuation) {
   Settings s = TestSettings();
   s.relay_count = 10;
@@ -88,13 +88,14 @@
   Handle(ZoneTrafficShare{1, 0.2, false});
   for (RequestId id = 1; id <= 100; ++id) Receive(id, kIdempotentClass);
   RunUntil(now_ + 3);
-  // Two thirds of twice a fifth of 20 a second for 3 s, a tenth of it: 1.6, and one that was saved.
+  // A tenth of two thirds of overload_factor times a fifth of 20 calls a second in 3 s: 1.6, and one saved
+  // up.
   EXPECT_LE(Emitted<Send>().size(), 4U);
   EXPECT_GE(Emitted<Send>().size(), 1U);
 }
 
-// Where new connections are refused, those that are kept are served on: a scout that used them would call a
-// zone back that takes nobody else.
+// A zone that refuses new connections may still serve on old ones. A health-check relay that used those would
+// end the evacuation of a zone that nobody else can reach.
 TEST_F(ZoneTrafficTest, AnEvacuatedZoneKeepsNoIdleConnections) {
   Settings s = TestSettings();
   s.may_hedge = false;
@@ -115,13 +116,13 @@
   for (const Send& send : Emitted<Send>()) {
     if (send.endpoint != 2) continue;
     ++calls;
-    EXPECT_EQ(closed(2), 0);  // what is out is not cut
+    EXPECT_EQ(closed(2), 0);  // calls in flight are not cut
     EndAttempt(send.request_id, 0, 2, Outcome::kServed);
     EndBatch();
   }
   const long before = closed(2);
   EXPECT_GE(before, 1);
-  for (RequestId id = 10; id < 60; ++id) {  // its trials open a new one each
+  for (RequestId id = 10; id < 60; ++id) {  // each recovery trial opens a new connection
     Receive(id, kNonIdempotentClass);
     RunUntil(now_ + 0.2);
     for (const Send& send : SendsFor(id)) EndAttempt(id, 0, send.endpoint, Outcome::kServed);
