--- /dev/null
+++ b/tests/decision/zone_traffic_test.cpp
@@ -0,0 +1,139 @@
+// Zones that get a part of the traffic, or none.
+#include <algorithm>
+
+#include "tests/decision/fixture.h"
+
+namespace opalroute {
+namespace {
+
+class ZoneTrafficTest : public StartedRouterTest {};
+
+TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallWhereThereIsAnother) {
+  UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1), MakeEndpoint(3, 2, 1, 1)});
+  Handle(ZoneTrafficShare{1, 0, false});
+  ServeRequests(1, 40);
+  for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 1U);
+  // The last zone of a destination stays in use, and so does a zone while the other one fails.
+  Receive(50, kNonIdempotentClass, 2);
+  EndBatch();
+  ASSERT_EQ(SendsFor(50).size(), 1U);
+  EXPECT_EQ(SendsFor(50)[0].endpoint, 3U);
+  RouteState out;
+  out.destination = out.endpoint = 1;
+  out.failure_age = 0;
+  now_ += 1;
+  Handle(TransferredState{{out}});
+  Receive(70, kNonIdempotentClass);
+  RunUntil(now_ + 1);
+  ASSERT_FALSE(SendsFor(70).empty());
+  EXPECT_EQ(SendsFor(70)[0].endpoint, 2U);
+}
+
+TEST_F(ZoneTrafficTest, AZonesShareOfTrafficIsDrawn) {
+  UpdateList({MakeEndpoint(1, 1, 0), MakeEndpoint(2, 1, 1)});
+  Handle(ZoneTrafficShare{1, 0.25, false});
+  ServeRequests(1, 400);
+  int there = 0;
+  for (const Send& send : Emitted<Send>()) there += send.endpoint == 2;
+  EXPECT_GT(there, 20);  // one in eight: a quarter of an even half
+  EXPECT_LT(there, 90);
+}
+
+// An evacuated zone does not take the traffic of a zone that is partly evacuated.
+TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallWhileAnotherIsBeingEvacuated) {
+  UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1)});
+  Handle(ZoneTrafficShare{1, 0, false});
+  Handle(ZoneTrafficShare{0, 0.5, false});
+  ServeRequests(1, 100);
+  EXPECT_EQ(Emitted<Send>().size(), 100U);
+  for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 1U);
+}
+
+TEST_F(ZoneTrafficTest, OnlyHealthCheckRelaysTryAnEvacuatedZone) {
+  for (const bool is_health_check_relay : {false, true}) {
+    Settings s = TestSettings();
+    s.relay_count = 30;
+    s.may_hedge = false;
+    Start(s);
+    UpdateList({MakeEndpoint(1, 1, 0, 1, EndpointStatus::kInService, 100),
+                MakeEndpoint(2, 1, 1, 1, EndpointStatus::kInService, 100)});
+    Handle(ZoneTrafficShare{1, 0, is_health_check_relay});
+    RequestId id = 1;
+    for (const Seconds end = now_ + 20; now_ < end;) {
+      Receive(id, kNonIdempotentClass);
+      RunUntil(now_ + 0.1);
+      const auto sends = SendsFor(id);
+      if (!sends.empty())
+        EndAttempt(id, 0, sends[0].endpoint,
+                   sends[0].endpoint == 2 ? Outcome::kConnectFailed : Outcome::kServed);
+      ++id;
+    }
+    int there = 0;
+    for (const Send& send : Emitted<Send>()) there += send.endpoint == 2;
+    EXPECT_EQ(there > 0, is_health_check_relay);
+    EXPECT_LT(there, 40);
+  }
+}
+
+// All relays come back together, to endpoints that nobody has called in the meantime.
+TEST_F(ZoneTrafficTest, AZoneStartsSlowlyAfterAnEvacuation) {
+  Settings s = TestSettings();
+  s.relay_count = 10;
+  s.listed_rate_accuracy = ListedRateAccuracy::kExact;
+  s.concurrency_limit = 100;
+  s.may_hedge = false;
+  Start(s);
+  UpdateList({MakeEndpoint(1, 1, 1, 1, EndpointStatus::kInService, 20)});
+  Handle(ZoneTrafficShare{1, 0, false});
+  Handle(ZoneTrafficShare{1, 0.2, false});
+  for (RequestId id = 1; id <= 100; ++id) Receive(id, kIdempotentClass);
+  RunUntil(now_ + 3);
+  // A tenth of two thirds of overload_factor times a fifth of 20 calls a second in 3 s: 1.6, and one saved
+  // up.
+  EXPECT_LE(Emitted<Send>().size(), 4U);
+  EXPECT_GE(Emitted<Send>().size(), 1U);
+}
+
+// A zone that refuses new connections may still serve on old ones. A health-check relay that used those would
+// end the evacuation of a zone that nobody else can reach.
+TEST_F(ZoneTrafficTest, AnEvacuatedZoneKeepsNoIdleConnections) {
+  Settings s = TestSettings();
+  s.may_hedge = false;
+  Start(s);
+  UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1)});
+  Receive(1, kNonIdempotentClass);
+  Receive(2, kNonIdempotentClass);
+  Receive(3, kNonIdempotentClass);
+  EndBatch();
+  Handle(ZoneTrafficShare{1, 0, true});
+  EndBatch();
+  const auto closed = [this](EndpointId id) {
+    const auto all = Emitted<CloseIdleConnections>();
+    return std::count_if(all.begin(), all.end(),
+                         [id](const CloseIdleConnections& c) { return c.endpoint == id; });
+  };
+  long calls = 0;
+  for (const Send& send : Emitted<Send>()) {
+    if (send.endpoint != 2) continue;
+    ++calls;
+    EXPECT_EQ(closed(2), 0);  // calls in flight are not cut
+    EndAttempt(send.request_id, 0, 2, Outcome::kServed);
+    EndBatch();
+  }
+  const long before = closed(2);
+  EXPECT_GE(before, 1);
+  for (RequestId id = 10; id < 60; ++id) {  // each recovery trial opens a new connection
+    Receive(id, kNonIdempotentClass);
+    RunUntil(now_ + 0.2);
+    for (const Send& send : SendsFor(id)) EndAttempt(id, 0, send.endpoint, Outcome::kServed);
+    EndBatch();
+  }
+  long trials = -calls;
+  for (const Send& send : Emitted<Send>()) trials += send.endpoint == 2;
+  EXPECT_GT(trials, 0);
+  EXPECT_GE(closed(2) - before, trials);
+  EXPECT_EQ(closed(1), 0);
+}
+
+}  // namespace
+}  // namespace opalroute
