--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -448,7 +448,7 @@
   Handing& h = it->second;
   Attempt& a = h.attempts[static_cast<std::size_t>(attempt)];
   if (!std::exchange(a.out, false)) return;
-  a.may_have_run = !ProvesNeverRan(outcome);
+  a.may_have_run = !decision::ProvesNeverRan(outcome);
   --h.out;
   Relay& relay = *relays_[static_cast<std::size_t>(h.relay)];
   tally_.AttemptEnded(outcome);
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -9,7 +9,7 @@
 #include "decision/token_bucket.h"
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class Admission {
  public:
@@ -31,4 +31,4 @@
   int requests_held_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/attempt_outcome_handler.h
+++ b/src/decision/attempt_outcome_handler.h
@@ -11,7 +11,7 @@
 #include "decision/request_lifecycle.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class AttemptOutcomeHandler {
  public:
@@ -40,4 +40,4 @@
   RequestLifecycle& lifecycle_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_pacer.h
+++ b/src/decision/call_pacer.h
@@ -7,7 +7,7 @@
 #include "decision/recovery_budget.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class CallPacer {
  public:
@@ -30,4 +30,4 @@
   const ZoneTraffic& zones_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_sender.h
+++ b/src/decision/call_sender.h
@@ -12,7 +12,7 @@
 #include "decision/request_queue.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class CallSender {
  public:
@@ -38,4 +38,4 @@
   EndpointHealth& health_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/circuit_breaker.h
+++ b/src/decision/circuit_breaker.h
@@ -3,7 +3,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class CircuitBreaker {
  public:
@@ -38,4 +38,4 @@
   bool latest_never_ran_ = false;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -9,7 +9,7 @@
 #include "opalroute/settings.h"
 #include "opalroute/types.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct DecisionContext {
   explicit DecisionContext(const Settings& settings);
@@ -27,4 +27,4 @@
   double share_count;                      // relays that limits and budgets are divided by; 1 or more
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -12,7 +12,7 @@
 #include "decision/request_queue.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class Dispatcher {
  public:
@@ -40,4 +40,4 @@
   Seconds shutdown_at_ = kNever;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_health.h
+++ b/src/decision/endpoint_health.h
@@ -8,7 +8,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/recovery_budget.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class EndpointHealth {
  public:
@@ -40,4 +40,4 @@
   GossipSender& gossip_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -14,7 +14,7 @@
 #include "opalroute/events.h"
 #include "opalroute/settings.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class EndpointListLease {
  public:
@@ -56,4 +56,4 @@
   bool was_expired_ = false;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -9,7 +9,7 @@
 #include "decision/upstream.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class EndpointTable {
  public:
@@ -47,4 +47,4 @@
   std::set<EndpointId> under_maintenance_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_receiver.h
+++ b/src/decision/gossip_receiver.h
@@ -7,7 +7,7 @@
 #include "decision/idle_connections.h"
 #include "decision/route_gossip.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class GossipReceiver {
  public:
@@ -26,4 +26,4 @@
   IdleConnections& idle_connections_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_sender.h
+++ b/src/decision/gossip_sender.h
@@ -6,7 +6,7 @@
 #include "decision/route_gossip.h"
 #include "decision/token_bucket.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class GossipSender {
  public:
@@ -21,4 +21,4 @@
   TokenBucket budget_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/health_check.cpp
+++ b/src/decision/health_check.cpp
@@ -6,7 +6,7 @@
 
 #include "decision/outcome.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 bool IsHealthChecked(const Endpoint& endpoint, const Settings& settings) {
   return settings.may_health_check && !endpoint.health_check_in_flight &&
@@ -60,4 +60,4 @@
   }
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/idle_connections.h
+++ b/src/decision/idle_connections.h
@@ -7,7 +7,7 @@
 #include "decision/endpoint_table.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class IdleConnections {
  public:
@@ -29,4 +29,4 @@
   std::set<EndpointId> to_close_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -11,7 +11,7 @@
 #include "decision/context.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class KeyOrder {
  public:
@@ -46,4 +46,4 @@
   std::set<KeyPause> pauses_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/latency_average.h
+++ b/src/decision/latency_average.h
@@ -3,7 +3,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct LatencyAverage {
   Seconds mean = 0;  // 0: nothing is known
@@ -12,4 +12,4 @@
   void Add(Seconds latency, Seconds now);
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -5,7 +5,7 @@
 
 #include "decision/random.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct Endpoint;
 
@@ -26,4 +26,4 @@
   std::vector<EndpointPair> pairs_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/never.h
+++ b/src/decision/never.h
@@ -5,9 +5,9 @@
 
 #include "opalroute/types.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // As a due time: none. As a rate: without a limit. Negated, as the time of an event: it has not happened.
 constexpr Seconds kNever = std::numeric_limits<Seconds>::infinity();
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/outcome.cpp
+++ b/src/decision/outcome.cpp
@@ -1,6 +1,6 @@
 #include "decision/outcome.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 bool ProvesNeverRan(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed ||
@@ -21,4 +21,4 @@
   return outcome == Outcome::kCancelled || outcome == Outcome::kNotSent || outcome == Outcome::kLocalShortage;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/outcome.h
+++ b/src/decision/outcome.h
@@ -3,7 +3,7 @@
 
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Whether the request surely had no effect at the endpoint.
 bool ProvesNeverRan(Outcome outcome);
@@ -18,4 +18,4 @@
 // Whether the outcome says nothing of the endpoint.
 bool IsInconclusive(Outcome outcome);
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/random.cpp
+++ b/src/decision/random.cpp
@@ -1,6 +1,6 @@
 #include "decision/random.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kJitter = 0.25;  // part of a wait, either way
@@ -20,4 +20,4 @@
   return z ^ (z >> 31);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <cstdint>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // SplitMix64. Equal seeds give equal draws on every platform.
 class Random {
@@ -24,4 +24,4 @@
   std::uint64_t state_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -13,7 +13,7 @@
 #include "decision/request_timers.h"
 #include "decision/retry_policy.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class RequestLifecycle {
  public:
@@ -54,4 +54,4 @@
   Admission admission_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -10,7 +10,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class RequestQueue {
  public:
@@ -42,4 +42,4 @@
   std::map<DestinationId, Destination*> active_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -27,10 +27,13 @@
 #include "decision/zone_traffic.h"
 
 namespace opalroute {
+namespace decision {
+namespace {
 
-class RequestRouter::Impl {
+// Hands each event to the modules that it concerns.
+class EventDispatcher {
  public:
-  explicit Impl(const Settings& settings) : context_(settings), list_lease_(settings) {}
+  explicit EventDispatcher(const Settings& settings) : context_(settings), list_lease_(settings) {}
 
   void Handle(Seconds now, const Event& event, std::vector<Action>& actions) {
     context_.now = now;
@@ -143,6 +146,14 @@
   WakeTimer timer_;
 };
 
+}  // namespace
+}  // namespace decision
+
+class RequestRouter::Impl : public decision::EventDispatcher {
+ public:
+  using EventDispatcher::EventDispatcher;
+};
+
 RequestRouter::RequestRouter(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
 RequestRouter::~RequestRouter() = default;
 RequestRouter::RequestRouter(RequestRouter&&) noexcept = default;
@@ -156,7 +167,7 @@
 
 std::vector<RouteState> RequestRouter::ExportRouteStates(Seconds now, std::optional<DestinationId>& from,
                                                          int most) const {
-  return opalroute::ExportRouteStates(impl_->table(), now, from, most);
+  return decision::ExportRouteStates(impl_->table(), now, from, most);
 }
 
 }  // namespace opalroute
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -5,7 +5,7 @@
 
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class RequestTable {
  public:
@@ -20,4 +20,4 @@
   std::map<RequestId, Request> requests_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -5,7 +5,7 @@
 
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class RequestTimers {
  public:
@@ -26,4 +26,4 @@
   RequestLine expiries_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/route_gossip.cpp
+++ b/src/decision/route_gossip.cpp
@@ -2,7 +2,7 @@
 
 #include <cstddef>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr char kMagic = 'L';
@@ -73,4 +73,4 @@
   return gossip;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/route_gossip.h
+++ b/src/decision/route_gossip.h
@@ -14,7 +14,7 @@
 
 #include "opalroute/types.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct RouteGossip {
   enum class Kind : char {
@@ -36,4 +36,4 @@
 // Nothing for bytes that are not exactly one such datagram.
 std::optional<RouteGossip> DecodeRouteGossip(std::string_view bytes);
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -6,7 +6,7 @@
 #include "decision/recovery_budget.h"
 #include "decision/token_bucket.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class RouteHealth {
  public:
@@ -57,4 +57,4 @@
   TokenBucket slow_start_bucket_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/token_bucket.cpp
+++ b/src/decision/token_bucket.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 void TokenBucket::Refill(Seconds now, double rate, double capacity) {
   tokens = std::min(capacity, tokens + rate * std::max(0.0, now - filled_at));
@@ -20,4 +20,4 @@
   return rate > 0 ? (1 - tokens) / rate : kNever;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -3,7 +3,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct TokenBucket {
   double tokens = 0;  // negative after more was charged than the bucket held
@@ -17,4 +17,4 @@
   Seconds TimeUntilToken(double rate) const;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/upstream.cpp
+++ b/src/decision/upstream.cpp
@@ -1,6 +1,6 @@
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 bool Endpoint::NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
 
@@ -8,4 +8,4 @@
 
 bool Endpoint::LooksIdle() const { return in_flight.empty() && (untried || latest_in_objective); }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/wake_timer.h
+++ b/src/decision/wake_timer.h
@@ -7,7 +7,7 @@
 #include "decision/never.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class WakeTimer {
  public:
@@ -20,4 +20,4 @@
   std::uint64_t latest_id_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/zone_traffic.h
+++ b/src/decision/zone_traffic.h
@@ -7,7 +7,7 @@
 #include "decision/upstream.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 class ZoneTraffic {
  public:
@@ -29,4 +29,4 @@
   std::map<int, ZoneTrafficShare> shares_;  // none: all of it
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -118,7 +118,7 @@
                  : member.status == EndpointRecord::Status::kDraining ? EndpointStatus::kDraining
                                                                       : EndpointStatus::kInService;
   entry.listed_rate = member.weight;
-  entry.name_hash = HashName(member.id);
+  entry.name_hash = decision::HashName(member.id);
   Endpoint* endpoint = &endpoints_.at(entry.endpoint);
   if (endpoint->listed && (endpoint->destination != entry.destination || endpoint->zone != entry.zone ||
                            endpoint->kind != entry.kind)) {
--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -184,7 +184,7 @@
   if (!request.ended && outcome.request_ended) {
     if (outcome.outcome == Outcome::kServed) counters_.Passed(request.request_class);
     requests_.End(request);
-  } else if (!request.ended && ProvesNeverRan(outcome.outcome)) {
+  } else if (!request.ended && decision::ProvesNeverRan(outcome.outcome)) {
     requests_.RecordNotExecuted(request, member.attempt);
   }
   decisions_.Post(event);
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -113,7 +113,7 @@
   endpoint.destination = Get<std::int64_t>(row, "destination");
   endpoint.status = Word(kStatuses, row, "mode");
   endpoint.listed_rate = GetOr(row, "rating", 0.0);
-  endpoint.name_hash = HashName(name);
+  endpoint.name_hash = decision::HashName(name);
   return endpoint;
 }
 
