--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -204,7 +204,7 @@
 void Simulation::PlayTier(const Payload& event) {
   if (event.kind == Kind::kTruth) {
     tier_.TellTruth();
-    return At(now() + zone_failover::ZoneFailover::kTick, event);
+    return At(now() + zone_failover::ZoneFailover::kTickInterval, event);
   }
   if (event.kind == Kind::kNote) return tier_.Arrive(event.a);
   if (event.kind == Kind::kRefusal) return tier_.Refused(event.relay, static_cast<int>(event.a));
@@ -212,7 +212,7 @@
   if (!relay.up || relay.life != event.life) return;
   tier_.Tick(event.relay);
   relay.takes_on = relay.takes_on || (!relay.stopping && tier_.Joined(event.relay));
-  At(now() + zone_failover::ZoneFailover::kTick, event);
+  At(now() + zone_failover::ZoneFailover::kTickInterval, event);
 }
 
 bool Simulation::Reaches(int relay, const PartnerEndpoint& endpoint) const {
@@ -230,7 +230,7 @@
   tier_.Start(relay.number);
   relay.takes_on = tier_.Joined(relay.number) || now() <= 0;
   if (tier_.on())
-    At(now() + zone_failover::ZoneFailover::kTick * random_() / 4294967296.0,
+    At(now() + zone_failover::ZoneFailover::kTickInterval * random_() / 4294967296.0,
        {Kind::kTick, relay.number, 0, 0, relay.life});
   ListUpdate list;
   list.scope = ListScope::kComplete;
--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -100,8 +100,8 @@
       auditor_.ToldParts(host_.TierNow(), relay, size->share_count);
     host_.PostTo(relay, std::move(event));
   }
-  for (const auto& [to, bytes] : what.messages)
-    Tell(relay, to == zone_failover::kAllPeers ? std::nullopt : std::optional<int>(to), bytes);
+  for (const zone_failover::OutgoingDatagram& datagram : what.datagrams)
+    Tell(relay, datagram.to, datagram.bytes);
   for (const zone_failover::ZoneFailover::Change& c : what.changes)
     result_.stage_changes.push_back(
         {host_.TierNow(), relay, c.zone, c.now.round, zone_failover::NameOf(c.now.phase), c.from_peer});
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,49 +7,57 @@
 
 namespace {
 
-constexpr Seconds kLongAgo = -1e9;
-constexpr int kTellers = 2;  // that are asked where one is silent
-constexpr int kProvers = 3;  // of those told that one leaves, so many ask its machine at once
+constexpr Seconds kNeverHeard = -1e9;
+constexpr int kIndirectPings = 2;   // alive peers pinged for their reports when the pinged one is not alive
+constexpr int kLeaveVerifiers = 3;  // relays that ping a leaving one to learn whether its process is gone
+constexpr int kReportWindowStep = 150;  // reports that surely fit a message
+constexpr int kUnknownAfter = 4;        // times alive_for without a message
 
 }  // namespace
 
-Membership::Membership(const Options& rules, std::uint64_t life, std::uint64_t seed, Seconds now)
-    : options_(rules),
-      incarnation_(life),
+Membership::Membership(const Options& options, std::uint64_t incarnation, std::uint64_t seed, Seconds now)
+    : options_(options),
+      incarnation_(incarnation),
       started_(now),
       random_(seed),
-      last_sequence_(random_() >> 40),  // an answer to an earlier life's question answers none of this one's
-      peers_(static_cast<std::size_t>(std::max(1, rules.fleet_size))),
-      next_heartbeat_(now + rules.heartbeat_interval * static_cast<double>(random_() % 1000) / 1000),
+      // Starts at random, so that an ack for an earlier incarnation matches no ping of this one.
+      last_sequence_(random_() >> 40),
+      peers_(static_cast<std::size_t>(std::max(1, options.fleet_size))),
+      next_heartbeat_(now + options.heartbeat_interval * static_cast<double>(random_() % 1000) / 1000),
       next_join_(now) {
-  for (PeerEntry& other : peers_)
-    other.heard_at = other.reported_at = other.pinged_at = other.last_pinged_at = other.unreachable_at =
-        kLongAgo;
+  for (PeerEntry& entry : peers_) {
+    entry.received_at = kNeverHeard;
+    entry.reported_at = kNeverHeard;
+    entry.unanswered_since = kNeverHeard;
+    entry.last_pinged_at = kNeverHeard;
+    entry.unreachable_at = kNeverHeard;
+  }
 }
 
-// ---- out --------------------------------------------------------------------------------------------------
+// ---- Sending ----------------------------------------------------------------------------------------------
 
 Message Membership::NewMessage(MessageKind kind) {
-  Message note;
-  note.kind = kind;
-  note.incarnation = incarnation_;
-  note.sequence = ++last_sequence_;
-  return note;
+  Message message;
+  message.kind = kind;
+  message.incarnation = incarnation_;
+  message.sequence = ++last_sequence_;
+  return message;
 }
 
 void Membership::Ping(Seconds now, Peer peer, MessageKind kind, std::vector<OutgoingMessage>& out) {
-  PeerEntry& other = Entry(peer);
-  if (other.pinged_at < now - options_.ping_timeout) other.pinged_at = now;
-  other.last_pinged_at = now;
+  PeerEntry& entry = Entry(peer);
+  if (entry.unanswered_since < now - options_.ping_timeout) entry.unanswered_since = now;
+  entry.last_pinged_at = now;
   out.push_back({peer, NewMessage(kind)});
-  other.ping_sequence = out.back().note.sequence;
+  entry.ping_sequence = out.back().message.sequence;
 }
 
-// Each other once a round, in an order drawn anew (SWIM): no two rounds leave one out for long.
+// Pings each peer once a round, in a new random order, so that none is left out for more than two rounds.
 Peer Membership::NextToPing() {
   if (ping_order_.empty()) {
-    for (Peer peer = 0; peer < options_.fleet_size; ++peer)
+    for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
       if (peer != options_.own_peer) ping_order_.push_back(peer);
+    }
     std::shuffle(ping_order_.begin(), ping_order_.end(), random_);
   }
   const Peer next = ping_order_.back();
@@ -60,154 +68,184 @@
 void Membership::Tick(Seconds now, std::vector<OutgoingMessage>& out) {
   if (options_.fleet_size < 2) return;
   for (const Peer peer : std::exchange(leaving_, {})) Ping(now, peer, MessageKind::kPing, out);
-  if (!IsSettled(now) && now >= next_join_) {
-    for (int sent = 0; next_to_join_ < options_.fleet_size && sent < options_.joins_per_tick;
-         ++next_to_join_) {
-      if (!IsOtherPeer(next_to_join_) || Entry(next_to_join_).has_acked) continue;
-      Ping(now, next_to_join_, MessageKind::kJoin, out);
-      ++sent;
-    }
-    if (next_to_join_ >= options_.fleet_size) {
-      next_to_join_ = 0;
-      next_join_ = now + options_.join_retry_interval;
-    }
+  if (!IsSettled(now) && now >= next_join_) SendJoins(now, out);
+  if (now >= next_heartbeat_) SendHeartbeat(now, out);
+}
+
+void Membership::SendJoins(Seconds now, std::vector<OutgoingMessage>& out) {
+  int sent = 0;
+  for (; next_to_join_ < options_.fleet_size && sent < options_.joins_per_tick; ++next_to_join_) {
+    if (!IsOtherPeer(next_to_join_) || Entry(next_to_join_).has_acked) continue;
+    Ping(now, next_to_join_, MessageKind::kJoin, out);
+    ++sent;
   }
-  if (now < next_heartbeat_) return;
+  if (next_to_join_ < options_.fleet_size) return;
+  next_to_join_ = 0;
+  next_join_ = now + options_.join_retry_interval;
+}
+
+void Membership::SendHeartbeat(Seconds now, std::vector<OutgoingMessage>& out) {
   next_heartbeat_ =
       std::max(next_heartbeat_ + options_.heartbeat_interval, now + options_.heartbeat_interval / 2);
-  const Peer next = NextToPing();
-  const bool silent = StateOf(now, next) != MemberState::kAlive;
-  Ping(now, next, MessageKind::kPing, out);
-  // One that is not there tells nothing of others, so some are asked that were heard of late.
-  if (!silent) return;
-  std::vector<Peer> heard;
-  for (Peer peer = 0; peer < options_.fleet_size; ++peer)
-    if (IsOtherPeer(peer) && peer != next && StateOf(now, peer) == MemberState::kAlive) heard.push_back(peer);
-  for (int i = 0; i < kTellers && !heard.empty(); ++i)
-    Ping(now, heard[random_() % heard.size()], MessageKind::kPing, out);
+  const Peer target = NextToPing();
+  const bool is_target_alive = StateOf(now, target) == MemberState::kAlive;
+  Ping(now, target, MessageKind::kPing, out);
+  if (is_target_alive) return;
+  // It may send no ack, so the reports of others are requested instead.
+  std::vector<Peer> alive;
+  for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
+    if (IsOtherPeer(peer) && peer != target && StateOf(now, peer) == MemberState::kAlive) {
+      alive.push_back(peer);
+    }
+  }
+  for (int i = 0; i < kIndirectPings && !alive.empty(); ++i) {
+    Ping(now, alive[random_() % alive.size()], MessageKind::kPing, out);
+  }
 }
 
 void Membership::Leave(std::vector<OutgoingMessage>& out) {
-  for (Peer peer = 0; peer < options_.fleet_size; ++peer)
+  for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
     if (IsOtherPeer(peer)) out.push_back({peer, NewMessage(MessageKind::kLeave)});
+  }
 }
 
-// As many as fit; with more than that the window moves on from note to note.
-void Membership::FillReports(Seconds now, Message& note) {
-  note.first_peer = report_window_;
-  const std::size_t room = options_.max_message_bytes * 8 / 5;
-  for (Peer peer = report_window_; peer < options_.fleet_size && note.peer_reports.size() < room; ++peer) {
-    PeerReport told;
+// Reports as many peers as may fit, from a window that moves on with each message.
+void Membership::FillReports(Seconds now, Message& message) {
+  message.first_peer = report_window_;
+  const std::size_t capacity = options_.max_message_bytes * 8 / kPeerReportBits;
+  for (Peer peer = report_window_; peer < options_.fleet_size && message.peer_reports.size() < capacity;
+       ++peer) {
+    PeerReport report;
     if (IsOtherPeer(peer)) {
-      const PeerEntry& other = Entry(peer);
-      const Seconds heard = std::max(other.heard_at, other.reported_at);
-      if (other.unreachable_at > heard)
-        told = {PeerReport::Kind::kUnreachable, now - other.unreachable_at};
-      else if (heard > now - kLongestAge)
-        told = {PeerReport::Kind::kAlive, now - heard};
+      const PeerEntry& entry = Entry(peer);
+      const Seconds heard = entry.LastHeard();
+      if (entry.unreachable_at > heard) {
+        report = {PeerReport::Kind::kUnreachable, now - entry.unreachable_at};
+      } else if (heard > now - kMaxReportAge) {
+        report = {PeerReport::Kind::kAlive, now - heard};
+      }
     }
-    note.peer_reports.push_back(told);
+    message.peer_reports.push_back(report);
   }
-  // What is cut off at the end of a note stands at the front of a later one.
-  constexpr int kSafelyWritten = 150;
-  report_window_ += kSafelyWritten;
-  if (report_window_ + kSafelyWritten / 3 >= options_.fleet_size) report_window_ = 0;
+  // Reports that the encoder cuts off at the end are at the front of a later message.
+  report_window_ += kReportWindowStep;
+  if (report_window_ + kReportWindowStep / 3 >= options_.fleet_size) report_window_ = 0;
 }
 
-// ---- in ---------------------------------------------------------------------------------------------------
+// ---- Receiving --------------------------------------------------------------------------------------------
+
+bool Membership::IsReplay(const PeerEntry& entry, const Message& message) const {
+  return message.incarnation < entry.incarnation ||
+         (message.incarnation == entry.incarnation && message.sequence <= entry.sequence);
+}
 
-bool Membership::HandleMessage(Seconds now, Peer from, const Message& note,
+bool Membership::HandleMessage(Seconds now, Peer from, const Message& message,
                                std::vector<OutgoingMessage>& out) {
   if (!IsOtherPeer(from)) return false;
-  PeerEntry& other = Entry(from);
-  if (note.incarnation < other.incarnation ||
-      (note.incarnation == other.incarnation && note.sequence <= other.sequence))
-    return false;
-  if (other.incarnation != 0 && note.incarnation > other.incarnation) ++restarts_;
-  other.incarnation = note.incarnation;
-  other.sequence = note.sequence;
-  if (note.kind == MessageKind::kLeave) {
-    // Its word alone proves nothing: it may be late. Those that are asked to prove it are drawn alike by all.
-    const int rank = (options_.own_peer - from + options_.fleet_size) % options_.fleet_size;
-    if (rank <= kProvers) leaving_.push_back(from);
+  PeerEntry& entry = Entry(from);
+  if (IsReplay(entry, message)) return false;
+  if (entry.incarnation != 0 && message.incarnation > entry.incarnation) ++restarts_;
+  entry.incarnation = message.incarnation;
+  entry.sequence = message.sequence;
+  if (message.kind == MessageKind::kLeave) {
+    OnLeave(from);
     return true;
   }
-  other.heard_at = now;
-  if (note.kind == MessageKind::kPing || note.kind == MessageKind::kJoin) {
+  entry.received_at = now;
+  if (message.kind == MessageKind::kPing || message.kind == MessageKind::kJoin) {
     out.push_back({from, NewMessage(MessageKind::kAck)});
-    out.back().note.acked_sequence = note.sequence;
-    if (note.kind == MessageKind::kPing) FillReports(now, out.back().note);
+    out.back().message.acked_sequence = message.sequence;
+    if (message.kind == MessageKind::kPing) FillReports(now, out.back().message);
   }
-  if (note.kind != MessageKind::kAck) return true;
-  other.pinged_at = kLongAgo;
-  if (note.acked_sequence != other.ping_sequence || other.last_pinged_at <= now - options_.ping_timeout)
-    return true;
-  if (!std::exchange(other.has_acked, true)) ++acks_;
-  ApplyReports(now, from, other.last_pinged_at, note);
+  if (message.kind == MessageKind::kAck) OnAck(now, from, message);
   return true;
 }
 
-// An answer is dated by its question: what it tells was so by then, however long either took on its way.
-void Membership::ApplyReports(Seconds now, Peer from, Seconds asked, const Message& note) {
-  for (std::size_t i = 0; i < note.peer_reports.size(); ++i) {
-    const Peer peer = note.first_peer + static_cast<int>(i);
-    const PeerReport& told = note.peer_reports[i];
+// The announcement may be late, so it proves nothing. The relays that follow `from` by index verify it.
+void Membership::OnLeave(Peer from) {
+  const int distance = (options_.own_peer - from + options_.fleet_size) % options_.fleet_size;
+  if (distance <= kLeaveVerifiers) leaving_.push_back(from);
+}
+
+void Membership::OnAck(Seconds now, Peer from, const Message& message) {
+  PeerEntry& entry = Entry(from);
+  entry.unanswered_since = kNeverHeard;
+  const bool is_late = entry.last_pinged_at <= now - options_.ping_timeout;
+  if (message.acked_sequence != entry.ping_sequence || is_late) return;
+  if (!std::exchange(entry.has_acked, true)) ++acked_peers_;
+  ApplyReports(now, from, entry.last_pinged_at, message);
+}
+
+// Dates a report of death by the ping that it answers: it was true by then, however long the ack took.
+void Membership::ApplyReports(Seconds now, Peer from, Seconds pinged_at, const Message& message) {
+  for (std::size_t i = 0; i < message.peer_reports.size(); ++i) {
+    const Peer peer = message.first_peer + static_cast<int>(i);
+    const PeerReport& report = message.peer_reports[i];
     if (!IsOtherPeer(peer) || peer == from) continue;
-    PeerEntry& other = Entry(peer);
-    if (told.kind == PeerReport::Kind::kAlive)
-      other.reported_at = std::max(other.reported_at, now - told.age);
-    if (told.kind == PeerReport::Kind::kUnreachable)
-      other.unreachable_at = std::max(other.unreachable_at, asked - told.age);
+    PeerEntry& entry = Entry(peer);
+    if (report.kind == PeerReport::Kind::kAlive) {
+      entry.reported_at = std::max(entry.reported_at, now - report.age);
+    }
+    if (report.kind == PeerReport::Kind::kUnreachable) {
+      entry.unreachable_at = std::max(entry.unreachable_at, pinged_at - report.age);
+    }
   }
 }
 
-// Dated by the earliest datagram that it can stand for.
+// Dates the refusal by the earliest datagram that it can be about.
 void Membership::OnUnreachable(Seconds now, Peer peer) {
   if (!IsOtherPeer(peer)) return;
-  PeerEntry& other = Entry(peer);
-  if (other.pinged_at <= now - options_.ping_timeout) return;  // nothing was sent that it could be about
-  other.unreachable_at = std::max(other.unreachable_at, std::exchange(other.pinged_at, kLongAgo));
+  PeerEntry& entry = Entry(peer);
+  if (entry.unanswered_since <= now - options_.ping_timeout) return;  // no datagram that it could be about
+  entry.unreachable_at = std::max(entry.unreachable_at, std::exchange(entry.unanswered_since, kNeverHeard));
 }
 
-// ---- what follows
-// -------------------------------------------------------------------------------------------
+// ---- State ------------------------------------------------------------------------------------------------
 
-bool Membership::IsDead(Seconds now, const PeerEntry& other) const {
-  const Seconds heard = std::max(other.heard_at, other.reported_at);
-  return other.unreachable_at > now - options_.dead_for &&
-         other.unreachable_at > heard + options_.suspect_after;
+Seconds Membership::PeerEntry::LastHeard() const { return std::max(received_at, reported_at); }
+
+bool Membership::IsOtherPeer(Peer peer) const {
+  return peer >= 0 && peer < options_.fleet_size && peer != options_.own_peer;
+}
+
+bool Membership::IsDead(Seconds now, const PeerEntry& entry) const {
+  return entry.unreachable_at > now - options_.dead_for &&
+         entry.unreachable_at > entry.LastHeard() + options_.suspect_after;
 }
 
 bool Membership::IsSettled(Seconds now) const {
   if (now >= started_ + options_.dead_for) return true;
-  for (Peer peer = 0; peer < options_.fleet_size; ++peer)
+  for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
     if (IsOtherPeer(peer) && !Entry(peer).has_acked && !IsDead(now, Entry(peer))) return false;
+  }
   return true;
 }
 
 double Membership::ShareCount(Seconds now) const {
   if (!IsSettled(now)) return static_cast<double>(options_.fleet_size) * options_.fleet_size;
-  int parts = 1;
-  for (Peer peer = 0; peer < options_.fleet_size; ++peer)
-    if (IsOtherPeer(peer) && !IsDead(now, Entry(peer))) ++parts;
-  return parts;
+  int count = 1;
+  for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
+    if (IsOtherPeer(peer) && !IsDead(now, Entry(peer))) ++count;
+  }
+  return count;
 }
 
 MemberState Membership::StateOf(Seconds now, Peer peer) const {
   if (peer == options_.own_peer) return MemberState::kAlive;
   if (!IsOtherPeer(peer)) return MemberState::kUnknown;
-  const PeerEntry& other = Entry(peer);
-  if (IsDead(now, other)) return MemberState::kDead;
-  const Seconds heard = std::max(other.heard_at, other.reported_at);
+  const PeerEntry& entry = Entry(peer);
+  if (IsDead(now, entry)) return MemberState::kDead;
+  const Seconds heard = entry.LastHeard();
   if (heard > now - options_.alive_for) return MemberState::kAlive;
-  return heard > now - 4 * options_.alive_for ? MemberState::kSuspect : MemberState::kUnknown;
+  return heard > now - kUnknownAfter * options_.alive_for ? MemberState::kSuspect : MemberState::kUnknown;
 }
 
 std::vector<Peer> Membership::AliveMembers(Seconds now) const {
-  std::vector<Peer> live;
-  for (Peer peer = 0; peer < options_.fleet_size; ++peer)
-    if (StateOf(now, peer) == MemberState::kAlive) live.push_back(peer);
-  return live;
+  std::vector<Peer> alive;
+  for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
+    if (StateOf(now, peer) == MemberState::kAlive) alive.push_back(peer);
+  }
+  return alive;
 }
 
 }  // namespace opalroute::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,16 +1,16 @@
-// Who is there: what one relay knows of the others of its tier. Pure: the clock and what came are handed in,
-// what is to be sent is handed out. docs/tier.md has the rule, why it holds in every cut, and what was
-// weighed.
+// Membership of the fleet: which relays are alive, and among how many relays a quota is divided. A protocol
+// in the manner of SWIM, without I/O: the caller hands in the time and the messages received, and sends the
+// messages handed out. docs/membership.md has the rules and the alternatives.
 //
-// Danger: unheard is not dead. A relay that is cut off goes on with its part of every limit, so nobody takes
-// it. A part grows only by processes that their own machines have refused a datagram for, no longer ago than
-// `proof_for`, and that nobody had heard for a while by then; a process that starts holds back for as long,
-// or until all have answered it.
+// Invariant: a relay that nobody hears is not taken for dead, since it may go on sending behind a network
+// partition. The share count falls only for relays for which some host reported 'port unreachable' no longer
+// than `dead_for` ago. A process that starts holds its share back for as long, or until each other relay has
+// acknowledged it or is dead. Otherwise the two sides of a partition would send more than the quota together.
 #pragma once
 
 #include <cstdint>
+#include <optional>
 #include <random>
-#include <string_view>
 #include <vector>
 
 #include "membership/message.h"
@@ -18,89 +18,117 @@
 namespace opalroute::membership {
 
 struct Options {
-  int fleet_size = 1;  // of the tier, this relay among it
+  int fleet_size = 1;  // relays, this one among them
   Peer own_peer = 0;
-  Seconds heartbeat_interval = 0.5;  // one other is asked in each
-  Seconds suspect_after = 4;  // nobody had heard it for so long: a path that refuses is no machine that does
-  Seconds dead_for = 12;      // a process that was not there counts as gone for so long (kLongestAge at most)
-  Seconds alive_for = 8;      // one that was heard counts as live
-  Seconds ping_timeout = 1;   // an answer is taken so long after its question
-  Seconds join_retry_interval = 0.4;  // who has not answered a hello is greeted again
+  Seconds heartbeat_interval = 0.5;  // between pings; one peer is pinged at a time
+  Seconds suspect_after = 4;         // 'port unreachable' counts after so long without a message of the peer:
+                                     // one that is still heard has a broken path, not a dead process
+  Seconds dead_for = 12;             // a proof of death is valid for so long; at most kMaxReportAge
+  Seconds alive_for = 8;             // a peer is alive for so long after its last message
+  Seconds ping_timeout = 1;          // later acks are ignored
+  Seconds join_retry_interval = 0.4;  // between joins to peers that have not acknowledged
   int joins_per_tick = 64;
   std::size_t max_message_bytes = 256;
 };
 
 enum class MemberState {
-  kUnknown,  // never heard of, or not for long: it may live behind a cut
-  kSuspect,  // heard of, though not of late
+  kUnknown,  // not heard for long or never: it may be alive behind a network partition
+  kSuspect,  // heard, but not recently
   kAlive,
   kDead  // proved to have no process
 };
 
+// A message to send.
+struct OutgoingMessage {
+  std::optional<Peer> to;  // nothing: to every other relay
+  Message message;         // without its zone payload
+};
+
 class Membership {
  public:
-  // `life`: greater than that of every earlier process of this relay.
-  Membership(const Options& rules, std::uint64_t life, std::uint64_t seed, Seconds now);
+  // `incarnation`: greater than that of every earlier process of this relay.
+  Membership(const Options& options, std::uint64_t incarnation, std::uint64_t seed, Seconds now);
 
-  struct OutgoingMessage {
-    Peer to = 0;
-    Message note;  // to be written with what the zones have to say
-  };
-  // What is due. To be called every 50 ms or so.
+  // Appends the messages that are due. To be called every 50 ms or so.
   void Tick(Seconds now, std::vector<OutgoingMessage>& out);
-  // A note of that peer. False: it is a replay, late from an earlier life, or from nobody of this tier.
-  bool HandleMessage(Seconds now, Peer from, const Message& note, std::vector<OutgoingMessage>& out);
-  // The machine of that peer refused a datagram.
+
+  // Handles a message of `from` and appends the answer. False: it was ignored, as a replay, as a late message
+  // of an earlier incarnation, or as sent by no other relay of the fleet.
+  bool HandleMessage(Seconds now, Peer from, const Message& message, std::vector<OutgoingMessage>& out);
+
+  // The host of `peer` answered a datagram with 'port unreachable'.
   void OnUnreachable(Seconds now, Peer peer);
-  // For all others: the process is about to end.
+
+  // Appends the messages that announce the end of this process.
   void Leave(std::vector<OutgoingMessage>& out);
-  Message NewMessage(MessageKind kind);  // numbered, for what others have to tell
 
-  // How many relays share what there is: the tier without those gone; while this one holds back so many that
-  // all of them together stay under one part.
+  // A message with the next sequence number.
+  Message NewMessage(MessageKind kind);
+
+  // Relays that a quota is divided by: the fleet without its dead members. Until IsSettled the square of the
+  // fleet's size, so that all processes that hold back use one share together.
   double ShareCount(Seconds now) const;
-  bool IsSettled(Seconds now) const;  // it holds nothing back
-  bool HasAnyAck() const { return acks_ > 0; }
+
+  // This process no longer holds its share back.
+  bool IsSettled(Seconds now) const;
+
+  // Some relay has acknowledged this process.
+  bool HasAnyAck() const { return acked_peers_ > 0; }
+
   MemberState StateOf(Seconds now, Peer peer) const;
-  std::vector<Peer> AliveMembers(Seconds now) const;  // this one among them
-  int restarts() const { return restarts_; }          // of others, as seen
+
+  // In ascending order, this relay among them.
+  std::vector<Peer> AliveMembers(Seconds now) const;
+
+  // Restarts of other relays that this process has noticed.
+  int restarts() const { return restarts_; }
   const Options& options() const { return options_; }
 
  private:
   struct PeerEntry {
-    std::uint64_t incarnation = 0, sequence = 0;  // of the latest note
-    Seconds heard_at = 0, reported_at = 0;        // by this relay; by the latest word of others
-    Seconds pinged_at = 0;                        // the earliest datagram to it that nothing has come of
-    std::uint64_t ping_sequence = 0;              // the number of the latest one ...
+    std::uint64_t incarnation = 0;  // of its latest message
+    std::uint64_t sequence = 0;     // of its latest message
+    Seconds received_at = 0;        // its latest message
+    Seconds reported_at = 0;        // its latest message to others, by their reports
+    Seconds unanswered_since = 0;   // the earliest datagram to it that nothing has come back for
     Seconds last_pinged_at = 0;
-    Seconds unreachable_at = 0;  // the latest, by whomever
+    std::uint64_t ping_sequence = 0;  // of the latest ping or join to it
+    Seconds unreachable_at = 0;       // the latest datagram known to be refused by its host
+    bool has_acked = false;           // it has acknowledged this process
 
-    bool has_acked = false;  // it has answered this process
+    Seconds LastHeard() const;
   };
-  bool IsOtherPeer(Peer peer) const {
-    return peer >= 0 && peer < options_.fleet_size && peer != options_.own_peer;
-  }
+
+  bool IsOtherPeer(Peer peer) const;
   PeerEntry& Entry(Peer peer) { return peers_[static_cast<std::size_t>(peer)]; }
   const PeerEntry& Entry(Peer peer) const { return peers_[static_cast<std::size_t>(peer)]; }
-  void Ping(Seconds now, Peer peer, MessageKind kind, std::vector<OutgoingMessage>& out);
-
-  void ApplyReports(Seconds now, Peer from, Seconds asked, const Message& note);
+  bool IsDead(Seconds now, const PeerEntry& entry) const;
 
-  bool IsDead(Seconds now, const PeerEntry& other) const;
+  void Ping(Seconds now, Peer peer, MessageKind kind, std::vector<OutgoingMessage>& out);
+  void SendJoins(Seconds now, std::vector<OutgoingMessage>& out);
+  void SendHeartbeat(Seconds now, std::vector<OutgoingMessage>& out);
   Peer NextToPing();
-  void FillReports(Seconds now, Message& note);
+  void FillReports(Seconds now, Message& message);
+
+  bool IsReplay(const PeerEntry& entry, const Message& message) const;
+  void OnLeave(Peer from);
+  void OnAck(Seconds now, Peer from, const Message& message);
+  void ApplyReports(Seconds now, Peer from, Seconds pinged_at, const Message& message);
 
   const Options options_;
   const std::uint64_t incarnation_;
   const Seconds started_;
   std::mt19937_64 random_;
   std::uint64_t last_sequence_ = 0;
-  std::vector<PeerEntry> peers_;  // by number; the own one is not used
-  std::vector<Peer> ping_order_;  // still to be asked in this round
-  std::vector<Peer> leaving_;     // said that they leave
+  std::vector<PeerEntry> peers_;  // by index; the own entry is unused
+  std::vector<Peer> ping_order_;  // peers still to be pinged in this round, the next one last
+  std::vector<Peer> leaving_;     // peers that announced their end, to be pinged at once
   Peer next_to_join_ = 0;
-  int report_window_ = 0, acks_ = 0, restarts_ = 0;
-  Seconds next_heartbeat_, next_join_;
+  Peer report_window_ = 0;  // the first peer of the next reports
+  int acked_peers_ = 0;
+  int restarts_ = 0;
+  Seconds next_heartbeat_;
+  Seconds next_join_;
 };
 
 }  // namespace opalroute::membership
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -3,106 +3,128 @@
 #include <algorithm>
 #include <cmath>
 
+#include "membership/varint.h"
+
 namespace opalroute::membership {
 
 namespace {
 
-constexpr int kBits = 5;                  // of a state
-constexpr std::size_t kMostPeers = 4096;  // a window that claims more is no window
+constexpr char kMagic = 'F';
+constexpr std::size_t kHeaderBytes = 3;
+constexpr std::string_view kKinds = "qhatl";    // all values of MessageKind
+constexpr std::size_t kMaxPeers = 4096;         // limit of first peer and count
+constexpr std::size_t kMaxWindowHeadBytes = 6;  // first peer and count, three bytes each at most
 
-// 0 nothing; 1 to 7 heard, 8 to 31 refused: each by its age in even steps.
-struct Steps {
-  PeerReport::Kind of;
-  unsigned from, count;
+// A range of report codes: consecutive codes stand for ages in even steps up to kMaxReportAge. Code 0 stands
+// for kNothing.
+struct CodeRange {
+  PeerReport::Kind kind;
+  unsigned first_code;
+  unsigned count;
 };
-constexpr Steps kSteps[] = {{PeerReport::Kind::kAlive, 1, 7}, {PeerReport::Kind::kUnreachable, 8, 24}};
-
-unsigned StateOf(const PeerReport& told) {
-  for (const Steps& s : kSteps) {
-    if (told.kind != s.of || told.age > kLongestAge) continue;
-    const double step = kLongestAge / s.count;
-    const auto up = static_cast<unsigned>(std::ceil(std::max(0.0, told.age) / step - 1e-9));
-    return s.from + std::clamp(up, 1U, s.count) - 1;
+constexpr CodeRange kCodeRanges[] = {{PeerReport::Kind::kAlive, 1, 7},
+                                     {PeerReport::Kind::kUnreachable, 8, 24}};
+
+unsigned CodeOf(const PeerReport& report) {
+  for (const CodeRange& range : kCodeRanges) {
+    if (report.kind != range.kind || report.age > kMaxReportAge) continue;
+    const double step = kMaxReportAge / range.count;
+    const auto steps = static_cast<unsigned>(std::ceil(std::max(0.0, report.age) / step - 1e-9));
+    return range.first_code + std::clamp(steps, 1U, range.count) - 1;
   }
   return 0;
 }
 
-PeerReport ToldBy(unsigned state) {
-  for (const Steps& s : kSteps)
-    if (state >= s.from && state < s.from + s.count)
-      return {s.of, (state - s.from + 1) * kLongestAge / s.count};
+PeerReport ReportOf(unsigned code) {
+  for (const CodeRange& range : kCodeRanges) {
+    if (code >= range.first_code && code < range.first_code + range.count) {
+      return {range.kind, (code - range.first_code + 1) * kMaxReportAge / range.count};
+    }
+  }
   return {};
 }
 
-}  // namespace
+std::size_t PackedSize(std::size_t count) { return (count * kPeerReportBits + 7) / 8; }
 
-void AppendVarint(std::string& bytes, std::uint64_t number) {
-  for (; number >= 128; number >>= 7) bytes += static_cast<char>(128 | (number & 127));
-  bytes += static_cast<char>(number);
+std::string PackReports(const std::vector<PeerReport>& reports, std::size_t count) {
+  std::string packed(PackedSize(count), '\0');
+  for (std::size_t i = 0; i < count; ++i) {
+    const unsigned code = CodeOf(reports[i]);
+    for (std::size_t bit = 0; bit < kPeerReportBits; ++bit) {
+      const std::size_t position = i * kPeerReportBits + bit;
+      if ((code >> bit & 1U) != 0) packed[position / 8] |= static_cast<char>(1U << position % 8);
+    }
+  }
+  return packed;
 }
 
-std::optional<std::uint64_t> ReadVarint(std::string_view& bytes) {
-  std::uint64_t number = 0;
-  for (int shift = 0; shift < 64 && !bytes.empty(); shift += 7) {
-    const auto byte = static_cast<unsigned char>(bytes.front());
-    bytes.remove_prefix(1);
-    number |= static_cast<std::uint64_t>(byte & 127) << shift;
-    if ((byte & 128) == 0) return number;
+std::vector<PeerReport> UnpackReports(std::string_view packed, std::size_t count) {
+  std::vector<PeerReport> reports;
+  for (std::size_t i = 0; i < count; ++i) {
+    unsigned code = 0;
+    for (std::size_t bit = 0; bit < kPeerReportBits; ++bit) {
+      const std::size_t position = i * kPeerReportBits + bit;
+      code |= (static_cast<unsigned char>(packed[position / 8]) >> position % 8 & 1U) << bit;
+    }
+    reports.push_back(ReportOf(code));
   }
-  return std::nullopt;
+  return reports;
+}
+
+// Reads the varints after the header.
+bool ReadSequences(std::string_view& bytes, Message& message) {
+  const auto incarnation = ReadVarint(bytes);
+  const auto sequence = ReadVarint(bytes);
+  if (!incarnation || !sequence) return false;
+  message.incarnation = *incarnation;
+  message.sequence = *sequence;
+  if (message.kind != MessageKind::kAck) return true;
+  const auto acked_sequence = ReadVarint(bytes);
+  message.acked_sequence = acked_sequence.value_or(0);
+  return acked_sequence.has_value();
 }
 
-std::string EncodeMessage(const Message& note, std::size_t most) {
-  std::string bytes = {'F', kVersion, static_cast<char>(note.kind)};
-  AppendVarint(bytes, note.incarnation);
-  AppendVarint(bytes, note.sequence);
-  if (note.kind == MessageKind::kAck) AppendVarint(bytes, note.acked_sequence);
-  std::string zones;
-  AppendVarint(zones, note.zone_payload.size());
-  zones += note.zone_payload;
-  constexpr std::size_t kWindowHead = 6;  // two numbers, three bytes each at most
-  const std::size_t taken = bytes.size() + zones.size() + kWindowHead;
-  const std::size_t room = taken < most ? (most - taken) * 8 / kBits : 0;
-  const std::size_t count = std::min({note.peer_reports.size(), room, kMostPeers});
-  AppendVarint(bytes, static_cast<std::uint64_t>(note.first_peer));
+bool ReadReports(std::string_view& bytes, Message& message) {
+  const auto first_peer = ReadVarint(bytes);
+  const auto count = ReadVarint(bytes);
+  if (!first_peer || !count || *count > kMaxPeers || *first_peer > kMaxPeers) return false;
+  const std::size_t size = PackedSize(*count);
+  if (bytes.size() < size) return false;
+  message.first_peer = static_cast<int>(*first_peer);
+  message.peer_reports = UnpackReports(bytes.substr(0, size), *count);
+  bytes.remove_prefix(size);
+  return true;
+}
+
+}  // namespace
+
+std::string EncodeMessage(const Message& message, std::size_t max_bytes) {
+  std::string bytes = {kMagic, kVersion, static_cast<char>(message.kind)};
+  AppendVarint(bytes, message.incarnation);
+  AppendVarint(bytes, message.sequence);
+  if (message.kind == MessageKind::kAck) AppendVarint(bytes, message.acked_sequence);
+  std::string payload;
+  AppendVarint(payload, message.zone_payload.size());
+  payload += message.zone_payload;
+  const std::size_t used = bytes.size() + payload.size() + kMaxWindowHeadBytes;
+  const std::size_t capacity = used < max_bytes ? (max_bytes - used) * 8 / kPeerReportBits : 0;
+  const std::size_t count = std::min({message.peer_reports.size(), capacity, kMaxPeers});
+  AppendVarint(bytes, static_cast<std::uint64_t>(message.first_peer));
   AppendVarint(bytes, count);
-  std::string states((count * kBits + 7) / 8, '\0');
-  for (std::size_t i = 0; i < count; ++i)
-    for (std::size_t bit = 0; bit < kBits; ++bit)
-      if ((StateOf(note.peer_reports[i]) >> bit & 1U) != 0)
-        states[(i * kBits + bit) / 8] |= static_cast<char>(1U << (i * kBits + bit) % 8);
-  return bytes + states + zones;
+  return bytes + PackReports(message.peer_reports, count) + payload;
 }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) {
-  if (bytes.size() < 3 || bytes[0] != 'F' || bytes[1] != kVersion) return std::nullopt;
-  Message note;
-  note.kind = static_cast<MessageKind>(bytes[2]);
-  if (std::string_view("qhatl").find(bytes[2]) == std::string_view::npos) return std::nullopt;
-  bytes.remove_prefix(3);
-  const auto life = ReadVarint(bytes), number = ReadVarint(bytes);
-  const auto echo = note.kind == MessageKind::kAck ? ReadVarint(bytes) : std::optional<std::uint64_t>(0);
-  const auto first = ReadVarint(bytes), count = ReadVarint(bytes);
-  if (!life || !number || !echo || !first || !count) return std::nullopt;
-  if (*count > kMostPeers || *first > kMostPeers) return std::nullopt;
-  const std::size_t size = (*count * kBits + 7) / 8;
-  if (bytes.size() < size) return std::nullopt;
-  note.incarnation = *life;
-  note.sequence = *number;
-  note.acked_sequence = *echo;
-  note.first_peer = static_cast<int>(*first);
-  for (std::size_t i = 0; i < *count; ++i) {
-    unsigned state = 0;
-    for (std::size_t bit = 0; bit < kBits; ++bit)
-      state |= (static_cast<unsigned char>(bytes[(i * kBits + bit) / 8]) >> (i * kBits + bit) % 8 & 1U)
-               << bit;
-    note.peer_reports.push_back(ToldBy(state));
-  }
-  bytes.remove_prefix(size);
+  if (bytes.size() < kHeaderBytes || bytes[0] != kMagic || bytes[1] != kVersion) return std::nullopt;
+  if (kKinds.find(bytes[2]) == std::string_view::npos) return std::nullopt;
+  Message message;
+  message.kind = static_cast<MessageKind>(bytes[2]);
+  bytes.remove_prefix(kHeaderBytes);
+  if (!ReadSequences(bytes, message) || !ReadReports(bytes, message)) return std::nullopt;
   const auto length = ReadVarint(bytes);
   if (!length || bytes.size() != *length) return std::nullopt;
-  note.zone_payload = std::string(bytes);
-  return note;
+  message.zone_payload = std::string(bytes);
+  return message;
 }
 
 }  // namespace opalroute::membership
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,11 +1,12 @@
-// What relays of one tier send one another: whole, in one datagram, and read as data from a stranger. Pure.
+// The messages of the membership protocol and their encoding. Each fits one datagram. Decoding treats the
+// bytes as untrusted.
 //
-//   byte 0     'F'                     byte 1     kVersion
-//   byte 2     kind                    then, as numbers of seven bits a byte, the lowest first:
-//   life       of the sender's process (it only grows), then the note's number in that life
-//   echo       answers only: the number of the question
-//   window     first peer, how many, and five bits each (their states, the lowest bits first)
-//   zones      length and bytes: src/zone_failover/zone_gossip.h
+//   byte 0          'F'
+//   byte 1          kVersion
+//   byte 2          MessageKind
+//   varints         incarnation, sequence; in an ack also the sequence of the acknowledged message
+//   peer reports    varints: first peer, count; then kPeerReportBits a report, the lowest bits first
+//   zone payload    varint: length; then the bytes of zone_failover/zone_gossip.h
 #pragma once
 
 #include <cstddef>
@@ -19,44 +20,48 @@
 
 namespace opalroute::membership {
 
-using Peer = int;  // its number among `peers`
+// Index of a relay among the `peers` of the settings.
+using Peer = int;
 
 constexpr char kVersion = 1;
+constexpr std::size_t kPeerReportBits = 5;
 
 enum class MessageKind : char {
-  kPing = 'q',    // wants an answer with the states of others
-  kJoin = 'h',    // of a process that has started: wants a short answer
-  kAck = 'a',     // to either
-  kGossip = 't',  // wants nothing
+  kPing = 'q',    // requests an ack with peer reports
+  kJoin = 'h',    // from a process that has started: requests an ack without peer reports
+  kAck = 'a',     // answers a ping or a join
+  kGossip = 't',  // carries a zone payload and requests nothing
   kLeave = 'l',   // the sender's process is about to end
 };
 
-// What a relay says of another one.
+// What a relay knows of another one.
 struct PeerReport {
   enum class Kind : char {
     kNothing,
-    kAlive,       // by somebody, so long ago
-    kUnreachable  // since then a datagram was refused by its machine: there was no such process
-  } kind = Kind::kNothing;
-  Seconds age = 0;  // rounded up to a step
+    kAlive,       // some relay received a message of it `age` ago
+    kUnreachable  // some relay got 'port unreachable' for a datagram sent to it `age` ago
+  };
+  Kind kind = Kind::kNothing;
+  Seconds age = 0;  // the encoding rounds it up to a step
 };
-constexpr Seconds kLongestAge = 12;  // what is older is kNothing
+
+// Reports that are older are encoded as kNothing.
+constexpr Seconds kMaxReportAge = 12;
 
 struct Message {
   MessageKind kind{};
-  std::uint64_t incarnation = 0, sequence = 0, acked_sequence = 0;
-  int first_peer = 0;  // of the window
+  std::uint64_t incarnation = 0;     // of the sender; a later process of a relay has a greater one
+  std::uint64_t sequence = 0;        // grows with each message of an incarnation
+  std::uint64_t acked_sequence = 0;  // kAck only
+  int first_peer = 0;                // the peer of the first report; the following peers have the next ones
   std::vector<PeerReport> peer_reports;
   std::string zone_payload;
 };
 
-// Longer ones than `most` bytes lose the end of their window.
-std::string EncodeMessage(const Message& note, std::size_t most);
-std::optional<Message> DecodeMessage(
-    std::string_view bytes);  // nothing for bytes that are no such note, whole
+// Drops reports from the end until the message fits `max_bytes`. The zone payload is never cut.
+std::string EncodeMessage(const Message& message, std::size_t max_bytes);
 
-// Numbers of seven bits a byte, as above. Reading takes them off the front.
-void AppendVarint(std::string& bytes, std::uint64_t number);
-std::optional<std::uint64_t> ReadVarint(std::string_view& bytes);
+// Nothing if the bytes are not exactly one message of this version.
+std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace opalroute::membership
--- a/src/relay/membership_host.cpp
+++ b/src/relay/membership_host.cpp
@@ -45,7 +45,7 @@
 MembershipHost::~MembershipHost() { loop_.Cancel(timer_); }
 
 void MembershipHost::Tick() {
-  timer_ = loop_.At(loop_.Now() + zone_failover::ZoneFailover::kTick, [this] { Tick(); });
+  timer_ = loop_.At(loop_.Now() + zone_failover::ZoneFailover::kTickInterval, [this] { Tick(); });
   zone_failover::ZoneFailover::Actions what;
   member_.Tick(loop_.Now(), what);
   Apply(what);
@@ -88,10 +88,10 @@
   }
   // Kept before it is told to anybody: a process that dies in between comes back with what the others heard.
   if (!what.changes.empty() || !what.overrides.empty()) Save();
-  for (const auto& [to, Apply] : what.messages) {
+  for (const zone_failover::OutgoingDatagram& datagram : what.datagrams) {
     ++messages_sent_;
-    bytes_sent_ += static_cast<long>(Apply.size());
-    owner_.SendGossipPayload(to == zone_failover::kAllPeers ? std::nullopt : std::optional<int>(to), Apply);
+    bytes_sent_ += static_cast<long>(datagram.bytes.size());
+    owner_.SendGossipPayload(datagram.to, datagram.bytes);
   }
   for (const zone_failover::ZoneFailover::OverrideChange& o : what.overrides)
     log::Warn("zone_order", {{"zone", ZoneName(o.zone)},
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -45,7 +45,7 @@
 bool ZoneFailover::HandleMessage(Seconds now, membership::Peer from, std::string_view bytes, Actions& out) {
   const auto note = membership::DecodeMessage(bytes);
   if (!note) return false;
-  std::vector<membership::Membership::OutgoingMessage> answers;
+  std::vector<membership::OutgoingMessage> answers;
   if (!membership_.HandleMessage(now, from, *note, answers)) return true;
   WriteMessages(now, answers, out);
   const auto said = DecodeZoneGossip(note->zone_payload);
@@ -113,22 +113,21 @@
   return stages;
 }
 
-void ZoneFailover::WriteMessages(Seconds now, std::vector<membership::Membership::OutgoingMessage>& notes,
-                                 Actions& out) {
+void ZoneFailover::WriteMessages(Seconds now, std::vector<membership::OutgoingMessage>& notes, Actions& out) {
   if (notes.empty()) return;
   const std::string zones =
       options_.evacuate_zones ? EncodeZoneGossip(MakeGossip(now, !IsQuiet(now))) : std::string();
-  for (membership::Membership::OutgoingMessage& o : notes) {
-    o.note.zone_payload = zones;
-    out.messages.emplace_back(o.to, EncodeMessage(o.note, options_.membership.max_message_bytes));
+  for (membership::OutgoingMessage& o : notes) {
+    o.message.zone_payload = zones;
+    out.datagrams.push_back({o.to, EncodeMessage(o.message, options_.membership.max_message_bytes)});
   }
 }
 
 void ZoneFailover::AnnounceLeave(Actions& out) {
-  std::vector<membership::Membership::OutgoingMessage> notes;
+  std::vector<membership::OutgoingMessage> notes;
   membership_.Leave(notes);
-  for (const membership::Membership::OutgoingMessage& o : notes)
-    out.messages.emplace_back(o.to, EncodeMessage(o.note, options_.membership.max_message_bytes));
+  for (const membership::OutgoingMessage& o : notes)
+    out.datagrams.push_back({o.to, EncodeMessage(o.message, options_.membership.max_message_bytes)});
 }
 
 // Nobody has a trouble to tell of, so what is well need not be told either.
@@ -224,9 +223,8 @@
 }
 
 void ZoneFailover::Broadcast(Seconds now, Actions& out) {
-  std::vector<membership::Membership::OutgoingMessage> notes(1);
-  notes[0].to = kAllPeers;
-  notes[0].note = membership_.NewMessage(membership::MessageKind::kGossip);
+  std::vector<membership::OutgoingMessage> notes(1);
+  notes[0].message = membership_.NewMessage(membership::MessageKind::kGossip);
   WriteMessages(now, notes, out);
 }
 
@@ -239,7 +237,7 @@
 }
 
 void ZoneFailover::Tick(Seconds now, Actions& out) {
-  std::vector<membership::Membership::OutgoingMessage> notes;
+  std::vector<membership::OutgoingMessage> notes;
   membership_.Tick(now, notes);
   WriteMessages(now, notes, out);
   if (options_.evacuate_zones) {
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -19,7 +19,11 @@
 
 namespace opalroute::zone_failover {
 
-constexpr membership::Peer kAllPeers = -1;
+// A datagram to send.
+struct OutgoingDatagram {
+  std::optional<membership::Peer> to;  // nothing: to every other relay
+  std::string bytes;
+};
 
 struct FailoverOptions {
   membership::Options membership;
@@ -51,8 +55,8 @@
     bool from_peer = false;
   };
   struct Actions {
-    std::vector<std::pair<membership::Peer, std::string>> messages;  // to kAll: to every other one
-    std::vector<opalroute::Event> events;                            // for the decision module
+    std::vector<OutgoingDatagram> datagrams;
+    std::vector<opalroute::Event> events;  // for the decision module
     std::vector<Change> changes;
     std::vector<OverrideChange> overrides;
   };
@@ -76,7 +80,7 @@
   // False: these bytes are none of the tier's.
   bool HandleMessage(Seconds now, membership::Peer from, std::string_view bytes, Actions& out);
   void OnUnreachable(Seconds now, membership::Peer peer) { membership_.OnUnreachable(now, peer); }
-  // To be called every `kTick`.
+  // To be called every `kTickInterval`.
   void Tick(Seconds now, Actions& out);
   void AnnounceLeave(Actions& out);
   // An operator's order to this relay: it is told to all. False: zones are not left together here, or there
@@ -96,7 +100,7 @@
   int zones() const { return options_.zones; }
   SavedState Save(Seconds now) const;  // for the next process
 
-  static constexpr Seconds kTick = 0.05;
+  static constexpr Seconds kTickInterval = 0.05;
 
  private:
   static constexpr double kBurst = 2;  // reports that may go at once
@@ -111,7 +115,7 @@
   };
   ZoneGossip MakeGossip(Seconds now, bool report) const;
   Report OwnReport(Seconds now) const;
-  void WriteMessages(Seconds now, std::vector<membership::Membership::OutgoingMessage>& notes, Actions& out);
+  void WriteMessages(Seconds now, std::vector<membership::OutgoingMessage>& notes, Actions& out);
   bool IsAnotherZoneEvacuated(int zone) const;
   bool HasUnreportedFailure(Seconds now, int zone) const;
   bool IsReportRedundant(Seconds now) const;
--- a/src/zone_failover/zone_gossip.cpp
+++ b/src/zone_failover/zone_gossip.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <cmath>
 
+#include "membership/varint.h"
+
 namespace opalroute::zone_failover {
 
 namespace {
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -4,7 +4,7 @@
 
 #include <cstdio>
 
-#include "tests/zone_failover/zone_calls.h"
+#include "tests/zone_failover/simulated_calls.h"
 
 namespace opalroute {
 namespace {
@@ -30,7 +30,7 @@
   return message;
 }
 
-TEST_CASE("tier: each kind of message is written as the same bytes in every build") {
+TEST_CASE("membership: each kind of message is written as the same bytes in every build") {
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kPing), 256)) == "4601718080898b948b9103ac02000000");
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kJoin), 256)) == "4601688080898b948b9103ac02000000");
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kGossip), 256)) == "4601748080898b948b9103ac02000000");
@@ -46,7 +46,8 @@
   CHECK(Hex(EncodeMessage(ack, 28)) == "4601618080898b948b9103ac024d8201032014057a6f6e6573");
 }
 
-TEST_CASE("zones: gossip with states, a report and overrides is written as the same bytes in every build") {
+TEST_CASE(
+    "zone failover: gossip with states, a report and overrides is written as the same bytes in every build") {
   zone_failover::ZoneGossip gossip;
   gossip.stages = {{300, zone_failover::EvacuationPhase::kRecovering, 3, 12.34},
                    {0, zone_failover::EvacuationPhase::kInService, 40, 1e9}};
@@ -75,29 +76,31 @@
   std::uint64_t value_ = 0xcbf29ce484222325ULL;
 };
 
-TEST_CASE("zones: an outage with losses, a restart and an override sends the same datagrams in every build") {
+TEST_CASE(
+    "zone failover: an outage with losses, a restart and an override sends the same datagrams in every "
+    "build") {
   lab::LinkPlan links;
   links.loss = 0.2;
-  TierStage s(RulesFor(12), links, 31);
+  SimulatedFleet s(OptionsFor(12), links, 31);
   Digest digest;
   s.rewrite = [&](int from, const std::string& bytes) {
     digest.Add(std::to_string(std::lround(s.now * 1000)) + ' ' + std::to_string(from) + ' ' + bytes);
     return bytes;
   };
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 104 && s.now < 109 ? Bad(Outcome::kReset) : Met{};
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 104 && s.now < 109 ? Failing(Outcome::kReset) : CallResult{};
   });
   s.StartAll();
-  calls.PlayTo(105);
+  calls.RunUntil(105);
   s.Kill(3);
-  calls.PlayTo(107);
+  calls.RunUntil(107);
   s.Start(3);
   s.Leave(9);
-  calls.PlayTo(110);
-  s.Order(5, 2, zone_failover::OverrideKind::kEvacuate, 3);
-  calls.PlayTo(118);
+  calls.RunUntil(110);
+  s.IssueOverride(5, 2, zone_failover::OverrideKind::kEvacuate, 3);
+  calls.RunUntil(118);
   CHECK(digest.value() == 3513755929172168152ULL);
-  CHECK(s.notes == 1748);
+  CHECK(s.datagrams_sent == 1748);
 }
 
 }  // namespace
--- a/tests/relay/deduplication_window_test.cpp
+++ b/tests/relay/deduplication_window_test.cpp
@@ -89,7 +89,7 @@
   std::unique_ptr<Relay> relay;
 };
 
-TEST_CASE("tier: a keyed repeat whose connection comes up after its window sends no byte") {
+TEST_CASE("deduplication: a keyed repeat whose connection comes up after its window sends no byte") {
   for (const double late : {0.0, 1.0}) {
     CAPTURE(late);
     Stage s;
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -5,7 +5,7 @@
 
 #include "admin/zone_command.h"
 #include "config/fields.h"
-#include "tests/zone_failover/zone_calls.h"
+#include "tests/zone_failover/simulated_calls.h"
 
 namespace opalroute {
 namespace {
@@ -13,60 +13,62 @@
 using zone_failover::EvacuationPhase;
 using zone_failover::OverrideKind;
 
-int CountObeying(TierStage& s, int zone, OverrideKind what) {
+int CountObeying(SimulatedFleet& s, int zone, OverrideKind what) {
   int count = 0;
   for (int relay = 0; relay < s.size(); ++relay)
     count += s.IsUp(relay) && s[relay].ActiveOverride(s.now, zone) == what;
   return count;
 }
 
-TEST_CASE("zones: an order to leave is told to one and reaches all; none tries the zone until it ends") {
+TEST_CASE(
+    "zone failover: an order to leave is told to one and reaches all; none tries the zone until it ends") {
   for (const double loss : {0.0, 0.2, 0.6}) {
     CAPTURE(loss);
     lab::LinkPlan links;
     links.loss = loss;
-    TierStage s(RulesFor(40), links, 3);
-    UpstreamCalls calls(s, 4, [](int, int, int) { return Met{}; });
+    SimulatedFleet s(OptionsFor(40), links, 3);
+    SimulatedCalls calls(s, 4, [](int, int, int) { return CallResult{}; });
     s.StartAll();
-    calls.PlayTo(104);
-    s.Order(7, 1, OverrideKind::kEvacuate, 10);
+    calls.RunUntil(104);
+    s.IssueOverride(7, 1, OverrideKind::kEvacuate, 10);
     CHECK(s[7].ActiveOverride(s.now, 1) == OverrideKind::kEvacuate);
-    calls.PlayTo(loss > 0.5 ? 109 : 106);
-    CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 40);
-    calls.into.clear();
-    calls.PlayTo(113.9);
-    CHECK(calls.into[1] == 0);
-    CHECK(calls.into[0] > 100);
-    calls.PlayTo(114.6);  // each hop adds a tenth of a second at most
+    calls.RunUntil(loss > 0.5 ? 109 : 106);
+    CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 40);
+    calls.calls_by_zone.clear();
+    calls.RunUntil(113.9);
+    CHECK(calls.calls_by_zone[1] == 0);
+    CHECK(calls.calls_by_zone[0] > 100);
+    calls.RunUntil(114.6);  // each hop adds a tenth of a second at most
     CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
-    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 0);
-    calls.PlayTo(124);  // its endpoints are tried again, and serve
-    CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
-    calls.PlayTo(130);
-    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 40);
+    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 0);
+    calls.RunUntil(124);  // its endpoints are tried again, and serve
+    CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
+    calls.RunUntil(130);
+    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 40);
   }
 }
 
-TEST_CASE("zones: an order to keep holds a zone that fails, and lets one return that was left") {
-  TierStage s(RulesFor(24), {}, 4);
+TEST_CASE("zone failover: an order to keep holds a zone that fails, and lets one return that was left") {
+  SimulatedFleet s(OptionsFor(24), {}, 4);
   const Seconds fails = 104;
-  UpstreamCalls calls(s, 4, [&](int, int, int zone) {
-    return zone == 1 && s.now >= fails ? Bad(Outcome::kConnectFailed) : Met{};
+  SimulatedCalls calls(s, 4, [&](int, int, int zone) {
+    return zone == 1 && s.now >= fails ? Failing(Outcome::kConnectFailed) : CallResult{};
   });
   s.StartAll();
-  calls.PlayTo(103);
-  s.Order(0, 1, OverrideKind::kKeepInService, 7);
-  calls.PlayTo(109.9);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 24);
-  calls.PlayTo(114);  // it ends, and what calls say counts again
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 24);
-  s.Order(23, 1, OverrideKind::kKeepInService, 30);
-  calls.PlayTo(120);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 24);
+  calls.RunUntil(103);
+  s.IssueOverride(0, 1, OverrideKind::kKeepInService, 7);
+  calls.RunUntil(109.9);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 24);
+  calls.RunUntil(114);  // it ends, and what calls say counts again
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 24);
+  s.IssueOverride(23, 1, OverrideKind::kKeepInService, 30);
+  calls.RunUntil(120);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 24);
   for (const auto& change : s.changes) CHECK(change.zone == 1);
 }
 
-TEST_CASE("zones: the later order stands: revoked behind a cut, given in both halves, asleep meanwhile") {
+TEST_CASE(
+    "zone failover: the later order stands: revoked behind a cut, given in both halves, asleep meanwhile") {
   lab::LinkPlan links;
   lab::Cut cut;
   cut.first = 0;
@@ -74,47 +76,47 @@
   cut.from = 106;
   cut.lasts = 8;
   links.cuts.push_back(cut);
-  TierStage s(RulesFor(20), links, 5);
-  UpstreamCalls calls(s, 4, [](int, int, int) { return Met{}; });
+  SimulatedFleet s(OptionsFor(20), links, 5);
+  SimulatedCalls calls(s, 4, [](int, int, int) { return CallResult{}; });
   s.StartAll();
-  calls.PlayTo(103);
-  s.Order(3, 0, OverrideKind::kEvacuate, 600);
-  calls.PlayTo(105);
-  CHECK(CountIn(s, 0, EvacuationPhase::kEvacuated) == 20);
+  calls.RunUntil(103);
+  s.IssueOverride(3, 0, OverrideKind::kEvacuate, 600);
+  calls.RunUntil(105);
+  CHECK(CountInPhase(s, 0, EvacuationPhase::kEvacuated) == 20);
   s.Freeze(12, 118);
-  calls.PlayTo(107);
-  s.Order(15, 0, OverrideKind::kNone, 0);             // one half hears that it is over
-  s.Order(2, 2, OverrideKind::kEvacuate, 600);        // and both are told of another zone,
-  s.Order(16, 2, OverrideKind::kKeepInService, 600);  // otherwise
-  calls.PlayTo(112);
+  calls.RunUntil(107);
+  s.IssueOverride(15, 0, OverrideKind::kNone, 0);             // one half hears that it is over
+  s.IssueOverride(2, 2, OverrideKind::kEvacuate, 600);        // and both are told of another zone,
+  s.IssueOverride(16, 2, OverrideKind::kKeepInService, 600);  // otherwise
+  calls.RunUntil(112);
   CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 11);  // the other half, and who is asleep
   CHECK(CountObeying(s, 2, OverrideKind::kEvacuate) == 10);
-  calls.PlayTo(117);
+  calls.RunUntil(117);
   CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 1);
-  calls.PlayTo(121);
+  calls.RunUntil(121);
   CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 0);
   CHECK(CountObeying(s, 2, OverrideKind::kKeepInService) ==
         20);  // of the same number that of the greater relay
-  calls.PlayTo(145);
-  for (int zone = 0; zone < kZones; ++zone) CHECK(CountIn(s, zone, EvacuationPhase::kInService) == 20);
+  calls.RunUntil(145);
+  for (int zone = 0; zone < kZones; ++zone) CHECK(CountInPhase(s, zone, EvacuationPhase::kInService) == 20);
 }
 
-TEST_CASE("zones: an order outlives its relays, with their folders or with one that has heard it") {
-  TierStage s(RulesFor(9), {}, 6);
+TEST_CASE("zone failover: an order outlives its relays, with their folders or with one that has heard it") {
+  SimulatedFleet s(OptionsFor(9), {}, 6);
   s.StartAll();
-  s.PlayTo(103);
-  s.Order(1, 1, OverrideKind::kEvacuate, 30);
-  s.PlayTo(105);
+  s.RunUntil(103);
+  s.IssueOverride(1, 1, OverrideKind::kEvacuate, 30);
+  s.RunUntil(105);
   for (int relay = 0; relay < 9; ++relay) s.Kill(relay, relay != 4);  // one folder is left of nine
   s.StartAll();
-  s.PlayTo(109);
+  s.RunUntil(109);
   CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 9);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 9);
-  s.PlayTo(133.6);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 9);
+  s.RunUntil(133.6);
   CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
 }
 
-TEST_CASE("zones: what is left of an order neither grows nor shrinks by being told on") {
+TEST_CASE("zone failover: what is left of an order neither grows nor shrinks by being told on") {
   zone_failover::OperatorOverrides first(1), second(1);
   const Seconds ends = first.Issue(100, 0, OverrideKind::kEvacuate, 60, 2).expires_at;
   for (Seconds now = 100; now < 159; now += 0.037) {
@@ -134,7 +136,7 @@
   CHECK(second.Of(0).expires_at < ends + 0.12);
 }
 
-TEST_CASE("zones: orders merge alike in every order and with every loss; nonsense is passed over") {
+TEST_CASE("zone failover: orders merge alike in every order and with every loss; nonsense is passed over") {
   const std::vector<zone_failover::OperatorOverride> sent = {{1, 3, OverrideKind::kEvacuate, 50},
                                                              {1, 4, OverrideKind::kKeepInService, 60},
                                                              {2, 0, OverrideKind::kNone, 40},
@@ -160,7 +162,7 @@
   }
 }
 
-TEST_CASE("zones: orders in a note are read as they were written; cut anywhere it is refused") {
+TEST_CASE("zone failover: orders in a note are read as they were written; cut anywhere it is refused") {
   zone_failover::ZoneGossip said;
   said.stages.resize(2);
   said.overrides = {{}, {300, 299, OverrideKind::kKeepInService, 12.34}};
@@ -192,7 +194,7 @@
   return bytes + '\x03' + "new";
 }
 
-TEST_CASE("zones: what a later build adds to a note is passed over, and the rest is read") {
+TEST_CASE("zone failover: what a later build adds to a note is passed over, and the rest is read") {
   zone_failover::ZoneGossip said;
   said.stages = {{7, EvacuationPhase::kEvacuated, 1, 2}, {}};
   said.report = zone_failover::Report(2);
@@ -209,8 +211,8 @@
 }
 
 // Relays 0 to 3 run an earlier build, which knows no orders; 4 to 7 a later one.
-TEST_CASE("zones: three builds in one tier leave a zone together, and return") {
-  TierStage s(RulesFor(12), {}, 23);
+TEST_CASE("zone failover: three builds in one tier leave a zone together, and return") {
+  SimulatedFleet s(OptionsFor(12), {}, 23);
   s.rewrite = [](int from, const std::string& bytes) {
     auto note = membership::DecodeMessage(bytes);
     const auto said = note ? zone_failover::DecodeZoneGossip(note->zone_payload) : std::nullopt;
@@ -221,18 +223,18 @@
         from < 4 ? zone_failover::EncodeZoneGossip(earlier) : WithLaterPart(note->zone_payload, *said);
     return membership::EncodeMessage(*note, 256);
   };
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 112 ? Bad(Outcome::kReset) : Met{};
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kReset) : CallResult{};
   });
   s.StartAll();
-  calls.PlayTo(108);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
-  calls.PlayTo(125);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 12);
+  calls.RunUntil(108);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
+  calls.RunUntil(125);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 12);
   for (const auto& change : s.changes) CHECK(change.zone == 1);
 }
 
-TEST_CASE("zones: an operator's words are read whole or refused by the name of what is wrong") {
+TEST_CASE("zone failover: an operator's words are read whole or refused by the name of what is wrong") {
   const ZoneCommand order = ParseZoneCommand(R"({"zone":"first","order":"leave","for_s":600})");
   CHECK(order.zone == "first");
   CHECK(order.override_kind == OverrideKind::kEvacuate);
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -5,7 +5,7 @@
 #include <numeric>
 #include <set>
 
-#include "tests/zone_failover/zone_calls.h"
+#include "tests/zone_failover/simulated_calls.h"
 
 namespace opalroute {
 namespace {
@@ -13,30 +13,31 @@
 using zone_failover::EvacuationPhase;
 using zone_failover::FaultKind;
 
-TEST_CASE("zones: a zone that fails in any way is left by all within seconds, and no other is") {
+TEST_CASE("zone failover: a zone that fails in any way is left by all within seconds, and no other is") {
   for (const Outcome how :
        {Outcome::kConnectFailed, Outcome::kRejected, Outcome::kReset, Outcome::kError, Outcome::kTimeout})
     for (const int size : {3, 12, 60}) {
       CAPTURE(size);
       CAPTURE(static_cast<int>(how));
-      TierStage s(RulesFor(size), {}, 5);
+      SimulatedFleet s(OptionsFor(size), {}, 5);
       const Seconds fails = 105, back = 115;
-      UpstreamCalls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
-        return zone == 1 && s.now >= fails && s.now < back ? Bad(how) : Met{};
+      SimulatedCalls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
+        return zone == 1 && s.now >= fails && s.now < back ? Failing(how) : CallResult{};
       });
       s.StartAll();
-      calls.PlayTo(fails);
+      calls.RunUntil(fails);
       CHECK(s.changes.empty());
-      calls.PlayTo(fails + (how == Outcome::kTimeout ? 2.6 : 2.2));
-      CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == size);
-      calls.into.clear();
-      calls.PlayTo(back);
-      CHECK(calls.into[1] * 10 <= (calls.into[0] + calls.into[2]) * 3);  // of a small tier all are scouts
-      if (size == 60) CHECK(calls.into[1] * 12 < calls.into[0]);
-      calls.PlayTo(back + 8);
-      CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
-      calls.PlayTo(back + 14);
-      CHECK(CountIn(s, 1, EvacuationPhase::kInService) == size);
+      calls.RunUntil(fails + (how == Outcome::kTimeout ? 2.6 : 2.2));
+      CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == size);
+      calls.calls_by_zone.clear();
+      calls.RunUntil(back);
+      CHECK(calls.calls_by_zone[1] * 10 <=
+            (calls.calls_by_zone[0] + calls.calls_by_zone[2]) * 3);  // of a small tier all are scouts
+      if (size == 60) CHECK(calls.calls_by_zone[1] * 12 < calls.calls_by_zone[0]);
+      calls.RunUntil(back + 8);
+      CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
+      calls.RunUntil(back + 14);
+      CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == size);
       for (const auto& change : s.changes) {
         CHECK(change.zone == 1);
         CHECK(change.now.round == (change.now.phase == EvacuationPhase::kEvacuating ? 1 : 2));
@@ -44,30 +45,32 @@
     }
 }
 
-TEST_CASE("zones: with 20% and 60% of the notes lost all leave, a little later") {
+TEST_CASE("zone failover: with 20% and 60% of the notes lost all leave, a little later") {
   for (const double loss : {0.2, 0.6}) {
     lab::LinkPlan links;
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
-    TierStage s(RulesFor(40), links, 6);
-    UpstreamCalls calls(
-        s, 4, [&](int, int, int zone) { return zone == 0 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+    SimulatedFleet s(OptionsFor(40), links, 6);
+    SimulatedCalls calls(s, 4, [&](int, int, int zone) {
+      return zone == 0 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+    });
     s.StartAll();
-    calls.PlayTo(105);
-    calls.PlayTo(108);
-    CHECK(CountIn(s, 0, EvacuationPhase::kEvacuated) == 40);
+    calls.RunUntil(105);
+    calls.RunUntil(108);
+    CHECK(CountInPhase(s, 0, EvacuationPhase::kEvacuated) == 40);
   }
 }
 
-TEST_CASE("zones: the scouts are the same three to all, and others are drawn in the next round") {
-  TierStage s(RulesFor(30), {}, 7);
-  UpstreamCalls calls(
-      s, 4, [&](int, int, int zone) { return zone == 2 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+TEST_CASE("zone failover: the scouts are the same three to all, and others are drawn in the next round") {
+  SimulatedFleet s(OptionsFor(30), {}, 7);
+  SimulatedCalls calls(s, 4, [&](int, int, int zone) {
+    return zone == 2 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+  });
   s.StartAll();
-  calls.PlayTo(110);
+  calls.RunUntil(110);
   std::set<int> scouts;
   for (int relay = 0; relay < 30; ++relay)
-    if (s.ShareOf(relay, 2).is_health_check_relay) scouts.insert(relay);
+    if (s.TrafficShareOf(relay, 2).is_health_check_relay) scouts.insert(relay);
   CHECK(scouts.size() >= 3);
   CHECK(scouts.size() <= 6);  // by what each has heard of others
   std::vector<int> live(30);
@@ -83,30 +86,31 @@
   CHECK(without[1] == first[2]);
 }
 
-TEST_CASE("zones: back for 300 ms each 3 s is not back") {
-  TierStage s(RulesFor(12), {}, 8);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
+TEST_CASE("zone failover: back for 300 ms each 3 s is not back") {
+  SimulatedFleet s(OptionsFor(12), {}, 8);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     const bool flash = std::fmod(s.now - 105, 3) >= 2.7;
-    return zone == 1 && s.now >= 105 && !flash ? Bad(Outcome::kConnectFailed) : Met{Outcome::kServed, 0.05};
+    return zone == 1 && s.now >= 105 && !flash ? Failing(Outcome::kConnectFailed)
+                                               : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  calls.PlayTo(108);
+  calls.RunUntil(108);
   const std::size_t left = s.changes.size();
-  calls.PlayTo(150);
+  calls.RunUntil(150);
   CHECK(s.changes.size() == left);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zones: a relapse closes it anew, each time for longer up to a bound") {
-  TierStage s(RulesFor(12), {}, 9);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
+TEST_CASE("zone failover: a relapse closes it anew, each time for longer up to a bound") {
+  SimulatedFleet s(OptionsFor(12), {}, 9);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     // Served for as long as scouts try it, failing under everybody.
-    const bool out = CountIn(s, 1, EvacuationPhase::kEvacuated) > 6;
-    return zone == 1 && s.now >= 105 && (!out || s.now < 107) ? Bad(Outcome::kReset)
-                                                              : Met{Outcome::kServed, 0.05};
+    const bool out = CountInPhase(s, 1, EvacuationPhase::kEvacuated) > 6;
+    return zone == 1 && s.now >= 105 && (!out || s.now < 107) ? Failing(Outcome::kReset)
+                                                              : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  calls.PlayTo(200);
+  calls.RunUntil(200);
   std::map<std::uint64_t, std::pair<Seconds, Seconds>> rounds;  // out since, returning since
   for (const auto& change : s.changes) {
     if (change.now.phase == EvacuationPhase::kEvacuated) rounds[change.now.round].first = change.now.since;
@@ -122,64 +126,69 @@
   }
 }
 
-TEST_CASE("zones: who starts, restarts or wakes in the middle learns the stage before its first send there") {
-  TierStage s(RulesFor(12), {}, 10);
-  UpstreamCalls calls(
-      s, 8, [&](int, int, int zone) { return zone == 1 && s.now >= 105 ? Bad(Outcome::kReset) : Met{}; });
+TEST_CASE(
+    "zone failover: who starts, restarts or wakes in the middle learns the stage before its first send "
+    "there") {
+  SimulatedFleet s(OptionsFor(12), {}, 10);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+  });
   s.StartAll();
-  s.PlayTo(104);
+  s.RunUntil(104);
   s.Kill(11);
-  calls.PlayTo(106.9);
+  calls.RunUntil(106.9);
   s.Freeze(5, 120);  // it holds what it held
   s.Kill(3);         // with its folder
   s.Kill(4, true);   // and without
-  calls.PlayTo(112);
+  calls.RunUntil(112);
   for (const int relay : {3, 4, 11}) s.Start(relay);
   CHECK(s[3].StateOf(1).phase == EvacuationPhase::kEvacuated);  // from the folder, before any word
   CHECK(!s[4].HasJoined(s.now));
-  s.PlayTo(s.now + 0.15);
+  s.RunUntil(s.now + 0.15);
   for (const int relay : {3, 4, 11}) {
     CHECK(s[relay].HasJoined(s.now));
     CHECK(s[relay].StateOf(1).phase == EvacuationPhase::kEvacuated);
-    CHECK(s.ShareOf(relay, 1).traffic_share == 0);
+    CHECK(s.TrafficShareOf(relay, 1).traffic_share == 0);
   }
-  calls.PlayTo(125);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
+  calls.RunUntil(125);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zones: a verdict that a frozen relay wakes with counts for nothing") {
-  TierStage s(RulesFor(12), {}, 11);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 108 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
+TEST_CASE("zone failover: a verdict that a frozen relay wakes with counts for nothing") {
+  SimulatedFleet s(OptionsFor(12), {}, 11);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 && s.now < 108 ? Failing(Outcome::kReset)
+                                                    : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  calls.PlayTo(107);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
+  calls.RunUntil(107);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
   s.Freeze(2, 125);
-  calls.PlayTo(124);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 11);
+  calls.RunUntil(124);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 11);
   const std::size_t before = s.changes.size();
-  calls.PlayTo(130);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 12);
+  calls.RunUntil(130);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 12);
   CHECK(s.changes.size() <= before + 2);  // its own alone
 }
 
 TEST_CASE(
-    "zones: who was frozen while others agreed on a zone, and missed their notes, does not call it in") {
-  TierStage s(RulesFor(12), {}, 17);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 ? Bad(Outcome::kConnectFailed) : Met{Outcome::kServed, 0.05};
+    "zone failover: who was frozen while others agreed on a zone, and missed their notes, does not call it "
+    "in") {
+  SimulatedFleet s(OptionsFor(12), {}, 17);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 ? Failing(Outcome::kConnectFailed) : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  while (s.now < 110 && s[2].StateOf(1).phase != EvacuationPhase::kEvacuating) calls.PlayTo(s.now + 0.01);
+  while (s.now < 110 && s[2].StateOf(1).phase != EvacuationPhase::kEvacuating) calls.RunUntil(s.now + 0.01);
   REQUIRE(s[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
   const Seconds back = s.now + 4;
   s.Freeze(2, back);
   s.cut = [&](int, int to) { return s.now < back + 0.1 && to == 2; };
-  calls.PlayTo(s.now + 2);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 11);
-  calls.PlayTo(s.now + 6);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 12);
+  calls.RunUntil(s.now + 2);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 11);
+  calls.RunUntil(s.now + 6);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
   int withdrawn = 0;
   for (const auto& change : s.changes) {
     CHECK(change.now.round < 3);
@@ -188,128 +197,135 @@
   CHECK(withdrawn == 1);  // its own, and it moves nobody
 }
 
-TEST_CASE("zones: two halves of a cut tier judge alike, and agree once they hear each other") {
-  TierStage s(RulesFor(16), {}, 12);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 112 ? Bad(Outcome::kTimeout) : Met{Outcome::kServed, 0.05};
+TEST_CASE("zone failover: two halves of a cut tier judge alike, and agree once they hear each other") {
+  SimulatedFleet s(OptionsFor(16), {}, 12);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kTimeout)
+                                                    : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
   s.cut = [&](int from, int to) { return s.now >= 104 && s.now < 110 && (from < 8) != (to < 8); };
-  calls.PlayTo(108);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 16);
-  calls.PlayTo(116);
-  CHECK(CountIn(s, 1, EvacuationPhase::kEvacuated) == 0);
+  calls.RunUntil(108);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 16);
+  calls.RunUntil(116);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
   CHECK(s[0].StateOf(1).round == s[15].StateOf(1).round);
-  calls.PlayTo(124);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 16);
+  calls.RunUntil(124);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 16);
 }
 
-TEST_CASE("zones: seven in ten relays are killed during the outage; the rest returns without them") {
-  TierStage s(RulesFor(20), {}, 13);
-  UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 114 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
+TEST_CASE("zone failover: seven in ten relays are killed during the outage; the rest returns without them") {
+  SimulatedFleet s(OptionsFor(20), {}, 13);
+  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+    return zone == 1 && s.now >= 105 && s.now < 114 ? Failing(Outcome::kReset)
+                                                    : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  calls.PlayTo(108);
+  calls.RunUntil(108);
   for (int relay = 6; relay < 20; ++relay) s.Kill(relay, relay % 2 == 0);
-  calls.PlayTo(130);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 6);
+  calls.RunUntil(130);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 6);
   for (int relay = 6; relay < 20; ++relay) s.Start(relay);
-  calls.PlayTo(s.now + 2);
-  CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 20);
+  calls.RunUntil(s.now + 2);
+  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 20);
 }
 
 // SIGKILL at every moment of leaving and returning, with the folder and without: it never sends where all
 // others have left, and ends where they are.
-TEST_CASE("zones: one that is killed at any moment comes back to the stage of the others") {
+TEST_CASE("zone failover: one that is killed at any moment comes back to the stage of the others") {
   for (int moment = 0; moment < 60; ++moment) {
     CAPTURE(moment);
-    TierStage s(RulesFor(8), {}, 16);
-    UpstreamCalls calls(s, 8, [&](int, int, int zone) {
-      return zone == 1 && s.now >= 105 && s.now < 110 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
+    SimulatedFleet s(OptionsFor(8), {}, 16);
+    SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+      return zone == 1 && s.now >= 105 && s.now < 110 ? Failing(Outcome::kReset)
+                                                      : CallResult{Outcome::kServed, 0.05};
     });
     s.StartAll();
     const Seconds kill = 104.9 + 0.2 * moment;
-    calls.PlayTo(kill);
+    calls.RunUntil(kill);
     s.Kill(3, moment % 2 == 0);
-    calls.PlayTo(kill + 0.6);
-    const bool all_out = CountIn(s, 1, EvacuationPhase::kEvacuated) >= 7;
+    calls.RunUntil(kill + 0.6);
+    const bool all_out = CountInPhase(s, 1, EvacuationPhase::kEvacuated) >= 7;
     s.Start(3);
-    s.PlayTo(s.now + 0.15);
+    s.RunUntil(s.now + 0.15);
     CHECK(s[3].HasJoined(s.now));
-    if (all_out) CHECK(s.ShareOf(3, 1).traffic_share == 0);
-    calls.PlayTo(125);
-    CHECK(CountIn(s, 1, EvacuationPhase::kInService) == 8);
+    if (all_out) CHECK(s.TrafficShareOf(3, 1).traffic_share == 0);
+    calls.RunUntil(125);
+    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 8);
   }
 }
 
 // What is no zone's failure. Whatever the draw, nobody leaves.
-TEST_CASE("zones: none is left over 1,000 scripts of what is no zone's failure") {
+TEST_CASE("zone failover: none is left over 1,000 scripts of what is no zone's failure") {
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     pcg32 draw(seed, 31);
     const int size = 2 + static_cast<int>(draw(11));
-    const int kind = static_cast<int>(seed % 8), bad = static_cast<int>(draw(kPartners));
+    const int kind = static_cast<int>(seed % 8), bad = static_cast<int>(draw(kDestinations));
     const int some = 1 + static_cast<int>(draw(static_cast<std::uint32_t>(std::max(1, size / 5))));
     const Outcome how = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
                                              Outcome::kError}[draw(4)];
     lab::LinkPlan links;
     links.loss = draw(3) * 0.3;
-    TierStage s(RulesFor(size), links, seed);
+    SimulatedFleet s(OptionsFor(size), links, seed);
     pcg32 chance(seed, 33);
     const auto one_in = [&](std::uint32_t n) { return chance(n) == 0; };
-    UpstreamCalls calls(s, 2 + draw(8), [&](int relay, int partner, int zone) -> Met {
+    SimulatedCalls calls(s, 2 + draw(8), [&](int relay, int destination, int zone) -> CallResult {
       if (s.now < 102) return {};
       switch (kind) {
-        case 0:  // one partner, however much it is called, in one zone
-          return zone == 1 && partner == bad ? Bad(how) : Met{};
+        case 0:  // one destination, however much it is called, in one zone
+          return zone == 1 && destination == bad ? Failing(how) : CallResult{};
         case 1:  // three partners everywhere, and one a little
-          return (partner + 12 - bad) % 12 < 3 || (zone == 1 && partner == 5 && one_in(3)) ? Bad(how) : Met{};
+          return (destination + 12 - bad) % 12 < 3 || (zone == 1 && destination == 5 && one_in(3))
+                     ? Failing(how)
+                     : CallResult{};
         case 2:  // a few relays have lost their own way to it; of four or fewer one is a quarter
-          return zone == 1 && relay < some && size > 4 * some ? Bad(how) : Met{};
+          return zone == 1 && relay < some && size > 4 * some ? Failing(how) : CallResult{};
         case 3:  // all at once
-          return Bad(how);
+          return Failing(how);
         case 4:  // everything is slow at once
           return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, s.now - 102)};
         case 5:  // discovery is wrong about a third of a zone's endpoints
-          return zone == 2 && partner % 3 == 0 ? Bad(Outcome::kConnectFailed) : Met{};
+          return zone == 2 && destination % 3 == 0 ? Failing(Outcome::kConnectFailed) : CallResult{};
         case 6:  // half of the partners of a zone are above their limits: two calls in three are turned away
-          return zone == 1 && partner % 2 == 0 && !one_in(3) ? Bad(Outcome::kRejected)
-                                                             : Met{Outcome::kServed, 0.05};
+          return zone == 1 && destination % 2 == 0 && !one_in(3) ? Failing(Outcome::kRejected)
+                                                                 : CallResult{Outcome::kServed, 0.05};
         default:  // one call in four fails by chance, everywhere
-          return one_in(4) ? Bad(how) : Met{};
+          return one_in(4) ? Failing(how) : CallResult{};
       }
     });
     s.StartAll();
-    calls.PlayTo(110);
+    calls.RunUntil(110);
     for (int zone = 0; zone < kZones; ++zone)
-      REQUIRE_MESSAGE(CountIn(s, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ", kind,
+      REQUIRE_MESSAGE(CountInPhase(s, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ", kind,
                       ", zone ", zone);
     for (const auto& change : s.changes)
       REQUIRE_MESSAGE(change.now.phase != EvacuationPhase::kEvacuated, "seed ", seed, ", kind ", kind);
   }
 }
 
-TEST_CASE("zones: where half of the tier is served the other half leaves nobody's zone") {
-  TierStage s(RulesFor(20), {}, 14);
-  UpstreamCalls calls(s, 8, [&](int relay, int, int zone) {
-    return zone == 1 && relay < 10 && s.now >= 103 ? Bad(Outcome::kReset) : Met{Outcome::kServed, 0.05};
+TEST_CASE("zone failover: where half of the tier is served the other half leaves nobody's zone") {
+  SimulatedFleet s(OptionsFor(20), {}, 14);
+  SimulatedCalls calls(s, 8, [&](int relay, int, int zone) {
+    return zone == 1 && relay < 10 && s.now >= 103 ? Failing(Outcome::kReset)
+                                                   : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
-  calls.PlayTo(125);
+  calls.RunUntil(125);
   for (const auto& change : s.changes) CHECK(change.now.phase != EvacuationPhase::kEvacuated);
 }
 
-TEST_CASE("zones: one relay that accuses falsely moves nobody") {
-  TierStage s(RulesFor(8), {}, 15);
-  UpstreamCalls calls(s, 6, [&](int relay, int, int) { return relay == 3 ? Bad(Outcome::kReset) : Met{}; });
+TEST_CASE("zone failover: one relay that accuses falsely moves nobody") {
+  SimulatedFleet s(OptionsFor(8), {}, 15);
+  SimulatedCalls calls(
+      s, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
   s.StartAll();
-  calls.PlayTo(120);
+  calls.RunUntil(120);
   CHECK(s.changes.empty());
 }
 
 // Three relays, two zones: whatever order reports come in, doubled or lost, the latest of each that came
 // counts.
-TEST_CASE("zones: reports merge alike in every order, with every loss, over a restart") {
+TEST_CASE("zone failover: reports merge alike in every order, with every loss, over a restart") {
   struct Sent {
     int from;
     std::uint64_t life, number;
@@ -353,7 +369,7 @@
 }
 
 // Two zones that may fail at once beside a third: three relays, whose second words may be lost or come first.
-TEST_CASE("zones: verdicts on two zones at once are the same in every order and with every loss") {
+TEST_CASE("zone failover: verdicts on two zones at once are the same in every order and with every loss") {
   const auto report = [](int state, int relay) {  // bits: zone 0 fails, zone 1 fails
     zone_failover::Report all(3);
     for (int zone = 0; zone < 3; ++zone) {
@@ -390,7 +406,7 @@
 }
 
 // An accusation lasts for longer than what was served since the question, so fewer of the control are heard.
-TEST_CASE("zones: the control is held against those who have spoken since the zone is being left") {
+TEST_CASE("zone failover: the control is held against those who have spoken since the zone is being left") {
   zone_failover::ZoneConsensus a({}, 2);
   const auto add = [&](Seconds seen, int relay, std::uint64_t number, Seconds served) {
     zone_failover::ZoneReport zone, control;
@@ -412,7 +428,7 @@
   CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, 10.55));  // those calls were sent before
 }
 
-TEST_CASE("zones: stages merge alike in every order and with every loss") {
+TEST_CASE("zone failover: stages merge alike in every order and with every loss") {
   const std::vector<zone_failover::EvacuationState> sent = {
       {1, EvacuationPhase::kEvacuating, 0, 3},  {1, EvacuationPhase::kEvacuated, 0, 4},
       {1, EvacuationPhase::kRecovering, 0, 5},  {2, EvacuationPhase::kEvacuated, 1, 6},
@@ -434,7 +450,7 @@
   }
 }
 
-TEST_CASE("zones: what a note says of them is read as it was written; cut anywhere it is refused") {
+TEST_CASE("zone failover: what a note says of them is read as it was written; cut anywhere it is refused") {
   zone_failover::ZoneGossip said;
   said.stages = {{300, EvacuationPhase::kRecovering, 3, 12.34}, {0, EvacuationPhase::kInService, 0, 1e9}};
   said.report = zone_failover::Report(2);
