--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -104,7 +104,7 @@
     Tell(relay, datagram.to, datagram.bytes);
   for (const zone_failover::ZoneFailover::Change& c : what.changes)
     result_.stage_changes.push_back(
-        {host_.TierNow(), relay, c.zone, c.now.round, zone_failover::NameOf(c.now.phase), c.from_peer});
+        {host_.TierNow(), relay, c.zone, c.after.round, zone_failover::NameOf(c.after.phase), c.from_peer});
 }
 
 void TierPlay::Tell(int from, std::optional<int> to, const std::string& bytes) {
--- a/src/relay/membership_host.cpp
+++ b/src/relay/membership_host.cpp
@@ -102,9 +102,9 @@
                              {"heard", o.from_peer}});
   for (const zone_failover::ZoneFailover::Change& c : what.changes)
     log::Warn("zone_stage", {{"zone", ZoneName(c.zone)},
-                             {"stage", zone_failover::NameOf(c.now.phase)},
+                             {"stage", zone_failover::NameOf(c.after.phase)},
                              {"before", zone_failover::NameOf(c.before.phase)},
-                             {"round", c.now.round},
+                             {"round", c.after.round},
                              {"heard", c.from_peer},
                              {"accusers", c.view.failure_reporters},
                              {"vouchers", c.view.success_reporters},
--- a/src/zone_failover/operator_override.cpp
+++ b/src/zone_failover/operator_override.cpp
@@ -7,54 +7,63 @@
 
 namespace {
 
-constexpr const char* kNames[] = {"none", "leave", "keep"};
-constexpr Seconds kRevokedFor = 60;  // a revocation is told for so long at least
+constexpr const char* kNames[] = {"none", "leave", "keep"};  // by OverrideKind
+constexpr int kKinds = 3;
+constexpr Seconds kMinRevocationTime = 60;  // a revocation is gossiped for so long at least
+constexpr Seconds kExpiryTolerance = 1;     // above kMaxDuration, for rounding and transmission
 
 }  // namespace
 
-const char* NameOf(OverrideKind what) { return kNames[static_cast<int>(what)]; }
+const char* NameOf(OverrideKind kind) { return kNames[static_cast<int>(kind)]; }
 
 std::optional<OverrideKind> OverrideKindOf(std::string_view name) {
-  for (int i = 0; i < 3; ++i)
+  for (int i = 0; i < kKinds; ++i) {
     if (name == kNames[i]) return static_cast<OverrideKind>(i);
+  }
   return std::nullopt;
 }
 
-bool OperatorOverrides::Merge(Seconds now, int zone, const OperatorOverride& order) {
+bool OperatorOverride::IsOlderThan(const OperatorOverride& other) const {
+  return sequence != other.sequence ? sequence < other.sequence : issued_by < other.issued_by;
+}
+
+bool OperatorOverrides::Merge(Seconds now, int zone, const OperatorOverride& received) {
   OperatorOverride& known = overrides_[static_cast<std::size_t>(zone)];
-  if (order.sequence > kMaxSequence || order.expires_at > now + kMaxDuration + 1) return false;
-  if (known.Before(order)) {
-    known = order;
+  if (received.sequence > kMaxSequence) return false;
+  if (received.expires_at > now + kMaxDuration + kExpiryTolerance) return false;
+  if (known.IsOlderThan(received)) {
+    known = received;
     return true;
   }
-  // The same one: the earliest end is the true one, as what is left is rounded up and notes take time.
-  if (!order.Before(known)) known.expires_at = std::min(known.expires_at, order.expires_at);
+  // Of the same override the earliest expiry is the most exact: what remains is rounded up, and gossip takes
+  // time.
+  if (!received.IsOlderThan(known)) known.expires_at = std::min(known.expires_at, received.expires_at);
   return false;
 }
 
-const OperatorOverride& OperatorOverrides::Issue(Seconds now, int zone, OverrideKind what, Seconds lasts,
-                                                 membership::Peer by) {
+const OperatorOverride& OperatorOverrides::Issue(Seconds now, int zone, OverrideKind kind, Seconds duration,
+                                                 membership::Peer own_peer) {
   OperatorOverride& known = overrides_[static_cast<std::size_t>(zone)];
-  const Seconds stands = known.expires_at - now;
-  const Seconds told = what == OverrideKind::kNone ? std::max(stands, kRevokedFor) : lasts;
-  known = {known.sequence + 1, by, what, now + std::clamp(told, 0.0, kMaxDuration)};
+  const Seconds revocation_time = std::max(known.expires_at - now, kMinRevocationTime);
+  const Seconds lifetime = kind == OverrideKind::kNone ? revocation_time : duration;
+  known = {known.sequence + 1, own_peer, kind, now + std::clamp(lifetime, 0.0, kMaxDuration)};
   return known;
 }
 
 OverrideKind OperatorOverrides::InForce(Seconds now, int zone) const {
-  const OperatorOverride& order = Of(zone);
-  return now < order.expires_at ? order.kind : OverrideKind::kNone;
+  const OperatorOverride& latest = Get(zone);
+  return now < latest.expires_at ? latest.kind : OverrideKind::kNone;
 }
 
 std::vector<OperatorOverride> OperatorOverrides::ForGossip(Seconds now) const {
-  std::vector<OperatorOverride> told = overrides_;
-  bool any = false;
-  for (OperatorOverride& order : told) {
-    if (order.sequence == 0 || order.expires_at <= now) order = {};
-    any = any || order.sequence > 0;
-    order.expires_at = std::max(0.0, order.expires_at - now);
+  std::vector<OperatorOverride> current = overrides_;
+  bool has_any = false;
+  for (OperatorOverride& entry : current) {
+    if (entry.sequence == 0 || entry.expires_at <= now) entry = {};
+    has_any = has_any || entry.sequence > 0;
+    entry.expires_at = std::max(0.0, entry.expires_at - now);
   }
-  return any ? told : std::vector<OperatorOverride>();
+  return has_any ? current : std::vector<OperatorOverride>();
 }
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_consensus.cpp
+++ b/src/zone_failover/zone_consensus.cpp
@@ -8,97 +8,126 @@
 
 namespace {
 
-int BitsOf(std::uint32_t bits) { return __builtin_popcount(bits); }
+int CountBits(std::uint32_t bits) { return __builtin_popcount(bits); }
 
 }  // namespace
 
-void ZoneConsensus::Add(Seconds seen, membership::Peer from, std::uint64_t life, std::uint64_t number,
-                        const Report& report) {
+bool ZoneReport::ReportsFailure(Seconds lifetime, Seconds report_age) const {
+  return failed != 0 && failure_age + report_age < lifetime && failure_age <= success_age;
+}
+
+bool ZoneReport::ReportsSuccess(Seconds lifetime, Seconds report_age) const {
+  return succeeded != 0 && success_age + report_age < lifetime && success_age < failure_age;
+}
+
+ZoneConsensus::ZoneConsensus(const Options& options, int zones) : options_(options), zones_(zones) {}
+
+void ZoneConsensus::AddReport(Seconds received_at, membership::Peer from, std::uint64_t incarnation,
+                              std::uint64_t sequence, const Report& report) {
   if (report.size() != static_cast<std::size_t>(zones_)) return;
-  auto kept =
-      std::find_if(reports_.begin(), reports_.end(), [from](const ReportEntry& k) { return k.from == from; });
-  if (kept == reports_.end()) kept = reports_.insert(kept, ReportEntry{from, 0, 0, 0, {}});
-  if (std::tie(life, number) > std::tie(kept->life, kept->number)) *kept = {from, seen, life, number, report};
+  auto entry = std::find_if(reports_.begin(), reports_.end(),
+                            [from](const ReportEntry& known) { return known.from == from; });
+  if (entry == reports_.end()) entry = reports_.insert(entry, ReportEntry{from, 0, 0, 0, {}});
+  if (std::tie(incarnation, sequence) <= std::tie(entry->incarnation, entry->sequence)) return;
+  *entry = {from, received_at, incarnation, sequence, report};
 }
 
-// What is as old as this says nothing of anything any more. Danger: the number of one that is forgotten is
-// forgotten too: a replay would count. Notes are checked before.
-void ZoneConsensus::Forget(Seconds now) {
+// The sequence of an expired report is dropped with it, so a replay would count. Membership has rejected
+// replays before.
+void ZoneConsensus::ExpireReports(Seconds now) {
   const Seconds oldest = now - ZoneReport::kMaxAge;
   reports_.erase(std::remove_if(reports_.begin(), reports_.end(),
-                                [oldest](const ReportEntry& kept) { return kept.seen < oldest; }),
+                                [oldest](const ReportEntry& entry) { return entry.received_at < oldest; }),
                  reports_.end());
 }
 
 ZoneView ZoneConsensus::ViewOf(Seconds now, int zone) const {
-  return ViewOf(now, zone, options_.success_lifetime, -1e9);
+  return ViewOf(now, zone, options_.success_lifetime, kLongAgo);
 }
 
-ZoneView ZoneConsensus::ViewOf(Seconds now, int zone, Seconds fresh, Seconds since) const {
+ZoneView ZoneConsensus::ViewOf(Seconds now, int zone, Seconds success_lifetime, Seconds since) const {
   ZoneView view;
-  std::uint32_t bad = 0, good = 0, served = 0, seen = 0;
-  int by_wrong[6] = {};
-  for (const ReportEntry& kept : reports_) {
-    const ZoneReport& r = kept.report[static_cast<std::size_t>(zone)];
-    const Seconds older = now - kept.seen;
-    if (kept.seen < since) continue;
-    if (older < ZoneReport::kMaxAge) seen |= r.observed;
-    if (r.success_age + older < options_.success_lifetime) served |= r.succeeded;
-    if (r.ReportsFailure(options_.failure_lifetime, older)) {
+  std::uint32_t failed = 0;
+  std::uint32_t succeeded = 0;
+  std::uint32_t observed = 0;
+  int reporters_by_fault[kFaultKinds] = {};
+  for (const ReportEntry& entry : reports_) {
+    const ZoneReport& report = entry.report[static_cast<std::size_t>(zone)];
+    const Seconds age = now - entry.received_at;
+    if (entry.received_at < since) continue;
+    if (age < ZoneReport::kMaxAge) observed |= report.observed;
+    // Where calls fail by chance or are rejected above a limit, failure reporters have been served, too. A
+    // destination that has just served any relay has not failed.
+    if (report.success_age + age < options_.success_lifetime) succeeded |= report.succeeded;
+    if (report.ReportsFailure(options_.failure_lifetime, age)) {
       ++view.failure_reporters;
-      view.failure_reports += BitsOf(r.failed);
-      ++by_wrong[static_cast<int>(r.fault)];
-      bad |= r.failed;
-    } else if (r.ReportsSuccess(fresh, older)) {
+      view.failure_reports += CountBits(report.failed);
+      ++reporters_by_fault[static_cast<int>(report.fault)];
+      failed |= report.failed;
+    } else if (report.ReportsSuccess(success_lifetime, age)) {
       ++view.success_reporters;
-      good |= r.succeeded;
+      succeeded |= report.succeeded;
     }
   }
-  view.fault = static_cast<FaultKind>(std::max_element(std::begin(by_wrong), std::end(by_wrong)) - by_wrong);
-  // Danger: where calls fail by chance, or are turned away above a limit, whoever accuses has been served
-  // too. A partner that anybody was served by a moment ago is not out.
-  good |= served;
-  view.succeeded_destinations = BitsOf(good);
-  view.failed_destinations = BitsOf(bad & ~good);
-  view.destinations = BitsOf(seen | bad | good);
+  const int* const most = std::max_element(std::begin(reporters_by_fault), std::end(reporters_by_fault));
+  view.fault = static_cast<FaultKind>(most - reporters_by_fault);
+  view.succeeded_destinations = CountBits(succeeded);
+  view.failed_destinations = CountBits(failed & ~succeeded);
+  view.destinations = CountBits(observed | failed | succeeded);
   return view;
 }
 
-int ZoneConsensus::QuorumOf(double parts) const {
-  if (parts < 2) return 1;
-  return std::min(1 + static_cast<int>(std::ceil(options_.quorum * parts)), options_.max_quorum);
+int ZoneConsensus::QuorumOf(double share_count) const {
+  if (share_count < 2) return 1;
+  return std::min(1 + static_cast<int>(std::ceil(options_.quorum * share_count)), options_.max_quorum);
+}
+
+bool ZoneConsensus::HasFailureQuorum(const ZoneView& view, double share_count) const {
+  return view.failure_reporters >= QuorumOf(share_count) &&
+         view.success_reporters <= options_.contradiction_share * view.failure_reporters;
+}
+
+bool ZoneConsensus::HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const {
+  if (view.failed_destinations < options_.min_failed_destinations) return false;
+  if (view.failure_reports < options_.min_failure_reports) return false;
+  // Most destinations of a zone may be above their limits and reject everything for a while. A failing zone
+  // serves nobody.
+  const bool is_rejecting = view.fault == FaultKind::kRejected;
+  if (is_rejecting && view.succeeded_destinations > 0) return false;
+  const double min_share = is_rejecting && is_another_zone_evacuated ? 1 : options_.min_failed_share;
+  return view.failed_destinations >= min_share * view.destinations;
 }
 
-bool ZoneConsensus::IsFailing(Seconds now, int zone, const ZoneView& v, double parts, Seconds control_since,
-                              bool moved) const {
-  if (v.failure_reporters < QuorumOf(parts) ||
-      v.success_reporters > options_.contradiction_share * v.failure_reporters)
-    return false;
-  if (v.failed_destinations < options_.min_failed_destinations ||
-      v.failure_reports < options_.min_failure_reports)
-    return false;
-  if (v.fault == FaultKind::kSlow) return false;  // it serves; told, not left
-  // Danger: above their limits most of a zone's partners may turn all away for a while. A zone spares nobody.
-  const bool away = v.fault == FaultKind::kRejected;
-  if (away && v.succeeded_destinations > 0) return false;
-  if (v.failed_destinations < (away && moved ? 1 : options_.min_failed_share) * v.destinations) return false;
-  // Danger: an accusation lasts for longer than what is served since a stage began. Held against all accusers
-  // the control came short until most had spoken anew; so it is held against those who have.
-  const int spoken = ViewOf(now, zone, options_.success_lifetime, control_since).failure_reporters;
-  const double enough = options_.control_share * std::max(spoken, QuorumOf(parts));
+bool ZoneConsensus::IsFailing(Seconds now, int zone, const ZoneView& view, const FleetState& fleet) const {
+  if (view.fault == FaultKind::kSlow) return false;  // it serves
+  return HasFailureQuorum(view, fleet.share_count) &&
+         HasEnoughFailedDestinations(view, fleet.is_another_zone_evacuated) &&
+         IsAnotherZoneServing(now, zone, fleet);
+}
+
+// False where all zones fail at once: the cause is not the zone then.
+bool ZoneConsensus::IsAnotherZoneServing(Seconds now, int zone, const FleetState& fleet) const {
+  // A failure report lasts for longer than the successes since `control_since`. So the control's success
+  // reporters are compared with the relays that reported a failure since then, not with all of them.
+  const int failure_reporters =
+      ViewOf(now, zone, options_.success_lifetime, fleet.control_since).failure_reporters;
+  const double min_success_reporters =
+      options_.control_share * std::max(failure_reporters, QuorumOf(fleet.share_count));
+  const Seconds success_lifetime = std::min(options_.control_window, now - fleet.control_since);
   for (int other = 0; other < zones_; ++other) {
     if (other == zone) continue;
-    const ZoneView control =
-        ViewOf(now, other, std::min(options_.control_window, now - control_since), control_since);
+    const ZoneView control = ViewOf(now, other, success_lifetime, fleet.control_since);
     if (control.success_reporters >= options_.control_success_ratio * control.failure_reporters &&
-        control.success_reporters >= enough)
+        control.success_reporters >= min_success_reporters) {
       return true;
+    }
   }
-  return false;  // all at once: that is no zone's trouble
+  return false;
 }
 
-bool ZoneConsensus::IsContradicted(const ZoneView& v) const {
-  return v.success_reporters > 0 && v.success_reporters > options_.contradiction_share * v.failure_reporters;
+bool ZoneConsensus::IsContradicted(const ZoneView& view) const {
+  return view.success_reporters > 0 &&
+         view.success_reporters > options_.contradiction_share * view.failure_reporters;
 }
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_consensus.h
+++ b/src/zone_failover/zone_consensus.h
@@ -1,6 +1,6 @@
-// What all relays together say of each zone. Each relay's latest report counts, a later one in place of an
-// earlier, and fades; the verdict is a pure function of the reports, so whoever has the same says the same.
-// docs/zones.md has the options that were weighed.
+// The fleet's view of each zone, from the reports of all relays. The latest report of each relay counts and
+// fades with its age. The verdict is a pure function of the reports, so relays that have the same reports
+// agree. docs/zone-failover.md has the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -11,74 +11,100 @@
 
 namespace opalroute::zone_failover {
 
-// One relay's report of one zone; ages as it was made.
+// One relay's report of one zone; ages as of the time of the report.
 struct ZoneReport {
-  std::uint32_t succeeded = 0, failed = 0, observed = 0;  // as Sight has them
-  Seconds success_age = kMaxAge, failure_age = kMaxAge;
+  static constexpr Seconds kMaxAge = 3;  // older calls are not reported
+
+  std::uint32_t succeeded = 0;  // bits of destinations, as in ZoneObservation
+  std::uint32_t failed = 0;
+  std::uint32_t observed = 0;
+  Seconds success_age = kMaxAge;
+  Seconds failure_age = kMaxAge;
   FaultKind fault{};
-  static constexpr Seconds kMaxAge = 3;  // what is older is not told
-
-  // Its latest word is that calls are not served, or that they are. Neither: it has seen nothing of late.
-  bool ReportsFailure(Seconds fresh, Seconds older) const {
-    return failed != 0 && failure_age + older < fresh && failure_age <= success_age;
-  }
-  bool ReportsSuccess(Seconds fresh, Seconds older) const {
-    return succeeded != 0 && success_age + older < fresh && success_age < failure_age;
-  }
+
+  // Whether the relay's latest call into the zone failed, or succeeded, within `lifetime`, for a report that
+  // is `report_age` old. Neither: it made no recent call.
+  bool ReportsFailure(Seconds lifetime, Seconds report_age) const;
+  bool ReportsSuccess(Seconds lifetime, Seconds report_age) const;
 };
-using Report = std::vector<ZoneReport>;  // by zone
-
-struct ZoneView {  // of one zone, from all fresh reports
-  int failure_reporters = 0, success_reporters = 0;
-  int failure_reports = 0;  // of accusers: each names so many partners
-  int failed_destinations = 0, succeeded_destinations = 0,
-      destinations = 0;  // of those that can be told apart
-  FaultKind fault{};     // of most accusers
+
+// One relay's report, by zone.
+using Report = std::vector<ZoneReport>;
+
+// One zone, from all recent reports.
+struct ZoneView {
+  int failure_reporters = 0;    // relays
+  int success_reporters = 0;    // relays
+  int failure_reports = 0;      // destinations that failure reporters name, summed up over the relays
+  int failed_destinations = 0;  // of those that can be told apart
+  int succeeded_destinations = 0;
+  int destinations = 0;
+  FaultKind fault{};  // that most failure reporters name
 };
 
 class ZoneConsensus {
  public:
   struct Options {
-    Seconds success_lifetime = 1;       // a call that was served counts for so long from when it was sent ...
-    Seconds failure_lifetime = 1.5;     // ... and one that was not from when that was known
-    double quorum = 0.25;               // of the tier's parts, and one more, must accuse ...
-    int max_quorum = 20;                // ... though no more than this
-    double contradiction_share = 0.25;  // vouchers over accusers, from which on nothing is agreed
-    double min_failed_share = 0.6;      // of the zone's partners that were seen must fail
-    int min_failed_destinations = 2;    // and so many, ...
-    int min_failure_reports = 6;        // on so many words
-    double control_share = 0.25;   // of the accusers: so many relays must be served in one other zone, ...
-    Seconds control_window = 1.5;  // ... within this
-    double control_success_ratio = 1.5;  // vouchers over accusers that a zone has which serves as the control
+    Seconds success_lifetime = 1;    // a served call counts for so long after it was sent
+    Seconds failure_lifetime = 1.5;  // a failed call counts for so long after the failure
+    double quorum = 0.25;            // part of the share count that must report failures, plus one relay
+    int max_quorum = 20;             // relays
+    double contradiction_share =
+        0.25;  // success reporters per failure reporter above which there is no consensus
+    double min_failed_share = 0.6;  // of the zone's destinations
+    int min_failed_destinations = 2;
+    int min_failure_reports = 6;
+    double control_share = 0.25;  // success reporters of another zone per failure reporter of this one
+    Seconds control_window = 1.5;
+    double control_success_ratio = 1.5;  // success reporters per failure reporter of that other zone
   };
-  ZoneConsensus(const Options& rules, int zones) : options_(rules), zones_(zones) {}
 
-  // `seen`: when it was made at the earliest. An earlier one than that known of this relay changes nothing.
-  void Add(Seconds seen, membership::Peer from, std::uint64_t life, std::uint64_t number,
-           const Report& report);
-  void Forget(Seconds now);
+  ZoneConsensus(const Options& options, int zones);
+
+  // `received_at`: no earlier than the report was made. Ignored if it is not later, by incarnation and
+  // sequence, than the known one of that relay.
+  void AddReport(Seconds received_at, membership::Peer from, std::uint64_t incarnation,
+                 std::uint64_t sequence, const Report& report);
+
+  // Drops reports that are too old to count.
+  void ExpireReports(Seconds now);
+
   ZoneView ViewOf(Seconds now, int zone) const;
-  int QuorumOf(double parts) const;
-  // The zone as a whole does not serve, though another one does: to relays whose calls there were sent
-  // since `control_since`. `moved`: another zone has been left, and its load is here too.
-  // `view`: of that zone, as of now.
-  bool IsFailing(Seconds now, int zone, const ZoneView& view, double parts, Seconds control_since = -1e9,
-                 bool moved = false) const;
-  // The same relays say otherwise: at least a quarter as many as accuse it are served there.
+
+  // Failure reporters that a verdict takes.
+  int QuorumOf(double share_count) const;
+
+  // The state of the fleet that a verdict depends on, besides the reports.
+  struct FleetState {
+    double share_count = 1;
+    Seconds control_since = kLongAgo;        // calls of the control zone must have been sent since
+    bool is_another_zone_evacuated = false;  // so that its load is on the remaining zones
+  };
+
+  // The zone as a whole fails while another zone, the control, serves. `view`: of the zone, as of `now`.
+  bool IsFailing(Seconds now, int zone, const ZoneView& view, const FleetState& fleet) const;
+
+  // Too many relays are served in the zone for a verdict against it.
   bool IsContradicted(const ZoneView& view) const;
 
  private:
-  // Vouchers of that long, by reports that were made since then.
-  ZoneView ViewOf(Seconds now, int zone, Seconds fresh, Seconds since) const;
   struct ReportEntry {
     membership::Peer from = 0;
-    Seconds seen = 0;
-    std::uint64_t life = 0, number = 0;
+    Seconds received_at = 0;
+    std::uint64_t incarnation = 0;
+    std::uint64_t sequence = 0;
     Report report;
   };
+
+  // Counts reports received since `since`, and successes of `success_lifetime`.
+  ZoneView ViewOf(Seconds now, int zone, Seconds success_lifetime, Seconds since) const;
+  bool HasFailureQuorum(const ZoneView& view, double share_count) const;
+  bool HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const;
+  bool IsAnotherZoneServing(Seconds now, int zone, const FleetState& fleet) const;
+
   const Options options_;
   const int zones_;
-  std::vector<ReportEntry> reports_;  // one a relay, in no order; read many times a second
+  std::vector<ReportEntry> reports_;  // one a relay, unordered; a vector, as views read all of them often
 };
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_evacuation.h
+++ b/src/zone_failover/zone_evacuation.h
@@ -1,12 +1,16 @@
-// The stages of leaving a zone and of returning to it. Pure. A stage is ordered by its round and, within the
-// round, by its step: whoever hears of a later one takes it over, so notes may be lost, doubled or out of
-// order.
+// The evacuation of each zone as a state machine that all relays share by gossip. Without I/O. States are
+// ordered by round and, within a round, by phase. A relay adopts any later state, so that messages may be
+// lost, duplicated or reordered.
 //
-//   in -> leaving -> out -> returning -> in      a question (leaving) begins a new round, and so does out
-//            \-> in (contradicted, or never agreed)
-// Danger: who was frozen or cut off while others agreed withdraws the question that they have answered. As
-// out begins a round, no withdrawal is later than it. By hand: `leave` brings it to out, and there it stays,
-// untried, until the order ends; `keep` lets it return and holds it in.
+//   in service -> evacuating -> evacuated -> recovering -> in service        relapse: recovering -> evacuated
+//                      \-> in service (contradicted or undecided)
+//
+// Evacuating begins a new round, and so does evacuated. Invariant: the return from evacuating to in service
+// stays in its round, so it is never later than evacuated. Otherwise a relay that was frozen or partitioned
+// while the others agreed would cancel the evacuation for all.
+//
+// An operator's override kEvacuate leads to evacuated, without health checks until it expires; kKeepInService
+// leads back into service.
 #pragma once
 
 #include <cstdint>
@@ -18,87 +22,98 @@
 
 namespace opalroute::zone_failover {
 
+// In their order within a round, which gossip and the state file encode.
 enum class EvacuationPhase {
-  kEvacuating,
-  kEvacuated,
-  kRecovering,
+  kEvacuating,  // the fleet halves its traffic until the consensus is confirmed
+  kEvacuated,   // no traffic but that of health-check relays
+  kRecovering,  // traffic grows by slow start
   kInService
-};  // in their order within a round
-const char* NameOf(EvacuationPhase step);
+};
+
+// The word for it on the operators' pages.
+const char* NameOf(EvacuationPhase phase);
 
 struct EvacuationState {
   std::uint64_t round = 0;
   EvacuationPhase phase = EvacuationPhase::kInService;
   int relapses = 0;   // in a row
-  Seconds since = 0;  // as a time of the own clock
-  bool Before(const EvacuationState& other) const {
-    return round != other.round ? round < other.round : phase < other.phase;
-  }
+  Seconds since = 0;  // by the own clock; in gossip and in the state file the age of the phase
+
+  bool IsOlderThan(const EvacuationState& other) const;
 };
 
 struct EvacuationOptions {
-  Seconds confirm_time = 0.15;      // a zone is being left once it has been agreed for so long
-  Seconds evacuating_time = 0.5;    // and left once it has still been agreed after that
-  Seconds undecided_time = 2;       // being left for longer, it is in again
-  double evacuating_share = 0.5;    // of the ordinary sends meanwhile
-  Seconds min_evacuated_time = 1;   // before a return; doubled with each relapse in a row ...
-  Seconds max_evacuated_time = 16;  // ... up to this
-  Seconds healthy_time = 1;         // scouts are served for so long before the return
+  Seconds confirm_time = 0.15;      // a consensus that lasts for so long begins an evacuation
+  Seconds evacuating_time = 0.5;    // and completes it if it still holds after this
+  Seconds undecided_time = 2;       // evacuating for longer ends in service again
+  double evacuating_share = 0.5;    // of the traffic while evacuating
+  Seconds min_evacuated_time = 1;   // before recovery; doubled with each relapse in a row
+  Seconds max_evacuated_time = 16;  // bound of the doubled time
+  Seconds healthy_time = 1;         // health checks succeed for so long before recovery
   int health_check_relays = 3;
-  double slow_start_initial_share = 0.22;  // the settings' figures of endpoints that come back
-  Seconds slow_start_duration = 13;
-  Seconds relapse_reset_time = 60;  // in for so long, its relapses are forgotten
+  double slow_start_initial_share = 0.22;  // of the traffic, at the start of recovery
+  Seconds slow_start_duration = 13;        // of recovery
+  Seconds relapse_reset_time = 60;         // in service for longer, relapses are forgotten
 };
 
-// What the decision module is told.
+// What the request router is to do with a zone.
 struct TrafficDirective {
-  double traffic_share = 1;            // of the ordinary sends; 0: none while there is another zone
-  bool is_health_check_relay = false;  // this relay tries it
-  bool operator==(const TrafficDirective& o) const {
-    return traffic_share == o.traffic_share && is_health_check_relay == o.is_health_check_relay;
-  }
+  double traffic_share = 1;            // of ordinary sends, 0 to 1
+  bool is_health_check_relay = false;  // this relay tries the evacuated zone
+
+  bool operator==(const TrafficDirective& other) const;
 };
 
 class ZoneEvacuation {
  public:
-  ZoneEvacuation(const EvacuationOptions& rules, int zones, membership::Peer own);
-
-  // What others say, or what was kept over a restart. True: it was later, and is taken over.
-  bool Merge(Seconds now, int zone, const EvacuationState& stage);
-  // What is so by now.
-  struct Facts {
-    bool failing = false;       // agreed
-    bool contradicted = false;  // by as many as it takes
+  ZoneEvacuation(const EvacuationOptions& options, int zones, membership::Peer own_peer);
+
+  // Adopts `received`, of gossip or of the state file, if it is later than the known state; `since` by the
+  // own clock. True: it was adopted.
+  bool Merge(Seconds now, int zone, const EvacuationState& received);
+
+  // What the next phase depends on.
+  struct Inputs {
+    bool is_failing = false;       // by the consensus
+    bool is_contradicted = false;  // by the consensus
     ZoneObservation own_observation;
-    std::vector<membership::Peer> alive;
-    OverrideKind override_kind{};  // of the operators, in force
+    std::vector<membership::Peer> alive;  // needed for an evacuated zone only
+    OverrideKind override_kind{};         // in force
   };
-  // True: the stage has changed.
-  bool Tick(Seconds now, int zone, const Facts& facts);
-  const EvacuationState& Of(int zone) const { return zones_[static_cast<std::size_t>(zone)].state; }
+
+  // True: the state has changed.
+  bool Tick(Seconds now, int zone, const Inputs& inputs);
+
+  const EvacuationState& StateOf(int zone) const;
+  int zones() const { return static_cast<int>(zones_.size()); }
   TrafficDirective DirectiveFor(Seconds now, int zone) const;
 
  private:
   struct Zone {
     EvacuationState state;
-    Seconds failing_since = -1;  // below 0: it is not
+    Seconds failing_since = -1;  // below 0: not failing
+    Seconds served_since =
+        -1;  // this relay's first success while evacuated with no failure after it; below 0: none
     bool is_health_check_relay = false;
-    // Out: the first call of this relay that was served since, with none that was not after it; below 0:
-    // none.
-    Seconds served_since = -1;
   };
+
+  void Enter(Seconds now, Zone& zone, std::uint64_t round, EvacuationPhase phase, int relapses);
+  bool ApplyOverride(Seconds now, Zone& zone, OverrideKind kind);
+  bool TickInService(Seconds now, Zone& zone, const Inputs& inputs);
+  bool TickEvacuating(Seconds now, Zone& zone, const Inputs& inputs);
+  bool TickEvacuated(Seconds now, int index, Zone& zone, const Inputs& inputs);
+  bool TickRecovering(Seconds now, Zone& zone, const Inputs& inputs);
+  bool IsConfirmedFailing(Seconds now, Zone& zone, bool is_failing);
   bool IsHealthy(Zone& zone, const ZoneObservation& own) const;
-  void Enter(Seconds now, Zone& zone, std::uint64_t round, EvacuationPhase step, int relapses);
-  bool UpdateFailing(Seconds now, Zone& zone, const Facts& facts);
-  bool ApplyOverride(Seconds now, Zone& zone, OverrideKind order);
 
   const EvacuationOptions options_;
-  const membership::Peer own_;
+  const membership::Peer own_peer_;
   std::vector<Zone> zones_;
 };
 
-// The scouts of a zone in a round: those of the live tier that rank first (rendezvous hashing).
-std::vector<membership::Peer> HealthCheckRelaysOf(const std::vector<membership::Peer>& live, int zone,
-                                                  std::uint64_t round, int scouts);
+// The health-check relays of a zone in a round: the first `count` of the alive members by rendezvous hashing,
+// so that relays that know the same members name the same ones.
+std::vector<membership::Peer> HealthCheckRelaysOf(const std::vector<membership::Peer>& alive, int zone,
+                                                  std::uint64_t round, int count);
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,17 +1,19 @@
-// One relay as a member of its tier: who is there, what all say of the zones, and what follows for the
-// decision module. Puts the parts of src/tier and src/zones together; pure, so the laboratory plays hundreds
-// of them.
+// Zone failover of one relay: joins membership, the relay's own observations, the fleet's consensus, the
+// evacuation of zones and operators' overrides. Time, datagrams and calls are handed in; datagrams to send
+// and events for the request router are handed out. Without I/O, so the laboratory simulates hundreds of
+// relays. docs/membership.md and docs/zone-failover.md describe both.
 #pragma once
 
-#include <optional>
-#include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
-#include "decision/state.h"
 #include "membership/membership.h"
+#include "opalroute/events.h"
+#include "zone_failover/directive_publisher.h"
+#include "zone_failover/failover_options.h"
+#include "zone_failover/gossip_composer.h"
 #include "zone_failover/operator_override.h"
+#include "zone_failover/report_scheduler.h"
 #include "zone_failover/zone_consensus.h"
 #include "zone_failover/zone_evacuation.h"
 #include "zone_failover/zone_gossip.h"
@@ -19,131 +21,107 @@
 
 namespace opalroute::zone_failover {
 
-// A datagram to send.
-struct OutgoingDatagram {
-  std::optional<membership::Peer> to;  // nothing: to every other relay
-  std::string bytes;
-};
-
-struct FailoverOptions {
-  membership::Options membership;
-  ZoneHealthObserver::Options observer;
-  ZoneConsensus::Options consensus;
-  EvacuationOptions evacuation;
-  int zones = 1;
-  bool share_quotas = true;        // the module's parts follow the tier's size
-  bool evacuate_zones = true;      // zones are left together
-  Seconds report_delay = 0.15;     // a report waits up to this, and does not go if others have said enough
-  int state_repeats = 3;           // a new stage: so many others have told it
-  double reports_per_second = 20;  // of the whole tier, in the mean, while nothing is in question; and ...
-  double urgent_reports_per_second = 0.2;  // ... of each relay beyond that, once half a quorum accuses a zone
-  Seconds share_growth_interval = 0.5;     // parts grow no more often; they fall at once
-  Seconds join_timeout = 0.3;              // a process that starts waits so long for the first word
-};
-
 class ZoneFailover {
  public:
-  struct Change {  // of a zone's stage
+  static constexpr Seconds kTickInterval = 0.05;
+
+  // A change of a zone's evacuation state.
+  struct Change {
     int zone = 0;
-    EvacuationState before, now;
-    ZoneView view;
-    bool from_peer = false;  // taken over from another relay
+    EvacuationState before;
+    EvacuationState after;
+    ZoneView view;           // at the time of the change
+    bool from_peer = false;  // adopted from another relay
   };
-  struct OverrideChange {  // by an operator, here or elsewhere
+
+  // An override that an operator has issued, here or at another relay.
+  struct OverrideChange {
     int zone = 0;
     OperatorOverride operator_override;
-    bool from_peer = false;
+    bool from_peer = false;  // adopted from another relay
   };
+
+  // What the caller has to do.
   struct Actions {
     std::vector<OutgoingDatagram> datagrams;
-    std::vector<opalroute::Event> events;  // for the decision module
+    std::vector<opalroute::Event> events;  // for the request router
     std::vector<Change> changes;
     std::vector<OverrideChange> overrides;
   };
 
-  // What an earlier process of this relay left: stages with ages, and orders with what was left of them; by
-  // zone, or nothing.
+  // What a relay persists over restarts: by zone, with ages and remaining times in place of times; or empty.
   struct SavedState {
     std::vector<EvacuationState> states;
     std::vector<OperatorOverride> overrides;
   };
-  ZoneFailover(const FailoverOptions& rules, std::uint64_t life, std::uint64_t seed, Seconds now,
-               const SavedState& kept = {});
 
-  void OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint) {
-    observer_.OnSent(now, zone, destination, endpoint);
-  }
+  // `incarnation`: greater than that of every earlier process of this relay.
+  ZoneFailover(const FailoverOptions& options, std::uint64_t incarnation, std::uint64_t seed, Seconds now,
+               const SavedState& saved = {});
+  ZoneFailover(const ZoneFailover&) = delete;
+  ZoneFailover& operator=(const ZoneFailover&) = delete;
+
+  void OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint);
+
+  // A call or health check that was sent `duration` ago.
   void OnEnded(Seconds now, int zone, DestinationId destination, EndpointId endpoint, Outcome outcome,
-               Seconds duration) {
-    observer_.OnEnded(now, zone, destination, endpoint, outcome, duration);
-  }
-  // False: these bytes are none of the tier's.
+               Seconds duration);
+
+  // False: the bytes are no membership message.
   bool HandleMessage(Seconds now, membership::Peer from, std::string_view bytes, Actions& out);
-  void OnUnreachable(Seconds now, membership::Peer peer) { membership_.OnUnreachable(now, peer); }
-  // To be called every `kTickInterval`.
+
+  // The host of `peer` answered a datagram with 'port unreachable'.
+  void OnUnreachable(Seconds now, membership::Peer peer);
+
+  // To be called every kTickInterval.
   void Tick(Seconds now, Actions& out);
+
+  // The process is about to end.
   void AnnounceLeave(Actions& out);
-  // An operator's order to this relay: it is told to all. False: zones are not left together here, or there
-  // is no such zone.
-  bool ApplyOverride(Seconds now, int zone, OverrideKind what, Seconds lasts, Actions& out);
 
-  // Word has come, or none will: clients may be let in.
+  // An operator's command to this relay, which gossips it to all. False: there is no such zone, or
+  // `evacuate_zones` is off.
+  bool ApplyOverride(Seconds now, int zone, OverrideKind kind, Seconds duration, Actions& out);
+
+  // Some relay has acknowledged this process, or the wait for it has timed out: clients may be admitted.
   bool HasJoined(Seconds now) const;
+
   const membership::Membership& membership() const { return membership_; }
-  const EvacuationState& StateOf(int zone) const { return evacuation_.Of(zone); }
+  const EvacuationState& StateOf(int zone) const { return evacuation_.StateOf(zone); }
   ZoneView ViewOf(Seconds now, int zone) const { return consensus_.ViewOf(now, zone); }
-  zone_failover::TrafficDirective DirectiveFor(Seconds now, int zone) const {
-    return evacuation_.DirectiveFor(now, zone);
-  }
-  const OperatorOverride& OverrideOf(int zone) const { return overrides_.Of(zone); }
+  TrafficDirective DirectiveFor(Seconds now, int zone) const { return evacuation_.DirectiveFor(now, zone); }
+  const OperatorOverride& OverrideOf(int zone) const { return overrides_.Get(zone); }
   OverrideKind ActiveOverride(Seconds now, int zone) const { return overrides_.InForce(now, zone); }
   int zones() const { return options_.zones; }
-  SavedState Save(Seconds now) const;  // for the next process
-
-  static constexpr Seconds kTickInterval = 0.05;
+  SavedState Save(Seconds now) const;
 
  private:
-  static constexpr double kBurst = 2;  // reports that may go at once
-  struct Zone {
-    Seconds reported_at = -1e9;  // the newest sight that has been told
-    Seconds accused_at = -1e9;   // since then others accuse it, or it is being left
-    bool is_accused = false;
-    // Of the stage that this relay has come to by itself: others that were heard to be in it; or nothing to
-    // tell.
-    std::optional<int> same_state_peers;
-    zone_failover::TrafficDirective published;
-  };
-  ZoneGossip MakeGossip(Seconds now, bool report) const;
-  Report OwnReport(Seconds now) const;
-  void WriteMessages(Seconds now, std::vector<membership::OutgoingMessage>& notes, Actions& out);
+  void RestoreOverrides(Seconds now, const std::vector<OperatorOverride>& saved);
+  void RestoreStates(Seconds now, const std::vector<EvacuationState>& saved);
+  void MergeGossip(Seconds now, const ZoneGossip& gossip, Actions& out);
+  void MergeState(Seconds now, int zone, EvacuationState received, Actions& out);
+  void MergeOverride(Seconds now, int zone, OperatorOverride received, Actions& out);
+  void TickZones(Seconds now, Actions& out);
+  void TickZone(Seconds now, int zone, double share_count, const std::vector<membership::Peer>& alive,
+                Actions& out);
+  std::vector<membership::Peer> AliveMembersIfNeeded(Seconds now) const;
+  ZoneConsensus::FleetState FleetStateFor(int zone, double share_count) const;
   bool IsAnotherZoneEvacuated(int zone) const;
-  bool HasUnreportedFailure(Seconds now, int zone) const;
-  bool IsReportRedundant(Seconds now) const;
-  bool HasStateToSpread() const;
-  bool IsUrgent(Seconds now) const;
-  bool MayReport(Seconds now);
-  bool IsQuiet(Seconds now) const;
-  void ReportIfDue(Seconds now, Actions& out);
-  void PublishDirectives(Seconds now, Actions& out);
-  void MergeGossip(Seconds now, const ZoneGossip& said, Actions& out);
+  void Send(Seconds now, const std::vector<membership::OutgoingMessage>& messages, Actions& out);
   void Broadcast(Seconds now, Actions& out);
-  std::vector<EvacuationState> StatesByAge(Seconds now) const;
+  void PublishDirectives(Seconds now, Actions& out);
 
   const FailoverOptions options_;
   const std::uint64_t incarnation_;
   const Seconds started_;
-  Random random_;
   membership::Membership membership_;
   ZoneHealthObserver observer_;
   ZoneConsensus consensus_;
   ZoneEvacuation evacuation_;
   OperatorOverrides overrides_;
-  std::vector<Zone> zones_;
-  TokenBucket report_bucket_{kBurst, 0}, urgent_bucket_{kBurst, 0};  // for reports
-  Seconds next_report_at_ = kNever;
-  std::uint64_t own_reports_ = 0;
-  double published_share_count_ = 0;
-  Seconds published_share_count_at_ = -1e9;
+  ReportScheduler scheduler_;
+  DirectivePublisher publisher_;
+  std::uint64_t own_reports_ = 0;  // sequence of the own reports to the consensus
 };
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_gossip.cpp
+++ b/src/zone_failover/zone_gossip.cpp
@@ -12,115 +12,163 @@
 using membership::AppendVarint;
 using membership::ReadVarint;
 
-constexpr std::uint64_t kMostZones = 64, kMostPeers = 4096;
-constexpr double kTenths = 10;
-constexpr std::uint64_t kMostAge = 1'000'000;  // tenths
-constexpr int kMostRelapses = 31;
-constexpr std::uint64_t kHasReport = 1, kHasOrders = 2;
-// Parts by their bits: a report, orders, and those of later builds, which are told with their length.
-constexpr int kKnownParts = 2, kMostParts = 7;
-
-void PutAge(std::string& bytes, Seconds age, Seconds most) {
-  // Rounded down, so that nothing seems older than it is, however often it is passed on.
-  AppendVarint(bytes, static_cast<std::uint64_t>(std::clamp(age, 0.0, most) * kTenths));
+constexpr std::uint64_t kMaxZones = 64;
+constexpr std::uint64_t kMaxPeer = 4096;
+constexpr double kTenths = 10;                // a second
+constexpr std::uint64_t kMaxAge = 1'000'000;  // tenths of a second
+constexpr int kMaxRelapses = 31;
+constexpr int kPhaseBits = 2;
+constexpr std::uint64_t kPhaseMask = 3;
+constexpr std::size_t kDestinationSetBytes = 4;
+
+// Bits of the parts after the states.
+constexpr std::uint64_t kHasReport = 1;
+constexpr std::uint64_t kHasOverrides = 2;
+constexpr int kKnownParts = 2;
+constexpr int kMaxParts = 7;
+
+// Rounds down, so that no age grows by being passed on.
+void AppendAge(std::string& bytes, Seconds age, Seconds max) {
+  AppendVarint(bytes, static_cast<std::uint64_t>(std::clamp(age, 0.0, max) * kTenths));
 }
-void PutBits(std::string& bytes, std::uint32_t bits) {
-  for (int i = 0; i < 4; ++i) bytes += static_cast<char>(bits >> (8 * i));
+
+void AppendDestinationSet(std::string& bytes, std::uint32_t set) {
+  for (std::size_t i = 0; i < kDestinationSetBytes; ++i) bytes += static_cast<char>(set >> (8 * i));
 }
-std::uint32_t TakeBits(std::string_view& bytes) {
-  std::uint32_t bits = 0;
-  for (std::size_t i = 0; i < 4; ++i)
-    bits |= static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
-  bytes.remove_prefix(4);
-  return bits;
+
+// `bytes` must hold as many.
+std::uint32_t ReadDestinationSet(std::string_view& bytes) {
+  std::uint32_t set = 0;
+  for (std::size_t i = 0; i < kDestinationSetBytes; ++i) {
+    set |= static_cast<std::uint32_t>(static_cast<unsigned char>(bytes[i])) << (8 * i);
+  }
+  bytes.remove_prefix(kDestinationSetBytes);
+  return set;
 }
-std::optional<OperatorOverride> TakeOrder(std::string_view& bytes) {
-  OperatorOverride order;
-  const auto number = ReadVarint(bytes);
-  if (!number || *number > OperatorOverrides::kMaxSequence) return std::nullopt;
-  order.sequence = *number;
-  if (order.sequence == 0) return order;
-  const auto by = ReadVarint(bytes), what = ReadVarint(bytes), left = ReadVarint(bytes);
-  if (!by || !what || !left || *by > kMostPeers ||
-      *what > static_cast<std::uint64_t>(OverrideKind::kKeepInService))
-    return std::nullopt;
-  order.issued_by = static_cast<membership::Peer>(*by);
-  order.kind = static_cast<OverrideKind>(*what);
-  order.expires_at = static_cast<double>(*left) / kTenths;
-  return order.expires_at <= OperatorOverrides::kMaxDuration ? std::optional(order) : std::nullopt;
+
+void AppendState(std::string& bytes, const EvacuationState& state) {
+  const int relapses = std::min(state.relapses, kMaxRelapses);
+  AppendVarint(bytes, state.round);
+  AppendVarint(bytes, static_cast<std::uint64_t>(state.phase) | static_cast<std::uint64_t>(relapses)
+                                                                    << kPhaseBits);
+  AppendAge(bytes, state.since, kMaxAge / kTenths);
 }
 
-}  // namespace
+std::optional<EvacuationState> ReadState(std::string_view& bytes) {
+  const auto round = ReadVarint(bytes);
+  const auto phase_and_relapses = ReadVarint(bytes);
+  const auto age = ReadVarint(bytes);
+  if (!round || !phase_and_relapses || !age || *age > kMaxAge) return std::nullopt;
+  const std::uint64_t relapses = *phase_and_relapses >> kPhaseBits;
+  if (relapses > kMaxRelapses) return std::nullopt;
+  return EvacuationState{*round, static_cast<EvacuationPhase>(*phase_and_relapses & kPhaseMask),
+                         static_cast<int>(relapses), static_cast<double>(*age) / kTenths};
+}
 
-std::string EncodeZoneGossip(const ZoneGossip& said) {
-  std::string bytes;
-  AppendVarint(bytes, said.stages.size());
-  for (const EvacuationState& s : said.stages) {
-    AppendVarint(bytes, s.round);
-    AppendVarint(bytes, static_cast<std::uint64_t>(s.phase) |
-                            static_cast<std::uint64_t>(std::min(s.relapses, kMostRelapses)) << 2);
-    PutAge(bytes, s.since, kMostAge / kTenths);
-  }
-  AppendVarint(bytes, (said.report ? kHasReport : 0) | (said.overrides.empty() ? 0 : kHasOrders));
-  for (const ZoneReport& r : said.report.value_or(Report())) {
-    PutBits(bytes, r.succeeded);
-    PutBits(bytes, r.failed);
-    PutBits(bytes, r.observed);
-    PutAge(bytes, r.success_age, ZoneReport::kMaxAge);
-    PutAge(bytes, r.failure_age, ZoneReport::kMaxAge);
-    AppendVarint(bytes, static_cast<std::uint64_t>(r.fault));
+void AppendZoneReport(std::string& bytes, const ZoneReport& report) {
+  AppendDestinationSet(bytes, report.succeeded);
+  AppendDestinationSet(bytes, report.failed);
+  AppendDestinationSet(bytes, report.observed);
+  AppendAge(bytes, report.success_age, ZoneReport::kMaxAge);
+  AppendAge(bytes, report.failure_age, ZoneReport::kMaxAge);
+  AppendVarint(bytes, static_cast<std::uint64_t>(report.fault));
+}
+
+std::optional<ZoneReport> ReadZoneReport(std::string_view& bytes) {
+  if (bytes.size() < 3 * kDestinationSetBytes) return std::nullopt;
+  ZoneReport report;
+  report.succeeded = ReadDestinationSet(bytes);
+  report.failed = ReadDestinationSet(bytes);
+  report.observed = ReadDestinationSet(bytes);
+  const auto success_age = ReadVarint(bytes);
+  const auto failure_age = ReadVarint(bytes);
+  const auto fault = ReadVarint(bytes);
+  const auto max_age = static_cast<std::uint64_t>(ZoneReport::kMaxAge * kTenths);
+  if (!success_age || !failure_age || !fault) return std::nullopt;
+  if (*success_age > max_age || *failure_age > max_age || *fault >= kFaultKinds) return std::nullopt;
+  report.success_age = static_cast<double>(*success_age) / kTenths;
+  report.failure_age = static_cast<double>(*failure_age) / kTenths;
+  report.fault = static_cast<FaultKind>(*fault);
+  return report;
+}
+
+void AppendOverride(std::string& bytes, const OperatorOverride& entry) {
+  AppendVarint(bytes, entry.sequence);
+  if (entry.sequence == 0) return;
+  AppendVarint(bytes, static_cast<std::uint64_t>(entry.issued_by));
+  AppendVarint(bytes, static_cast<std::uint64_t>(entry.kind));
+  // Rounded up, so that no override ends early by being passed on.
+  const double remaining = std::clamp(entry.expires_at, 0.0, OperatorOverrides::kMaxDuration);
+  AppendVarint(bytes, static_cast<std::uint64_t>(std::ceil(remaining * kTenths)));
+}
+
+std::optional<OperatorOverride> ReadOverride(std::string_view& bytes) {
+  OperatorOverride entry;
+  const auto sequence = ReadVarint(bytes);
+  if (!sequence || *sequence > OperatorOverrides::kMaxSequence) return std::nullopt;
+  entry.sequence = *sequence;
+  if (entry.sequence == 0) return entry;
+  const auto issued_by = ReadVarint(bytes);
+  const auto kind = ReadVarint(bytes);
+  const auto remaining = ReadVarint(bytes);
+  if (!issued_by || !kind || !remaining || *issued_by > kMaxPeer) return std::nullopt;
+  if (*kind > static_cast<std::uint64_t>(OverrideKind::kKeepInService)) return std::nullopt;
+  entry.issued_by = static_cast<membership::Peer>(*issued_by);
+  entry.kind = static_cast<OverrideKind>(*kind);
+  entry.expires_at = static_cast<double>(*remaining) / kTenths;
+  if (entry.expires_at > OperatorOverrides::kMaxDuration) return std::nullopt;
+  return entry;
+}
+
+// Reads `count` elements to the end of `elements`.
+template <typename T>
+bool ReadAll(std::string_view& bytes, std::uint64_t count, std::optional<T> (*read)(std::string_view& bytes),
+             std::vector<T>& elements) {
+  for (std::uint64_t i = 0; i < count; ++i) {
+    const std::optional<T> element = read(bytes);
+    if (!element) return false;
+    elements.push_back(*element);
   }
-  for (const OperatorOverride& order : said.overrides) {
-    AppendVarint(bytes, order.sequence);
-    if (order.sequence == 0) continue;
-    AppendVarint(bytes, static_cast<std::uint64_t>(order.issued_by));
-    AppendVarint(bytes, static_cast<std::uint64_t>(order.kind));
-    // Rounded up: nothing ends before its time, however often it is passed on.
-    AppendVarint(bytes, static_cast<std::uint64_t>(std::ceil(
-                            std::clamp(order.expires_at, 0.0, OperatorOverrides::kMaxDuration) * kTenths)));
+  return true;
+}
+
+bool SkipLaterParts(std::string_view& bytes, std::uint64_t parts) {
+  for (int part = kKnownParts; part < kMaxParts; ++part) {
+    if ((parts >> part & 1) == 0) continue;
+    const auto length = ReadVarint(bytes);
+    if (!length || *length > bytes.size()) return false;
+    bytes.remove_prefix(*length);
   }
+  return true;
+}
+
+}  // namespace
+
+std::string EncodeZoneGossip(const ZoneGossip& gossip) {
+  std::string bytes;
+  AppendVarint(bytes, gossip.states.size());
+  for (const EvacuationState& state : gossip.states) AppendState(bytes, state);
+  AppendVarint(bytes, (gossip.report ? kHasReport : 0) | (gossip.overrides.empty() ? 0 : kHasOverrides));
+  for (const ZoneReport& report : gossip.report.value_or(Report())) AppendZoneReport(bytes, report);
+  for (const OperatorOverride& entry : gossip.overrides) AppendOverride(bytes, entry);
   return bytes;
 }
 
 std::optional<ZoneGossip> DecodeZoneGossip(std::string_view bytes) {
-  ZoneGossip said;
+  ZoneGossip gossip;
   const auto zones = ReadVarint(bytes);
-  if (!zones || *zones > kMostZones) return std::nullopt;
-  for (std::uint64_t i = 0; i < *zones; ++i) {
-    const auto round = ReadVarint(bytes), step = ReadVarint(bytes), age = ReadVarint(bytes);
-    if (!round || !step || !age || *age > kMostAge || *step >> 2 > kMostRelapses) return std::nullopt;
-    said.stages.push_back({*round, static_cast<EvacuationPhase>(*step & 3), static_cast<int>(*step >> 2),
-                           static_cast<double>(*age) / kTenths});
-  }
-  const auto has = ReadVarint(bytes);
-  if (!has || *has >> kMostParts != 0) return std::nullopt;
-  if ((*has & kHasReport) != 0) said.report.emplace();
-  for (std::uint64_t i = 0; said.report && i < *zones; ++i) {
-    if (bytes.size() < 12) return std::nullopt;
-    ZoneReport r;
-    r.succeeded = TakeBits(bytes);
-    r.failed = TakeBits(bytes);
-    r.observed = TakeBits(bytes);
-    const auto good = ReadVarint(bytes), bad = ReadVarint(bytes), wrong = ReadVarint(bytes);
-    const auto most = static_cast<std::uint64_t>(ZoneReport::kMaxAge * kTenths);
-    if (!good || !bad || !wrong || *good > most || *bad > most || *wrong > 5) return std::nullopt;
-    r.success_age = static_cast<double>(*good) / kTenths;
-    r.failure_age = static_cast<double>(*bad) / kTenths;
-    r.fault = static_cast<FaultKind>(*wrong);
-    said.report->push_back(r);
-  }
-  for (std::uint64_t i = 0; (*has & kHasOrders) != 0 && i < *zones; ++i) {
-    const auto order = TakeOrder(bytes);
-    if (!order) return std::nullopt;
-    said.overrides.push_back(*order);
+  if (!zones || *zones > kMaxZones) return std::nullopt;
+  if (!ReadAll(bytes, *zones, ReadState, gossip.states)) return std::nullopt;
+  const auto parts = ReadVarint(bytes);
+  if (!parts || *parts >> kMaxParts != 0) return std::nullopt;
+  if ((*parts & kHasReport) != 0 && !ReadAll(bytes, *zones, ReadZoneReport, gossip.report.emplace())) {
+    return std::nullopt;
   }
-  for (int part = kKnownParts; part < kMostParts; ++part) {
-    if ((*has >> part & 1) == 0) continue;
-    const auto length = ReadVarint(bytes);
-    if (!length || *length > bytes.size()) return std::nullopt;
-    bytes.remove_prefix(*length);
+  if ((*parts & kHasOverrides) != 0 && !ReadAll(bytes, *zones, ReadOverride, gossip.overrides)) {
+    return std::nullopt;
   }
-  return bytes.empty() ? std::optional(said) : std::nullopt;
+  if (!SkipLaterParts(bytes, *parts) || !bytes.empty()) return std::nullopt;
+  return gossip;
 }
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_gossip.h
+++ b/src/zone_failover/zone_gossip.h
@@ -1,14 +1,15 @@
-// What a note says of zones: the stage of each, and the sender's report and operators' orders where there are
-// any. Pure.
+// The zone payload of a membership message: the evacuation state of each zone, and the sender's report and
+// operators' overrides if there are any. Without I/O. Numbers are varints (membership/varint.h), ages and
+// remaining times are in tenths of a second.
 //
-//   count of zones, then for each: round, step and relapses, age in tenths of a second;
-//   bits of what follows: 1 a report, 2 orders; 4 to 64 are a later build's, each with its length before it,
-//   and are passed over by one that does not know them
+//   count of zones; for each: round, phase | relapses << 2, age of the phase
+//   bits of the parts that follow: 1 a report, 2 overrides. 4 to 64 are for later versions, which write the
+//   length of each such part before it; a version that does not know a part skips it
 //
-//   report, for each zone: partners served, not served and known (four bytes each), ages in tenths, how they
-//   failed
+//   report, for each zone: bits of succeeded, failed and observed destinations (four bytes each), ages of
+//   success and of failure, FaultKind
 //
-//   orders, for each zone: 0, or number, the relay that was told, what, and what is left in tenths
+//   overrides, for each zone: 0, or sequence, issuer, OverrideKind, remaining time
 #pragma once
 
 #include <optional>
@@ -23,13 +24,14 @@
 namespace opalroute::zone_failover {
 
 struct ZoneGossip {
-  std::vector<EvacuationState> stages;  // `since` as an age
-  std::optional<Report> report;
-  std::vector<OperatorOverride> overrides;  // `until` as what is left; empty: none
+  std::vector<EvacuationState> states;      // by zone; `since` is the age of the phase
+  std::optional<Report> report;             // of as many zones
+  std::vector<OperatorOverride> overrides;  // by zone, `expires_at` is the remaining time; or empty
 };
 
-std::string EncodeZoneGossip(const ZoneGossip& said);
-std::optional<ZoneGossip> DecodeZoneGossip(
-    std::string_view bytes);  // nothing for bytes that are no such text, whole
+std::string EncodeZoneGossip(const ZoneGossip& gossip);
+
+// Nothing if the bytes are not exactly one encoded gossip.
+std::optional<ZoneGossip> DecodeZoneGossip(std::string_view bytes);
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_health_observer.cpp
+++ b/src/zone_failover/zone_health_observer.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-constexpr Seconds kSameCall = 0.05;       // two times of sending that are one call's differ by less
-constexpr double kGain = 0.2;             // of the newest time of a call
-constexpr std::size_t kMostOut = 64;      // calls watched for silence, an endpoint
-constexpr std::size_t kMostHeld = 20000;  // endpoints; then those at rest are dropped
+constexpr Seconds kSameCallTolerance = 0.05;  // between two notions of when a call was sent
+constexpr double kLatencyGain = 0.2;          // weight of the newest latency
+constexpr std::size_t kMaxInFlight = 64;      // calls watched for a time-out, an endpoint
+constexpr std::size_t kMaxEndpoints = 20000;  // above it those without calls in flight are dropped
 
 std::uint32_t BitOf(DestinationId destination) {
   return 1U << Random(static_cast<std::uint64_t>(destination)).Below(kDestinationBits);
 }
 
-FaultKind WrongOf(Outcome outcome) {
+FaultKind FaultOf(Outcome outcome) {
   switch (outcome) {
     case Outcome::kRejected:
       return FaultKind::kRejected;
@@ -33,97 +33,119 @@
     case Outcome::kCancelled:
     case Outcome::kNotSent:
     case Outcome::kLocalShortage:
-    case Outcome::kOutOfConnections:  // its table is full: it is there
+    case Outcome::kOutOfConnections:  // the endpoint is there, with its connection table full
       break;
   }
   return FaultKind::kNone;
 }
 
+// Removes the call that was sent at about `sent`. False: there is none.
+bool RemoveCall(std::vector<Seconds>& in_flight, Seconds sent) {
+  const auto nearest = std::min_element(in_flight.begin(), in_flight.end(), [sent](Seconds a, Seconds b) {
+    return std::abs(a - sent) < std::abs(b - sent);
+  });
+  if (nearest == in_flight.end() || std::abs(*nearest - sent) >= kSameCallTolerance) return false;
+  in_flight.erase(nearest);
+  return true;
+}
+
 }  // namespace
 
-const char* NameOf(FaultKind wrong) {
-  constexpr const char* kNames[] = {"none", "turned away", "refused", "broken", "silent", "slow"};
-  return kNames[static_cast<int>(wrong)];
+const char* NameOf(FaultKind fault) {
+  constexpr const char* kNames[kFaultKinds] = {"none", "turned away", "refused", "broken", "silent", "slow"};
+  return kNames[static_cast<int>(fault)];
+}
+
+ZoneHealthObserver::ZoneHealthObserver(const Options& options, int zones)
+    : options_(options), zones_(static_cast<std::size_t>(zones)) {}
+
+void ZoneHealthObserver::DropIdleEndpoints() {
+  for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+    it = it->second.in_flight.empty() ? endpoints_.erase(it) : std::next(it);
+  }
 }
 
 void ZoneHealthObserver::OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint) {
-  if (endpoints_.size() > kMostHeld)
-    for (auto it = endpoints_.begin(); it != endpoints_.end();)
-      it = it->second.in_flight.empty() ? endpoints_.erase(it) : std::next(it);
-  Endpoint& e = endpoints_[endpoint];
-  e.zone = zone;
-  e.destination = destination;
-  if (e.in_flight.size() < kMostOut) e.in_flight.push_back(now);
+  if (endpoints_.size() > kMaxEndpoints) DropIdleEndpoints();
+  Endpoint& entry = endpoints_[endpoint];
+  entry.zone = zone;
+  entry.destination = destination;
+  if (entry.in_flight.size() < kMaxInFlight) entry.in_flight.push_back(now);
 }
 
 void ZoneHealthObserver::OnEnded(Seconds now, int zone, DestinationId destination, EndpointId endpoint,
                                  Outcome outcome, Seconds duration) {
   const auto it = endpoints_.find(endpoint);
   const Seconds sent = now - duration;
-  Seconds usual = 0;
+  bool is_slow = false;
   if (it != endpoints_.end()) {
-    Endpoint& e = it->second;
-    const auto nearest =
-        std::min_element(e.in_flight.begin(), e.in_flight.end(),
-                         [sent](Seconds a, Seconds b) { return std::abs(a - sent) < std::abs(b - sent); });
-    const bool known = nearest != e.in_flight.end() && std::abs(*nearest - sent) < kSameCall;
-    if (known) e.in_flight.erase(nearest);
-    if (!known && outcome == Outcome::kTimeout) return;  // its silence has counted already
-    usual = e.latency;
-    if (outcome == Outcome::kServed && (usual <= 0 || duration < options_.slow_factor * usual))
-      for (Seconds* mean : {&e.latency, &latency_})
-        *mean = *mean > 0 ? *mean + kGain * (duration - *mean) : duration;
+    Endpoint& entry = it->second;
+    const bool was_in_flight = RemoveCall(entry.in_flight, sent);
+    if (!was_in_flight && outcome == Outcome::kTimeout) return;
+    is_slow = entry.latency > 0 && duration > options_.slow_factor * entry.latency;
+    const bool is_usual = entry.latency <= 0 || duration < options_.slow_factor * entry.latency;
+    if (outcome == Outcome::kServed && is_usual) UpdateLatency(entry, duration);
+  }
+  if (outcome == Outcome::kServed && !is_slow) return RecordSuccess(zone, destination, sent);
+  const FaultKind fault = is_slow && outcome == Outcome::kServed ? FaultKind::kSlow : FaultOf(outcome);
+  if (fault != FaultKind::kNone) RecordFailure(now, zone, destination, fault);
+}
+
+void ZoneHealthObserver::UpdateLatency(Endpoint& endpoint, Seconds duration) {
+  for (Seconds* mean : {&endpoint.latency, &latency_}) {
+    *mean = *mean > 0 ? *mean + kLatencyGain * (duration - *mean) : duration;
   }
-  if (outcome == Outcome::kServed)
-    return Record(now, zone, destination, sent,
-                  usual > 0 && duration > options_.slow_factor * usual ? FaultKind::kSlow : FaultKind::kNone);
-  const FaultKind wrong = WrongOf(outcome);
-  if (wrong != FaultKind::kNone) Record(now, zone, destination, sent, wrong);
 }
 
 void ZoneHealthObserver::Tick(Seconds now) {
-  for (auto& [id, e] : endpoints_) {
-    const Seconds usual = e.latency > 0 ? e.latency : latency_;
-    const Seconds longest = usual > 0 ? options_.timeout_factor * usual : options_.default_latency;
-    const auto late = std::remove_if(e.in_flight.begin(), e.in_flight.end(),
-                                     [&](Seconds sent) { return now - sent > longest; });
-    if (late == e.in_flight.end()) continue;
-    const Seconds sent = *std::max_element(late, e.in_flight.end());
-    e.in_flight.erase(late, e.in_flight.end());
-    Record(now, e.zone, e.destination, sent, FaultKind::kTimeout);
+  for (auto& [id, entry] : endpoints_) {
+    const Seconds usual = entry.latency > 0 ? entry.latency : latency_;
+    const Seconds timeout = usual > 0 ? options_.timeout_factor * usual : options_.default_latency;
+    const auto late = std::remove_if(entry.in_flight.begin(), entry.in_flight.end(),
+                                     [&](Seconds sent) { return now - sent > timeout; });
+    if (late == entry.in_flight.end()) continue;
+    entry.in_flight.erase(late, entry.in_flight.end());
+    RecordFailure(now, entry.zone, entry.destination, FaultKind::kTimeout);
   }
 }
 
-// A call that was served says that all was well when it was sent; one that was not, that it isn't now.
-void ZoneHealthObserver::Record(Seconds now, int zone, DestinationId destination, Seconds sent,
-                                FaultKind wrong) {
-  if (zone < 0 || zone >= zones()) return;
-  Zone& z = zones_[static_cast<std::size_t>(zone)];
-  Latest& latest = z.latest[destination];
-  if (wrong == FaultKind::kNone) {
-    latest.last_success = std::max(latest.last_success, sent);
-    if (sent >= latest.at) latest = {true, sent, latest.last_success};
-    z.success_at = std::max(z.success_at, sent);
-  } else {
-    latest = {false, now, latest.last_success};
-    z.failure_at = now;
-    z.fault = wrong;
+// Shows that the endpoint was healthy when the call was sent.
+void ZoneHealthObserver::RecordSuccess(int zone, DestinationId destination, Seconds sent) {
+  if (!IsKnown(zone)) return;
+  Zone& entry = zones_[static_cast<std::size_t>(zone)];
+  LatestCall& latest = entry.latest[destination];
+  latest.success_at = std::max(latest.success_at, sent);
+  if (sent >= latest.at) {
+    latest.succeeded = true;
+    latest.at = sent;
   }
+  entry.success_at = std::max(entry.success_at, sent);
+}
+
+// Shows that the endpoint is not healthy now.
+void ZoneHealthObserver::RecordFailure(Seconds now, int zone, DestinationId destination, FaultKind fault) {
+  if (!IsKnown(zone)) return;
+  Zone& entry = zones_[static_cast<std::size_t>(zone)];
+  LatestCall& latest = entry.latest[destination];
+  latest.succeeded = false;
+  latest.at = now;
+  entry.failure_at = now;
+  entry.fault = fault;
 }
 
 ZoneObservation ZoneHealthObserver::Observe(Seconds now, int zone) const {
-  const Zone& z = zones_[static_cast<std::size_t>(zone)];
-  ZoneObservation sight{0, 0, 0, z.success_at, z.failure_at, z.fault};
-  for (const auto& [destination, latest] : z.latest) {
+  const Zone& entry = zones_[static_cast<std::size_t>(zone)];
+  ZoneObservation observation{0, 0, 0, entry.success_at, entry.failure_at, entry.fault};
+  // Only failures since this relay was last served there count: else failures by chance would add up.
+  const Seconds failed_since = std::max(now - options_.failure_lifetime, entry.success_at);
+  for (const auto& [destination, latest] : entry.latest) {
     const std::uint32_t bit = BitOf(destination);
-    // Only since this relay was last served there: where calls fail by chance, none of it adds up.
-    if (!latest.succeeded && latest.at > std::max(now - options_.failure_lifetime, z.success_at))
-      sight.failed |= bit;
-    if (latest.succeeded && latest.at > now - options_.success_lifetime) sight.succeeded |= bit;
-    if (latest.last_success > now - options_.destination_lifetime) sight.observed |= bit;
+    if (!latest.succeeded && latest.at > failed_since) observation.failed |= bit;
+    if (latest.succeeded && latest.at > now - options_.success_lifetime) observation.succeeded |= bit;
+    if (latest.success_at > now - options_.destination_lifetime) observation.observed |= bit;
   }
-  sight.succeeded &= ~sight.failed;
-  return sight;
+  observation.succeeded &= ~observation.failed;
+  return observation;
 }
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_health_observer.h
+++ b/src/zone_failover/zone_health_observer.h
@@ -1,5 +1,6 @@
-// What one relay's own calls say of each zone: whose latest call there went well and whose did not. Partners
-// are told apart, calls are not counted: a busy partner that fails is one partner. Pure.
+// The health of each zone as one relay's own calls show it: to which destinations the latest call there
+// succeeded, and to which it failed. Destinations are counted, not calls, so that a busy destination that
+// fails counts once. Without I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,42 +11,54 @@
 
 namespace opalroute::zone_failover {
 
-// How a call ended that was not served; which of them most of a zone's are names its trouble.
+// A time before all events, in place of one that never happened.
+constexpr Seconds kLongAgo = -1e9;
+
+// How a call failed. kSlow: it was served, much later than usual. The order is part of the gossip's encoding.
 enum class FaultKind { kNone, kRejected, kConnectFailed, kReset, kTimeout, kSlow };
-const char* NameOf(FaultKind wrong);
+constexpr int kFaultKinds = 6;
+
+// The word for it on the operators' pages.
+const char* NameOf(FaultKind fault);
 
-constexpr int kDestinationBits = 32;  // partners are told apart by so many bits
+// Destinations are told apart by hashes of so many values, one bit each.
+constexpr int kDestinationBits = 32;
 
-// Of one zone, within `fresh`.
+// One zone, as the calls of the recent past show it.
 struct ZoneObservation {
-  std::uint32_t succeeded = 0, failed = 0;  // partners by the latest word of each
-  std::uint32_t observed = 0;               // partners that were served within `remembered`
-  Seconds success_at = -1e9;                // the latest call that was served, by when it was sent
-  Seconds failure_at = -1e9;                // the latest that was not, by when that was known
-  FaultKind fault{};                        // of the latest
+  std::uint32_t succeeded = 0;    // bits of destinations whose latest call was served
+  std::uint32_t failed = 0;       // bits of destinations whose latest call failed
+  std::uint32_t observed = 0;     // bits of destinations served within `destination_lifetime`
+  Seconds success_at = kLongAgo;  // when the latest call that was served had been sent
+  Seconds failure_at = kLongAgo;  // when the latest failure was noticed
+  FaultKind fault{};              // of the latest failure
+
   bool ReportsFailure() const { return failed != 0 && failure_at >= success_at; }
 };
 
 class ZoneHealthObserver {
  public:
   struct Options {
-    Seconds success_lifetime = 1;       // an older call that was served says nothing any more ...
-    Seconds failure_lifetime = 3;       // ... nor one that was not, with nothing served since
-    Seconds destination_lifetime = 10;  // partners that were served here are known for so long
-    double timeout_factor = 2.5;        // usual times of a call; still out then, it counts as silent
-    double slow_factor = 4;             // and served after so many as slow
-    Seconds default_latency = 1;        // the same where no time is known at all
+    Seconds success_lifetime = 1;       // an older success says nothing any more
+    Seconds failure_lifetime = 3;       // nor does an older failure
+    Seconds destination_lifetime = 10;  // destinations that were served are known for so long
+    double timeout_factor = 2.5;        // times the usual latency: a call in flight for longer has failed
+    double slow_factor = 4;             // times the usual latency: a call served after longer was slow
+    Seconds default_latency = 1;        // time until a call has failed while no latency is known
   };
-  ZoneHealthObserver(const Options& rules, int zones)
-      : options_(rules), zones_(static_cast<std::size_t>(zones)) {}
+
+  ZoneHealthObserver(const Options& options, int zones);
 
   void OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint);
-  // A call or probe that had been sent there so long ago. Those that say nothing of the endpoint are passed
-  // over.
+
+  // A call or health check that was sent `duration` ago. Outcomes that say nothing about the endpoint are
+  // ignored, and so are time-outs of calls that Tick has counted already.
   void OnEnded(Seconds now, int zone, DestinationId destination, EndpointId endpoint, Outcome outcome,
                Seconds duration);
-  // Notices what stays out too long.
+
+  // Counts calls that are in flight for too long as failed.
   void Tick(Seconds now);
+
   ZoneObservation Observe(Seconds now, int zone) const;
   int zones() const { return static_cast<int>(zones_.size()); }
 
@@ -53,25 +66,31 @@
   struct Endpoint {
     int zone = 0;
     DestinationId destination = 0;
-    Seconds latency = 0;  // smoothed time of a served call
-    std::vector<Seconds> in_flight;
+    Seconds latency = 0;             // smoothed, of served calls; 0: unknown
+    std::vector<Seconds> in_flight;  // times of sending
   };
-  struct Latest {
+  struct LatestCall {
     bool succeeded = false;
-    Seconds at = 0;
-    Seconds last_success = -1e9;
+    Seconds at = 0;  // a success: when it was sent; a failure: when it was noticed
+    Seconds success_at = kLongAgo;
   };
   struct Zone {
-    std::unordered_map<DestinationId, Latest> latest;
-    Seconds success_at = -1e9, failure_at = -1e9;
+    std::unordered_map<DestinationId, LatestCall> latest;
+    Seconds success_at = kLongAgo;
+    Seconds failure_at = kLongAgo;
     FaultKind fault{};
   };
-  void Record(Seconds now, int zone, DestinationId destination, Seconds sent, FaultKind wrong);
+
+  void DropIdleEndpoints();
+  void UpdateLatency(Endpoint& endpoint, Seconds duration);
+  bool IsKnown(int zone) const { return zone >= 0 && zone < zones(); }
+  void RecordSuccess(int zone, DestinationId destination, Seconds sent);
+  void RecordFailure(Seconds now, int zone, DestinationId destination, FaultKind fault);
 
   const Options options_;
   std::vector<Zone> zones_;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
-  Seconds latency_ = 0;  // of all
+  Seconds latency_ = 0;  // smoothed, of all endpoints; 0: unknown
 };
 
 }  // namespace opalroute::zone_failover
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -49,7 +49,7 @@
 TEST_CASE(
     "zone failover: gossip with states, a report and overrides is written as the same bytes in every build") {
   zone_failover::ZoneGossip gossip;
-  gossip.stages = {{300, zone_failover::EvacuationPhase::kRecovering, 3, 12.34},
+  gossip.states = {{300, zone_failover::EvacuationPhase::kRecovering, 3, 12.34},
                    {0, zone_failover::EvacuationPhase::kInService, 40, 1e9}};
   CHECK(Hex(EncodeZoneGossip(gossip)) == "02ac020e7b007fc0843d00");
   zone_failover::ZoneReport report;
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -1,4 +1,4 @@
-// Operators' orders of zones, on a fake clock: they reach all, hold while they last, and end by themselves.
+// Operators' overrides of zones, on a simulated clock: they reach all relays, hold, and expire.
 #include <doctest/doctest.h>
 
 #include <numeric>
@@ -13,15 +13,15 @@
 using zone_failover::EvacuationPhase;
 using zone_failover::OverrideKind;
 
-int CountObeying(SimulatedFleet& s, int zone, OverrideKind what) {
+int CountWithOverride(SimulatedFleet& s, int zone, OverrideKind kind) {
   int count = 0;
   for (int relay = 0; relay < s.size(); ++relay)
-    count += s.IsUp(relay) && s[relay].ActiveOverride(s.now, zone) == what;
+    count += s.IsUp(relay) && s[relay].ActiveOverride(s.now, zone) == kind;
   return count;
 }
 
 TEST_CASE(
-    "zone failover: an order to leave is told to one and reaches all; none tries the zone until it ends") {
+    "zone failover: an evacuation issued at one relay reaches all; none calls the zone until it expires") {
   for (const double loss : {0.0, 0.2, 0.6}) {
     CAPTURE(loss);
     lab::LinkPlan links;
@@ -39,27 +39,27 @@
     CHECK(calls.calls_by_zone[1] == 0);
     CHECK(calls.calls_by_zone[0] > 100);
     calls.RunUntil(114.6);  // each hop adds a tenth of a second at most
-    CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
+    CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 0);
     CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 0);
-    calls.RunUntil(124);  // its endpoints are tried again, and serve
+    calls.RunUntil(124);  // health checks succeed
     CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
     calls.RunUntil(130);
     CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 40);
   }
 }
 
-TEST_CASE("zone failover: an order to keep holds a zone that fails, and lets one return that was left") {
+TEST_CASE("zone failover: keep-in-service holds a failing zone, and lets an evacuated one recover") {
   SimulatedFleet s(OptionsFor(24), {}, 4);
-  const Seconds fails = 104;
+  const Seconds fails_at = 104;
   SimulatedCalls calls(s, 4, [&](int, int, int zone) {
-    return zone == 1 && s.now >= fails ? Failing(Outcome::kConnectFailed) : CallResult{};
+    return zone == 1 && s.now >= fails_at ? Failing(Outcome::kConnectFailed) : CallResult{};
   });
   s.StartAll();
   calls.RunUntil(103);
   s.IssueOverride(0, 1, OverrideKind::kKeepInService, 7);
   calls.RunUntil(109.9);
   CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 24);
-  calls.RunUntil(114);  // it ends, and what calls say counts again
+  calls.RunUntil(114);  // it has expired, and the health of the zone counts again
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 24);
   s.IssueOverride(23, 1, OverrideKind::kKeepInService, 30);
   calls.RunUntil(120);
@@ -68,7 +68,8 @@
 }
 
 TEST_CASE(
-    "zone failover: the later order stands: revoked behind a cut, given in both halves, asleep meanwhile") {
+    "zone failover: the later override wins: revoked or issued behind a partition, or while a relay is "
+    "frozen") {
   lab::LinkPlan links;
   lab::Cut cut;
   cut.first = 0;
@@ -85,58 +86,59 @@
   CHECK(CountInPhase(s, 0, EvacuationPhase::kEvacuated) == 20);
   s.Freeze(12, 118);
   calls.RunUntil(107);
-  s.IssueOverride(15, 0, OverrideKind::kNone, 0);             // one half hears that it is over
-  s.IssueOverride(2, 2, OverrideKind::kEvacuate, 600);        // and both are told of another zone,
-  s.IssueOverride(16, 2, OverrideKind::kKeepInService, 600);  // otherwise
+  s.IssueOverride(15, 0, OverrideKind::kNone, 0);             // reaches one half
+  s.IssueOverride(2, 2, OverrideKind::kEvacuate, 600);        // of another zone: one half gets this one,
+  s.IssueOverride(16, 2, OverrideKind::kKeepInService, 600);  // the other half this one
   calls.RunUntil(112);
-  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 11);  // the other half, and who is asleep
-  CHECK(CountObeying(s, 2, OverrideKind::kEvacuate) == 10);
+  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 11);  // the other half, and the frozen relay
+  CHECK(CountWithOverride(s, 2, OverrideKind::kEvacuate) == 10);
   calls.RunUntil(117);
-  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 1);
+  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 1);
   calls.RunUntil(121);
-  CHECK(CountObeying(s, 0, OverrideKind::kEvacuate) == 0);
-  CHECK(CountObeying(s, 2, OverrideKind::kKeepInService) ==
-        20);  // of the same number that of the greater relay
+  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 0);
+  CHECK(CountWithOverride(s, 2, OverrideKind::kKeepInService) ==
+        20);  // of the same sequence the greater issuer wins
   calls.RunUntil(145);
   for (int zone = 0; zone < kZones; ++zone) CHECK(CountInPhase(s, zone, EvacuationPhase::kInService) == 20);
 }
 
-TEST_CASE("zone failover: an order outlives its relays, with their folders or with one that has heard it") {
+TEST_CASE("zone failover: an override survives the restart of all relays if one state folder is left") {
   SimulatedFleet s(OptionsFor(9), {}, 6);
   s.StartAll();
   s.RunUntil(103);
   s.IssueOverride(1, 1, OverrideKind::kEvacuate, 30);
   s.RunUntil(105);
-  for (int relay = 0; relay < 9; ++relay) s.Kill(relay, relay != 4);  // one folder is left of nine
+  for (int relay = 0; relay < 9; ++relay) s.Kill(relay, relay != 4);  // one state folder of nine is left
   s.StartAll();
   s.RunUntil(109);
-  CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 9);
+  CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 9);
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 9);
   s.RunUntil(133.6);
-  CHECK(CountObeying(s, 1, OverrideKind::kEvacuate) == 0);
+  CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 0);
 }
 
-TEST_CASE("zone failover: what is left of an order neither grows nor shrinks by being told on") {
+TEST_CASE("zone failover: the remaining time of an override neither grows nor shrinks by gossip") {
   zone_failover::OperatorOverrides first(1), second(1);
   const Seconds ends = first.Issue(100, 0, OverrideKind::kEvacuate, 60, 2).expires_at;
   for (Seconds now = 100; now < 159; now += 0.037) {
     for (auto [from, to] : {std::pair(&first, &second), std::pair(&second, &first)}) {
-      zone_failover::ZoneGossip said;
-      said.stages.resize(1);
-      said.overrides = from->ForGossip(now);
-      const auto read = zone_failover::DecodeZoneGossip(zone_failover::EncodeZoneGossip(said));
+      zone_failover::ZoneGossip gossip;
+      gossip.states.resize(1);
+      gossip.overrides = from->ForGossip(now);
+      const auto read = zone_failover::DecodeZoneGossip(zone_failover::EncodeZoneGossip(gossip));
       REQUIRE(read);
       zone_failover::OperatorOverride order = read->overrides.at(0);
       order.expires_at += now + 0.011;
       to->Merge(now + 0.011, 0, order);
     }
   }
-  CHECK(first.Of(0).expires_at == ends);
-  CHECK(second.Of(0).expires_at >= ends);
-  CHECK(second.Of(0).expires_at < ends + 0.12);
+  CHECK(first.Get(0).expires_at == ends);
+  CHECK(second.Get(0).expires_at >= ends);
+  CHECK(second.Get(0).expires_at < ends + 0.12);
 }
 
-TEST_CASE("zone failover: orders merge alike in every order and with every loss; nonsense is passed over") {
+TEST_CASE(
+    "zone failover: overrides merge alike in every order and with every loss; invalid ones are ignored") {
   const std::vector<zone_failover::OperatorOverride> sent = {{1, 3, OverrideKind::kEvacuate, 50},
                                                              {1, 4, OverrideKind::kKeepInService, 60},
                                                              {2, 0, OverrideKind::kNone, 40},
@@ -152,7 +154,7 @@
       zone_failover::OperatorOverrides orders(1);
       for (const int i : order)
         if ((came >> i & 1U) != 0) orders.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
-      const zone_failover::OperatorOverride& now = orders.Of(0);
+      const zone_failover::OperatorOverride& now = orders.Get(0);
       if (!expected) expected = now;
       REQUIRE(now.sequence == expected->sequence);
       REQUIRE(now.issued_by == expected->issued_by);
@@ -162,13 +164,13 @@
   }
 }
 
-TEST_CASE("zone failover: orders in a note are read as they were written; cut anywhere it is refused") {
-  zone_failover::ZoneGossip said;
-  said.stages.resize(2);
-  said.overrides = {{}, {300, 299, OverrideKind::kKeepInService, 12.34}};
+TEST_CASE("zone failover: overrides in gossip decode to what was encoded, and truncated gossip is rejected") {
+  zone_failover::ZoneGossip gossip;
+  gossip.states.resize(2);
+  gossip.overrides = {{}, {300, 299, OverrideKind::kKeepInService, 12.34}};
   for (const bool reports : {false, true}) {
-    if (reports) said.report = zone_failover::Report(2);
-    const std::string bytes = zone_failover::EncodeZoneGossip(said);
+    if (reports) gossip.report = zone_failover::Report(2);
+    const std::string bytes = zone_failover::EncodeZoneGossip(gossip);
     const auto read = zone_failover::DecodeZoneGossip(bytes);
     REQUIRE(read);
     CHECK(read->report.has_value() == reports);
@@ -177,51 +179,51 @@
     CHECK(read->overrides[1].sequence == 300);
     CHECK(read->overrides[1].issued_by == 299);
     CHECK(read->overrides[1].kind == OverrideKind::kKeepInService);
-    CHECK(read->overrides[1].expires_at == doctest::Approx(12.4));  // never less than it is
+    CHECK(read->overrides[1].expires_at == doctest::Approx(12.4));  // rounded up
     for (std::size_t size = 0; size < bytes.size(); ++size)
       CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
     CHECK(!zone_failover::DecodeZoneGossip(bytes + "x"));
   }
 }
 
-// As a later build may say it: a part that this one does not know, told with its length.
-std::string WithLaterPart(std::string bytes, const zone_failover::ZoneGossip& said) {
-  zone_failover::ZoneGossip stages;
-  stages.stages = said.stages;
+// As a later version may write it: with a part that this one does not know.
+std::string WithUnknownPart(std::string bytes, const zone_failover::ZoneGossip& gossip) {
+  zone_failover::ZoneGossip states_only;
+  states_only.states = gossip.states;
   const std::size_t flags =
-      zone_failover::EncodeZoneGossip(stages).size() - 1;  // they stand behind the stages
+      zone_failover::EncodeZoneGossip(states_only).size() - 1;  // the byte after the states
   bytes[flags] = static_cast<char>(bytes[flags] | 16);
   return bytes + '\x03' + "new";
 }
 
-TEST_CASE("zone failover: what a later build adds to a note is passed over, and the rest is read") {
-  zone_failover::ZoneGossip said;
-  said.stages = {{7, EvacuationPhase::kEvacuated, 1, 2}, {}};
-  said.report = zone_failover::Report(2);
-  (*said.report)[1].failed = 9;
-  said.overrides = {{}, {3, 1, OverrideKind::kEvacuate, 5}};
-  const std::string bytes = WithLaterPart(zone_failover::EncodeZoneGossip(said), said);
+TEST_CASE("zone failover: parts that a later version adds to gossip are skipped, and the rest is read") {
+  zone_failover::ZoneGossip gossip;
+  gossip.states = {{7, EvacuationPhase::kEvacuated, 1, 2}, {}};
+  gossip.report = zone_failover::Report(2);
+  (*gossip.report)[1].failed = 9;
+  gossip.overrides = {{}, {3, 1, OverrideKind::kEvacuate, 5}};
+  const std::string bytes = WithUnknownPart(zone_failover::EncodeZoneGossip(gossip), gossip);
   const auto read = zone_failover::DecodeZoneGossip(bytes);
   REQUIRE(read);
-  CHECK(read->stages[0].round == 7);
+  CHECK(read->states[0].round == 7);
   CHECK((*read->report)[1].failed == 9);
   CHECK(read->overrides[1].kind == OverrideKind::kEvacuate);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
 }
 
-// Relays 0 to 3 run an earlier build, which knows no orders; 4 to 7 a later one.
-TEST_CASE("zone failover: three builds in one tier leave a zone together, and return") {
+// Relays 0 to 3 run an earlier version without overrides; 4 to 7 a later one.
+TEST_CASE("zone failover: a fleet of three versions evacuates a zone together, and it recovers") {
   SimulatedFleet s(OptionsFor(12), {}, 23);
   s.rewrite = [](int from, const std::string& bytes) {
-    auto note = membership::DecodeMessage(bytes);
-    const auto said = note ? zone_failover::DecodeZoneGossip(note->zone_payload) : std::nullopt;
-    if (!said || from > 7) return bytes;
-    zone_failover::ZoneGossip earlier = *said;
+    auto message = membership::DecodeMessage(bytes);
+    const auto gossip = message ? zone_failover::DecodeZoneGossip(message->zone_payload) : std::nullopt;
+    if (!gossip || from > 7) return bytes;
+    zone_failover::ZoneGossip earlier = *gossip;
     earlier.overrides.clear();
-    note->zone_payload =
-        from < 4 ? zone_failover::EncodeZoneGossip(earlier) : WithLaterPart(note->zone_payload, *said);
-    return membership::EncodeMessage(*note, 256);
+    message->zone_payload =
+        from < 4 ? zone_failover::EncodeZoneGossip(earlier) : WithUnknownPart(message->zone_payload, *gossip);
+    return membership::EncodeMessage(*message, 256);
   };
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kReset) : CallResult{};
@@ -234,7 +236,8 @@
   for (const auto& change : s.changes) CHECK(change.zone == 1);
 }
 
-TEST_CASE("zone failover: an operator's words are read whole or refused by the name of what is wrong") {
+TEST_CASE(
+    "zone failover: an operator's command is read completely, or rejected with the name of the wrong key") {
   const ZoneCommand order = ParseZoneCommand(R"({"zone":"first","order":"leave","for_s":600})");
   CHECK(order.zone == "first");
   CHECK(order.override_kind == OverrideKind::kEvacuate);
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -1,5 +1,4 @@
-// Zones that are left and returned to by a whole tier, on a fake clock. What the relays' calls see is drawn
-// from a truth that each test states; verdicts are counts and order.
+// Zones that a fleet evacuates and returns to, on a simulated clock. Each test says what calls meet.
 #include <doctest/doctest.h>
 
 #include <numeric>
@@ -13,39 +12,41 @@
 using zone_failover::EvacuationPhase;
 using zone_failover::FaultKind;
 
-TEST_CASE("zone failover: a zone that fails in any way is left by all within seconds, and no other is") {
-  for (const Outcome how :
+TEST_CASE(
+    "zone failover: a zone that fails_at in any way is evacuated by all within seconds, and no other is") {
+  for (const Outcome outcome :
        {Outcome::kConnectFailed, Outcome::kRejected, Outcome::kReset, Outcome::kError, Outcome::kTimeout})
     for (const int size : {3, 12, 60}) {
       CAPTURE(size);
-      CAPTURE(static_cast<int>(how));
+      CAPTURE(static_cast<int>(outcome));
       SimulatedFleet s(OptionsFor(size), {}, 5);
-      const Seconds fails = 105, back = 115;
+      const Seconds fails_at = 105;
+      const Seconds recovers_at = 115;
       SimulatedCalls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
-        return zone == 1 && s.now >= fails && s.now < back ? Failing(how) : CallResult{};
+        return zone == 1 && s.now >= fails_at && s.now < recovers_at ? Failing(outcome) : CallResult{};
       });
       s.StartAll();
-      calls.RunUntil(fails);
+      calls.RunUntil(fails_at);
       CHECK(s.changes.empty());
-      calls.RunUntil(fails + (how == Outcome::kTimeout ? 2.6 : 2.2));
+      calls.RunUntil(fails_at + (outcome == Outcome::kTimeout ? 2.6 : 2.2));
       CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == size);
       calls.calls_by_zone.clear();
-      calls.RunUntil(back);
-      CHECK(calls.calls_by_zone[1] * 10 <=
-            (calls.calls_by_zone[0] + calls.calls_by_zone[2]) * 3);  // of a small tier all are scouts
+      calls.RunUntil(recovers_at);
+      CHECK(calls.calls_by_zone[1] * 10 <= (calls.calls_by_zone[0] + calls.calls_by_zone[2]) *
+                                               3);  // in a small fleet all are health-check relays
       if (size == 60) CHECK(calls.calls_by_zone[1] * 12 < calls.calls_by_zone[0]);
-      calls.RunUntil(back + 8);
+      calls.RunUntil(recovers_at + 8);
       CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
-      calls.RunUntil(back + 14);
+      calls.RunUntil(recovers_at + 14);
       CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == size);
       for (const auto& change : s.changes) {
         CHECK(change.zone == 1);
-        CHECK(change.now.round == (change.now.phase == EvacuationPhase::kEvacuating ? 1 : 2));
+        CHECK(change.after.round == (change.after.phase == EvacuationPhase::kEvacuating ? 1 : 2));
       }
     }
 }
 
-TEST_CASE("zone failover: with 20% and 60% of the notes lost all leave, a little later") {
+TEST_CASE("zone failover: with 20% and 60% of the messages lost all evacuate, a little later") {
   for (const double loss : {0.2, 0.6}) {
     lab::LinkPlan links;
     links.loss = loss;
@@ -61,32 +62,32 @@
   }
 }
 
-TEST_CASE("zone failover: the scouts are the same three to all, and others are drawn in the next round") {
+TEST_CASE("zone failover: all relays name the same three health-check relays, and others in the next round") {
   SimulatedFleet s(OptionsFor(30), {}, 7);
   SimulatedCalls calls(s, 4, [&](int, int, int zone) {
     return zone == 2 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
   });
   s.StartAll();
   calls.RunUntil(110);
-  std::set<int> scouts;
+  std::set<int> health_check_relays;
   for (int relay = 0; relay < 30; ++relay)
-    if (s.TrafficShareOf(relay, 2).is_health_check_relay) scouts.insert(relay);
-  CHECK(scouts.size() >= 3);
-  CHECK(scouts.size() <= 6);  // by what each has heard of others
+    if (s.TrafficShareOf(relay, 2).is_health_check_relay) health_check_relays.insert(relay);
+  CHECK(health_check_relays.size() >= 3);
+  CHECK(health_check_relays.size() <= 6);  // relays may know different members
   std::vector<int> live(30);
   std::iota(live.begin(), live.end(), 0);
   const auto first = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
   CHECK(first != zone_failover::HealthCheckRelaysOf(live, 2, 3, 3));
   CHECK(first != zone_failover::HealthCheckRelaysOf(live, 1, 2, 3));
-  for (const int scout : first) CHECK(scouts.count(scout) == 1);
-  // One that goes leaves the others in their places.
+  for (const int relay : first) CHECK(health_check_relays.count(relay) == 1);
+  // Without one of them the others keep their ranks.
   live.erase(std::find(live.begin(), live.end(), first[0]));
   const auto without = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
   CHECK(without[0] == first[1]);
   CHECK(without[1] == first[2]);
 }
 
-TEST_CASE("zone failover: back for 300 ms each 3 s is not back") {
+TEST_CASE("zone failover: a zone that serves for 300 ms every 3 s does not recover") {
   SimulatedFleet s(OptionsFor(12), {}, 8);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     const bool flash = std::fmod(s.now - 105, 3) >= 2.7;
@@ -101,34 +102,39 @@
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zone failover: a relapse closes it anew, each time for longer up to a bound") {
+TEST_CASE("zone failover: a relapse evacuates it again, each time for longer up to a bound") {
   SimulatedFleet s(OptionsFor(12), {}, 9);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    // Served for as long as scouts try it, failing under everybody.
+    // Serves health-check relays, and fails_at under the load of all.
     const bool out = CountInPhase(s, 1, EvacuationPhase::kEvacuated) > 6;
     return zone == 1 && s.now >= 105 && (!out || s.now < 107) ? Failing(Outcome::kReset)
                                                               : CallResult{Outcome::kServed, 0.05};
   });
   s.StartAll();
   calls.RunUntil(200);
-  std::map<std::uint64_t, std::pair<Seconds, Seconds>> rounds;  // out since, returning since
+  struct Round {
+    Seconds evacuated_at = 0;
+    Seconds recovering_at = 0;
+  };
+  std::map<std::uint64_t, Round> rounds;
   for (const auto& change : s.changes) {
-    if (change.now.phase == EvacuationPhase::kEvacuated) rounds[change.now.round].first = change.now.since;
-    if (change.now.phase == EvacuationPhase::kRecovering) rounds[change.now.round].second = change.now.since;
+    if (change.after.phase == EvacuationPhase::kEvacuated)
+      rounds[change.after.round].evacuated_at = change.after.since;
+    if (change.after.phase == EvacuationPhase::kRecovering)
+      rounds[change.after.round].recovering_at = change.after.since;
   }
   REQUIRE(rounds.size() >= 4);
-  for (std::uint64_t round = 3; round + 1 <= rounds.rbegin()->first && rounds[round + 1].second > 0;
+  for (std::uint64_t round = 3; round + 1 <= rounds.rbegin()->first && rounds[round + 1].recovering_at > 0;
        ++round) {
     CAPTURE(round);
-    const double lasted = rounds[round].second - rounds[round].first;
+    const double lasted = rounds[round].recovering_at - rounds[round].evacuated_at;
     CHECK(lasted >= std::min(16.0, std::exp2(static_cast<double>(round - 2))) - 0.5);
     CHECK(lasted < 20);
   }
 }
 
 TEST_CASE(
-    "zone failover: who starts, restarts or wakes in the middle learns the stage before its first send "
-    "there") {
+    "zone failover: a relay that starts, restarts or thaws learns the phase before its first send there") {
   SimulatedFleet s(OptionsFor(12), {}, 10);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
@@ -137,12 +143,12 @@
   s.RunUntil(104);
   s.Kill(11);
   calls.RunUntil(106.9);
-  s.Freeze(5, 120);  // it holds what it held
-  s.Kill(3);         // with its folder
+  s.Freeze(5, 120);  // it keeps its state
+  s.Kill(3);         // with its state folder
   s.Kill(4, true);   // and without
   calls.RunUntil(112);
   for (const int relay : {3, 4, 11}) s.Start(relay);
-  CHECK(s[3].StateOf(1).phase == EvacuationPhase::kEvacuated);  // from the folder, before any word
+  CHECK(s[3].StateOf(1).phase == EvacuationPhase::kEvacuated);  // from the state folder, before any gossip
   CHECK(!s[4].HasJoined(s.now));
   s.RunUntil(s.now + 0.15);
   for (const int relay : {3, 4, 11}) {
@@ -154,7 +160,7 @@
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zone failover: a verdict that a frozen relay wakes with counts for nothing") {
+TEST_CASE("zone failover: the outdated state of a relay that thaws changes nothing") {
   SimulatedFleet s(OptionsFor(12), {}, 11);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 108 ? Failing(Outcome::kReset)
@@ -169,12 +175,11 @@
   const std::size_t before = s.changes.size();
   calls.RunUntil(130);
   CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 12);
-  CHECK(s.changes.size() <= before + 2);  // its own alone
+  CHECK(s.changes.size() <= before + 2);  // its own only
 }
 
 TEST_CASE(
-    "zone failover: who was frozen while others agreed on a zone, and missed their notes, does not call it "
-    "in") {
+    "zone failover: a relay that was frozen and cut off while others agreed does not cancel the evacuation") {
   SimulatedFleet s(OptionsFor(12), {}, 17);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 ? Failing(Outcome::kConnectFailed) : CallResult{Outcome::kServed, 0.05};
@@ -182,22 +187,22 @@
   s.StartAll();
   while (s.now < 110 && s[2].StateOf(1).phase != EvacuationPhase::kEvacuating) calls.RunUntil(s.now + 0.01);
   REQUIRE(s[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
-  const Seconds back = s.now + 4;
-  s.Freeze(2, back);
-  s.cut = [&](int, int to) { return s.now < back + 0.1 && to == 2; };
+  const Seconds thaws_at = s.now + 4;
+  s.Freeze(2, thaws_at);
+  s.cut = [&](int, int to) { return s.now < thaws_at + 0.1 && to == 2; };
   calls.RunUntil(s.now + 2);
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 11);
   calls.RunUntil(s.now + 6);
   CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
   int withdrawn = 0;
   for (const auto& change : s.changes) {
-    CHECK(change.now.round < 3);
-    withdrawn += change.now.phase == EvacuationPhase::kInService;
+    CHECK(change.after.round < 3);
+    withdrawn += change.after.phase == EvacuationPhase::kInService;
   }
-  CHECK(withdrawn == 1);  // its own, and it moves nobody
+  CHECK(withdrawn == 1);  // its own, which no other relay adopts
 }
 
-TEST_CASE("zone failover: two halves of a cut tier judge alike, and agree once they hear each other") {
+TEST_CASE("zone failover: both sides of a partition decide alike, and agree once it heals") {
   SimulatedFleet s(OptionsFor(16), {}, 12);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kTimeout)
@@ -214,7 +219,7 @@
   CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 16);
 }
 
-TEST_CASE("zone failover: seven in ten relays are killed during the outage; the rest returns without them") {
+TEST_CASE("zone failover: seven in ten relays are killed during the outage; the rest recovers without them") {
   SimulatedFleet s(OptionsFor(20), {}, 13);
   SimulatedCalls calls(s, 8, [&](int, int, int zone) {
     return zone == 1 && s.now >= 105 && s.now < 114 ? Failing(Outcome::kReset)
@@ -230,9 +235,9 @@
   CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 20);
 }
 
-// SIGKILL at every moment of leaving and returning, with the folder and without: it never sends where all
-// others have left, and ends where they are.
-TEST_CASE("zone failover: one that is killed at any moment comes back to the stage of the others") {
+// SIGKILL at every moment of evacuation and recovery, with the state folder and without: the relay never
+// sends to a zone that all others have evacuated.
+TEST_CASE("zone failover: a relay that is killed at any moment restarts in the phase of the others") {
   for (int moment = 0; moment < 60; ++moment) {
     CAPTURE(moment);
     SimulatedFleet s(OptionsFor(8), {}, 16);
@@ -255,15 +260,14 @@
   }
 }
 
-// What is no zone's failure. Whatever the draw, nobody leaves.
-TEST_CASE("zone failover: none is left over 1,000 scripts of what is no zone's failure") {
+TEST_CASE("zone failover: none is evacuated over 1,000 scripts of faults that are no zone's") {
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     pcg32 draw(seed, 31);
     const int size = 2 + static_cast<int>(draw(11));
     const int kind = static_cast<int>(seed % 8), bad = static_cast<int>(draw(kDestinations));
     const int some = 1 + static_cast<int>(draw(static_cast<std::uint32_t>(std::max(1, size / 5))));
-    const Outcome how = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
-                                             Outcome::kError}[draw(4)];
+    const Outcome outcome = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
+                                                 Outcome::kError}[draw(4)];
     lab::LinkPlan links;
     links.loss = draw(3) * 0.3;
     SimulatedFleet s(OptionsFor(size), links, seed);
@@ -272,25 +276,25 @@
     SimulatedCalls calls(s, 2 + draw(8), [&](int relay, int destination, int zone) -> CallResult {
       if (s.now < 102) return {};
       switch (kind) {
-        case 0:  // one destination, however much it is called, in one zone
-          return zone == 1 && destination == bad ? Failing(how) : CallResult{};
-        case 1:  // three partners everywhere, and one a little
+        case 0:  // one destination in one zone
+          return zone == 1 && destination == bad ? Failing(outcome) : CallResult{};
+        case 1:  // three destinations in all zones, and another one in three calls
           return (destination + 12 - bad) % 12 < 3 || (zone == 1 && destination == 5 && one_in(3))
-                     ? Failing(how)
+                     ? Failing(outcome)
                      : CallResult{};
-        case 2:  // a few relays have lost their own way to it; of four or fewer one is a quarter
-          return zone == 1 && relay < some && size > 4 * some ? Failing(how) : CallResult{};
+        case 2:  // a few relays have lost their path to it; of four or fewer relays one is a quarter
+          return zone == 1 && relay < some && size > 4 * some ? Failing(outcome) : CallResult{};
         case 3:  // all at once
-          return Failing(how);
+          return Failing(outcome);
         case 4:  // everything is slow at once
           return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, s.now - 102)};
         case 5:  // discovery is wrong about a third of a zone's endpoints
           return zone == 2 && destination % 3 == 0 ? Failing(Outcome::kConnectFailed) : CallResult{};
-        case 6:  // half of the partners of a zone are above their limits: two calls in three are turned away
+        case 6:  // half of the destinations of a zone are above their limits: two calls in three are rejected
           return zone == 1 && destination % 2 == 0 && !one_in(3) ? Failing(Outcome::kRejected)
                                                                  : CallResult{Outcome::kServed, 0.05};
-        default:  // one call in four fails by chance, everywhere
-          return one_in(4) ? Failing(how) : CallResult{};
+        default:  // one call in four fails_at by chance, everywhere
+          return one_in(4) ? Failing(outcome) : CallResult{};
       }
     });
     s.StartAll();
@@ -299,11 +303,11 @@
       REQUIRE_MESSAGE(CountInPhase(s, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ", kind,
                       ", zone ", zone);
     for (const auto& change : s.changes)
-      REQUIRE_MESSAGE(change.now.phase != EvacuationPhase::kEvacuated, "seed ", seed, ", kind ", kind);
+      REQUIRE_MESSAGE(change.after.phase != EvacuationPhase::kEvacuated, "seed ", seed, ", kind ", kind);
   }
 }
 
-TEST_CASE("zone failover: where half of the tier is served the other half leaves nobody's zone") {
+TEST_CASE("zone failover: a zone that serves half of the fleet is not evacuated") {
   SimulatedFleet s(OptionsFor(20), {}, 14);
   SimulatedCalls calls(s, 8, [&](int relay, int, int zone) {
     return zone == 1 && relay < 10 && s.now >= 103 ? Failing(Outcome::kReset)
@@ -311,10 +315,10 @@
   });
   s.StartAll();
   calls.RunUntil(125);
-  for (const auto& change : s.changes) CHECK(change.now.phase != EvacuationPhase::kEvacuated);
+  for (const auto& change : s.changes) CHECK(change.after.phase != EvacuationPhase::kEvacuated);
 }
 
-TEST_CASE("zone failover: one relay that accuses falsely moves nobody") {
+TEST_CASE("zone failover: one relay with false failure reports changes nothing") {
   SimulatedFleet s(OptionsFor(8), {}, 15);
   SimulatedCalls calls(
       s, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
@@ -323,7 +327,7 @@
   CHECK(s.changes.empty());
 }
 
-// Three relays, two zones: whatever order reports come in, doubled or lost, the latest of each that came
+// Three relays, two zones: in whatever order reports arrive, duplicated or lost, the latest of each relay
 // counts.
 TEST_CASE("zone failover: reports merge alike in every order, with every loss, over a restart") {
   struct Sent {
@@ -342,7 +346,7 @@
     return zone_failover::Report{z, other};
   };
   const std::vector<Sent> sent = {{0, 1, 5, report(0, 3)}, {0, 1, 6, report(3, 0)},
-                                  {1, 4, 9, report(4, 0)}, {1, 5, 1, report(0, 6)},  // it has started anew
+                                  {1, 4, 9, report(4, 0)}, {1, 5, 1, report(0, 6)},  // it has restarted
                                   {2, 2, 1, report(0, 5)}, {2, 2, 7, report(0, 9)}};
   std::vector<int> order(sent.size());
   std::iota(order.begin(), order.end(), 0);
@@ -350,16 +354,16 @@
   for (unsigned came = 0; came < 64; ++came) {
     std::optional<std::tuple<int, int, int, int, bool>> expected;
     do {
-      zone_failover::ZoneConsensus a({}, 2);
+      zone_failover::ZoneConsensus consensus({}, 2);
       for (const int i : order)
         for (int twice = 0; twice < 2; ++twice)
           if ((came >> i & 1U) != 0) {
             const Sent& n = sent[static_cast<std::size_t>(i)];
-            a.Add(10, n.from, n.life, n.number, n.report);
+            consensus.AddReport(10, n.from, n.life, n.number, n.report);
           }
-      const zone_failover::ZoneView v = a.ViewOf(10.1, 0);
+      const zone_failover::ZoneView v = consensus.ViewOf(10.1, 0);
       const std::tuple now(v.failure_reporters, v.success_reporters, v.failed_destinations,
-                           v.succeeded_destinations, a.IsFailing(10.1, 0, v, 3));
+                           v.succeeded_destinations, consensus.IsFailing(10.1, 0, v, {3}));
       if (!expected) expected = now;
       REQUIRE(now == *expected);
       ++checked;
@@ -368,7 +372,8 @@
   CHECK(checked == 64 * 720);
 }
 
-// Two zones that may fail at once beside a third: three relays, whose second words may be lost or come first.
+// Two zones that may fail at once beside a third: three relays, whose second reports may be lost or arrive
+// first.
 TEST_CASE("zone failover: verdicts on two zones at once are the same in every order and with every loss") {
   const auto report = [](int state, int relay) {  // bits: zone 0 fails, zone 1 fails
     zone_failover::Report all(3);
@@ -387,13 +392,13 @@
       std::vector<int> order = {0, 1, 2, 3, 4, 5};
       std::optional<std::pair<bool, bool>> expected;
       do {
-        zone_failover::ZoneConsensus a({}, 3);
+        zone_failover::ZoneConsensus consensus({}, 3);
         for (const int i : order)
           if ((came >> i & 1U) != 0)
-            a.Add(10, i / 2, 1, static_cast<std::uint64_t>(i % 2) + 1,
-                  report(i % 2 == 0 ? 0 : states >> (i / 2 * 2) & 3, i / 2));
-        const std::pair now(a.IsFailing(10.1, 0, a.ViewOf(10.1, 0), 3),
-                            a.IsFailing(10.1, 1, a.ViewOf(10.1, 1), 3));
+            consensus.AddReport(10, i / 2, 1, static_cast<std::uint64_t>(i % 2) + 1,
+                                report(i % 2 == 0 ? 0 : states >> (i / 2 * 2) & 3, i / 2));
+        const std::pair now(consensus.IsFailing(10.1, 0, consensus.ViewOf(10.1, 0), {3}),
+                            consensus.IsFailing(10.1, 1, consensus.ViewOf(10.1, 1), {3}));
         if (!expected) expected = now;
         REQUIRE(now == *expected);
       } while (std::next_permutation(order.begin(), order.end()));
@@ -401,13 +406,14 @@
       left[1] += expected->second;
     }
   }
-  CHECK(left[0] > 0);  // the words suffice in some of them
+  CHECK(left[0] > 0);  // the reports suffice in some of them
   CHECK(left[1] > 0);
 }
 
-// An accusation lasts for longer than what was served since the question, so fewer of the control are heard.
-TEST_CASE("zone failover: the control is held against those who have spoken since the zone is being left") {
-  zone_failover::ZoneConsensus a({}, 2);
+// Failure reports last for longer than the successes since the evacuation began, so the control has fewer of
+// them.
+TEST_CASE("zone failover: the control is compared with reports since the zone is being evacuated") {
+  zone_failover::ZoneConsensus consensus({}, 2);
   const auto add = [&](Seconds seen, int relay, std::uint64_t number, Seconds served) {
     zone_failover::ZoneReport zone, control;
     zone.failed = 1U << relay % 3;
@@ -415,20 +421,23 @@
     zone.failure_age = 0.1;
     control.succeeded = 1;
     control.success_age = served;
-    a.Add(seen, relay, 1, number, {zone, control});
+    consensus.AddReport(seen, relay, 1, number, {zone, control});
   };
   const Seconds since = 10.3, now = 10.7;
   for (int relay = 0; relay < 50; ++relay) add(10, relay, 1, 0.1);
-  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));  // nobody has been served since
+  CHECK(!consensus.IsFailing(now, 0, consensus.ViewOf(now, 0),
+                             {100, since}));  // no relay has been served since
   for (int relay = 0; relay < 4; ++relay) add(10.6, relay, 2, 0.1);
-  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));  // too few: a quarter of a quorum is five
+  CHECK(!consensus.IsFailing(now, 0, consensus.ViewOf(now, 0),
+                             {100, since}));  // too few: a quarter of a quorum is five
   for (int relay = 4; relay < 12; ++relay) add(10.6, relay, 2, 0.1);
-  CHECK(a.ViewOf(now, 0).failure_reporters == 50);
-  CHECK(a.IsFailing(now, 0, a.ViewOf(now, 0), 100, since));
-  CHECK(!a.IsFailing(now, 0, a.ViewOf(now, 0), 100, 10.55));  // those calls were sent before
+  CHECK(consensus.ViewOf(now, 0).failure_reporters == 50);
+  CHECK(consensus.IsFailing(now, 0, consensus.ViewOf(now, 0), {100, since}));
+  CHECK(
+      !consensus.IsFailing(now, 0, consensus.ViewOf(now, 0), {100, 10.55}));  // those calls were sent before
 }
 
-TEST_CASE("zone failover: stages merge alike in every order and with every loss") {
+TEST_CASE("zone failover: states merge alike in every order and with every loss") {
   const std::vector<zone_failover::EvacuationState> sent = {
       {1, EvacuationPhase::kEvacuating, 0, 3},  {1, EvacuationPhase::kEvacuated, 0, 4},
       {1, EvacuationPhase::kRecovering, 0, 5},  {2, EvacuationPhase::kEvacuated, 1, 6},
@@ -438,10 +447,10 @@
   for (unsigned came = 1; came < 64; ++came) {
     std::optional<zone_failover::EvacuationState> expected;
     do {
-      zone_failover::ZoneEvacuation stages({}, 1, 0);
+      zone_failover::ZoneEvacuation evacuation({}, 1, 0);
       for (const int i : order)
-        if ((came >> i & 1U) != 0) stages.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
-      const zone_failover::EvacuationState& now = stages.Of(0);
+        if ((came >> i & 1U) != 0) evacuation.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
+      const zone_failover::EvacuationState& now = evacuation.StateOf(0);
       if (!expected) expected = now;
       REQUIRE(now.round == expected->round);
       REQUIRE(now.phase == expected->phase);
@@ -450,21 +459,21 @@
   }
 }
 
-TEST_CASE("zone failover: what a note says of them is read as it was written; cut anywhere it is refused") {
-  zone_failover::ZoneGossip said;
-  said.stages = {{300, EvacuationPhase::kRecovering, 3, 12.34}, {0, EvacuationPhase::kInService, 0, 1e9}};
-  said.report = zone_failover::Report(2);
-  (*said.report)[0].succeeded = 0x80000001;
-  (*said.report)[1].failed = 7;
-  (*said.report)[1].failure_age = 0.37;
-  (*said.report)[1].fault = FaultKind::kTimeout;
-  const std::string bytes = zone_failover::EncodeZoneGossip(said);
+TEST_CASE("zone failover: gossip decodes to what was encoded, and truncated gossip is rejected") {
+  zone_failover::ZoneGossip gossip;
+  gossip.states = {{300, EvacuationPhase::kRecovering, 3, 12.34}, {0, EvacuationPhase::kInService, 0, 1e9}};
+  gossip.report = zone_failover::Report(2);
+  (*gossip.report)[0].succeeded = 0x80000001;
+  (*gossip.report)[1].failed = 7;
+  (*gossip.report)[1].failure_age = 0.37;
+  (*gossip.report)[1].fault = FaultKind::kTimeout;
+  const std::string bytes = zone_failover::EncodeZoneGossip(gossip);
   const auto read = zone_failover::DecodeZoneGossip(bytes);
   REQUIRE(read);
-  CHECK(read->stages[0].round == 300);
-  CHECK(read->stages[0].phase == EvacuationPhase::kRecovering);
-  CHECK(read->stages[0].relapses == 3);
-  CHECK(read->stages[0].since == doctest::Approx(12.3));  // never older than it is
+  CHECK(read->states[0].round == 300);
+  CHECK(read->states[0].phase == EvacuationPhase::kRecovering);
+  CHECK(read->states[0].relapses == 3);
+  CHECK(read->states[0].since == doctest::Approx(12.3));  // rounded down
   CHECK((*read->report)[0].succeeded == 0x80000001);
   CHECK((*read->report)[1].failure_age == doctest::Approx(0.3));
   CHECK((*read->report)[1].fault == FaultKind::kTimeout);
