--- a/src/cli/command_line.cpp
+++ b/src/cli/command_line.cpp
@@ -33,12 +33,12 @@
   pool->add_flag("--json", order.as_json, "as JSON instead of a table");
   CLI::App* zones =
       app.add_subcommand("zones", "print who is there of a relay's tier, and the stage of each zone");
-  zones->add_option("FROM", order.zones.from, "address of a relay's --admin-listen")->required();
+  zones->add_option("FROM", order.zones.address, "address of a relay's --admin-listen")->required();
   zones->add_flag("--json", order.as_json, "as JSON instead of a table");
   std::string leave, keep, revoke;
   auto* by_hand = zones->add_option_group("by hand", "told to all relays of the tier by this one");
   by_hand->require_option(0, 1);
-  auto* ends = zones->add_option("--for", order.zones.lasts, "seconds until the order ends, a day at most")
+  auto* ends = zones->add_option("--for", order.zones.duration, "seconds until the order ends, a day at most")
                    ->check(CLI::Range(1.0, zone_failover::OperatorOverrides::kMaxDuration));
   by_hand->add_option("--leave", leave, "this zone is left, whatever calls say")->needs(ends);
   by_hand->add_option("--keep", keep, "this zone is not left, whatever calls say")->needs(ends);
@@ -59,7 +59,7 @@
   if (*zones) order.command = Command::kZones;
   for (const auto& [name, zone] :
        {std::pair("leave", &leave), std::pair("keep", &keep), std::pair("none", &revoke)})
-    if (!zone->empty()) order.zones.order = name, order.zones.zone = *zone;
+    if (!zone->empty()) order.zones.override_name = name, order.zones.zone = *zone;
   return parsed;
 }
 
--- a/src/cli/zones_command.cpp
+++ b/src/cli/zones_command.cpp
@@ -11,63 +11,87 @@
 
 namespace {
 
-void PrintTable(const nlohmann::ordered_json& page) {
-  const auto& tier = page.at("tier");
+using nlohmann::ordered_json;
+
+constexpr int kOk = 0;
+constexpr int kFailed = 1;
+constexpr int kInvalidAddress = 2;
+
+std::string Text(const ordered_json& row, const char* key) { return row.at(key).get<std::string>(); }
+long Whole(const ordered_json& row, const char* key) { return row.at(key).get<long>(); }
+double Number(const ordered_json& row, const char* key) { return row.at(key).get<double>(); }
+
+void PrintMembership(const ordered_json& page) {
+  const ordered_json& members = page.at("tier");
   std::printf("%s of %ld relays: %ld live, %ld suspected, %ld unheard, %ld gone; shares are of %.0f parts\n",
-              page.at("relay").get<std::string>().c_str(), tier.at("relays").get<long>(),
-              tier.at("live").get<long>(), tier.at("suspected").get<long>(), tier.at("unheard").get<long>(),
-              tier.at("gone").get<long>(), tier.at("parts").get<double>());
+              Text(page, "relay").c_str(), Whole(members, "relays"), Whole(members, "live"),
+              Whole(members, "suspected"), Whole(members, "unheard"), Whole(members, "gone"),
+              Number(members, "parts"));
+}
+
+void PrintHeader() {
   std::printf("%-12s %-10s %8s %6s %9s %6s %-6s %9s %9s %17s  %s\n", "zone", "stage", "for s", "round",
               "relapses", "share", "scout", "accusers", "vouchers", "partners failing", "why");
-  for (const auto& z : page.at("zones")) {
-    const std::string failing = std::to_string(z.at("partners_failing").get<long>()) + " of " +
-                                std::to_string(z.at("partners").get<long>());
-    std::printf("%-12s %-10s %8.1f %6ld %9ld %6.2f %-6s %9ld %9ld %17s  %s\n",
-                z.at("zone").get<std::string>().c_str(), z.at("stage").get<std::string>().c_str(),
-                z.at("for_s").get<double>(), z.at("round").get<long>(), z.at("relapses").get<long>(),
-                z.at("share").get<double>(), z.at("scout").get<bool>() ? "yes" : "no",
-                z.at("accusers").get<long>(), z.at("vouchers").get<long>(), failing.c_str(),
-                z.at("why").get<std::string>().c_str());
-    if (z.at("order").get<std::string>() != "none")
-      std::printf("%-12s by hand: %s for another %.0f s, told to relay %ld\n", "",
-                  z.at("order").get<std::string>().c_str(), z.at("order_left_s").get<double>(),
-                  z.at("order_told_to").get<long>());
+}
+
+void PrintZone(const ordered_json& zone) {
+  const std::string failing =
+      std::to_string(Whole(zone, "partners_failing")) + " of " + std::to_string(Whole(zone, "partners"));
+  std::printf("%-12s %-10s %8.1f %6ld %9ld %6.2f %-6s %9ld %9ld %17s  %s\n", Text(zone, "zone").c_str(),
+              Text(zone, "stage").c_str(), Number(zone, "for_s"), Whole(zone, "round"),
+              Whole(zone, "relapses"), Number(zone, "share"), zone.at("scout").get<bool>() ? "yes" : "no",
+              Whole(zone, "accusers"), Whole(zone, "vouchers"), failing.c_str(), Text(zone, "why").c_str());
+}
+
+void PrintOverride(const ordered_json& zone) {
+  const std::string name = Text(zone, "order");
+  if (name == "none") return;
+  std::printf("%-12s by hand: %s for another %.0f s, told to relay %ld\n", "", name.c_str(),
+              Number(zone, "order_left_s"), Whole(zone, "order_told_to"));
+}
+
+void PrintTable(const ordered_json& page) {
+  PrintMembership(page);
+  PrintHeader();
+  for (const ordered_json& zone : page.at("zones")) {
+    PrintZone(zone);
+    PrintOverride(zone);
   }
 }
 
-// Gives an order of a zone; the exit status.
-int GiveOrder(const sockaddr_in& to, const ZoneCommand& command) {
-  nlohmann::json body = {{"zone", command.zone}, {"order", command.order}};
-  if (command.lasts > 0) body["for_s"] = command.lasts;
-  const PostAnswer answer = PostPage(to, "/zones", body.dump());
-  if (answer.status == 200) return 0;
+// Returns the exit status.
+int IssueOverride(const sockaddr_in& relay, const ZoneCommand& command) {
+  nlohmann::json body = {{"zone", command.zone}, {"order", command.override_name}};
+  if (command.duration > 0) body["for_s"] = command.duration;
+  const PostAnswer answer = PostPage(relay, "/zones", body.dump());
+  if (answer.status == 200) return kOk;
   std::cerr << (answer.status == 0 ? "no relay answered (see --admin-listen)\n" : answer.text);
-  return 1;
+  return kFailed;
 }
 
 }  // namespace
 
 int Zones(const ZoneCommand& command, bool as_json) {
-  const std::string& from = command.from;
-  const auto address = net::ParseAddress(from);
+  const auto address = net::ParseAddress(command.address);
   if (!address) {
-    std::cerr << "'" << from << "' is no address like 127.0.0.1:80\n";
-    return 2;
+    std::cerr << "'" << command.address << "' is no address like 127.0.0.1:80\n";
+    return kInvalidAddress;
   }
-  if (!command.order.empty()) {
-    const int status = GiveOrder(*address, command);
-    if (status != 0) return status;
+  if (!command.override_name.empty()) {
+    const int status = IssueOverride(*address, command);
+    if (status != kOk) return status;
   }
-  const nlohmann::ordered_json page = FetchPage(*address, "/zones");
+  const ordered_json page = FetchPage(*address, "/zones");
   if (!page.is_object()) {
-    std::cerr << "no relay told its zones at " << from << " (see --admin-listen, --tier-zones)\n";
-    return 1;
+    std::cerr << "no relay told its zones at " << command.address << " (see --admin-listen, --tier-zones)\n";
+    return kFailed;
   }
-  if (as_json)
-    std::cout << page.dump(-1, ' ', true, nlohmann::ordered_json::error_handler_t::replace) << '\n';
-  else
+  if (as_json) {
+    std::cout << page.dump(-1, ' ', true, ordered_json::error_handler_t::replace) << '\n';
+  } else {
     PrintTable(page);
-  return 0;
+  }
+  return kOk;
 }
 
 }  // namespace opalroute::cli
--- a/src/cli/zones_command.h
+++ b/src/cli/zones_command.h
@@ -1,5 +1,5 @@
-// `opalroute zones`: who is there of a relay's tier and the stage of each zone, from a running relay; and
-// operators' orders of a zone, which that relay tells all others.
+// `opalroute zones`: shows membership and the state of each zone as a running relay sees them, and issues
+// operators' overrides of zones.
 #pragma once
 
 #include <string>
@@ -7,12 +7,14 @@
 namespace opalroute::cli {
 
 struct ZoneCommand {
-  std::string from;         // the address of its --admin-listen
-  std::string order, zone;  // leave, keep or none (revoke); empty: just look
-  double lasts = 0;         // seconds
+  std::string address;        // of the relay's --admin-listen
+  std::string override_name;  // leave, keep or none (revoke); empty: only show
+  std::string zone;           // of the override
+  double duration = 0;        // of the override, seconds; 0: none is given
 };
-// Returns the exit status: 0 done, 1 nobody answered, the tier is off there or the order was refused, 2
-// `from` is no address.
+
+// Returns the exit status: 0 done; 1 no answer, zone failover is off there or the override was rejected; 2
+// `address` is invalid.
 int Zones(const ZoneCommand& command, bool as_json);
 
 }  // namespace opalroute::cli
