--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -100,11 +100,11 @@
       auditor_.ToldParts(host_.TierNow(), relay, size->share_count);
     host_.PostTo(relay, std::move(event));
   }
-  for (const auto& [to, bytes] : what.messages)
-    Tell(relay, to == zone_failover::kAllPeers ? std::nullopt : std::optional<int>(to), bytes);
+  for (const zone_failover::OutgoingDatagram& datagram : what.datagrams)
+    Tell(relay, datagram.to, datagram.bytes);
   for (const zone_failover::ZoneFailover::Change& c : what.changes)
     result_.stage_changes.push_back(
-        {host_.TierNow(), relay, c.zone, c.now.round, zone_failover::NameOf(c.now.phase), c.from_peer});
+        {host_.TierNow(), relay, c.zone, c.after.round, zone_failover::NameOf(c.after.phase), c.from_peer});
 }
 
 void TierPlay::Tell(int from, std::optional<int> to, const std::string& bytes) {
