--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -21,7 +21,7 @@
 
 SuspendedEndpoints::SuspendedEndpoints(std::string folder, std::size_t most_bytes)
     : folder_(std::move(folder)), most_bytes_(most_bytes) {
-  RetryForASecond(Path(kFile), [this] { return Read(ids_); });
+  RetryTransientErrors(Path(kFile), [this] { return Read(ids_); });
 }
 
 // Danger: a file that can't be opened just now, for want of descriptors, bans as it did before.
--- a/src/journal/durable_file.cpp
+++ b/src/journal/durable_file.cpp
@@ -13,63 +13,62 @@
 
 namespace {
 
-constexpr int kRetries = 100;                    // of a call that fails ...
-constexpr std::chrono::milliseconds kPause(10);  // ... with so long in between
+constexpr int kMaxRetries = 100;
+constexpr std::chrono::milliseconds kRetryPause(10);
+constexpr std::size_t kReadChunkBytes = 65536;
+constexpr mode_t kOwnerOnly = 0600;
+constexpr mode_t kReadableByAll = 0644;
 
 }  // namespace
 
-void RetryForASecond(const std::string& what, const std::function<bool()>& attempt) {
-  for (int failures = 0; !attempt();) {
+void RetryTransientErrors(const std::string& what, const std::function<bool()>& attempt) {
+  int failures = 0;
+  while (!attempt()) {
     if (errno == EINTR) continue;
-    if (++failures > kRetries) throw std::system_error(errno, std::generic_category(), what);
-    std::this_thread::sleep_for(kPause);
+    if (++failures > kMaxRetries) throw std::system_error(errno, std::generic_category(), what);
+    std::this_thread::sleep_for(kRetryPause);
   }
 }
 
-int OpenOrCreate(const std::string& path) {
+net::FileDescriptor OpenOrCreate(const std::string& path) {
   int fd = -1;
-  RetryForASecond(path, [&] {
-    fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
+  RetryTransientErrors(path, [&] {
+    fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly);
     return fd >= 0;
   });
-  return fd;
+  return net::FileDescriptor(fd);
 }
 
-std::string ReadWholeFile(int fd, const std::string& name) {
+std::string ReadWholeFile(int fd, const std::string& path) {
   std::string bytes;
-  char piece[65536];
+  char chunk[kReadChunkBytes];
   ssize_t count = 0;
   do {
-    RetryForASecond(name, [&] {
-      count = pread(fd, piece, sizeof(piece), static_cast<off_t>(bytes.size()));
+    RetryTransientErrors(path, [&] {
+      count = pread(fd, chunk, sizeof(chunk), static_cast<off_t>(bytes.size()));
       return count >= 0;
     });
-    bytes.append(piece, static_cast<std::size_t>(count));
+    bytes.append(chunk, static_cast<std::size_t>(count));
   } while (count > 0);
   return bytes;
 }
 
-std::optional<std::string> ReadFileIfThere(const std::string& path) {
+std::optional<std::string> ReadFileIfExists(const std::string& path) {
   int fd = -1;
-  RetryForASecond(path, [&] {
+  RetryTransientErrors(path, [&] {
     fd = open(path.c_str(), O_RDONLY | O_CLOEXEC);
     return fd >= 0 || errno == ENOENT;
   });
-  if (fd < 0) return std::nullopt;
-  try {
-    std::string bytes = ReadWholeFile(fd, path);
-    close(fd);
-    return bytes;
-  } catch (...) {
-    close(fd);
-    throw;
-  }
+  const net::FileDescriptor file(fd);
+  if (!file.valid()) return std::nullopt;
+  return ReadWholeFile(file.get(), path);
 }
 
-bool WriteAllAt(int fd, const std::string& bytes, std::size_t at) {
+bool WriteAllAt(int fd, const std::string& bytes, std::size_t offset) {
   std::size_t done = 0;
   while (done < bytes.size()) {
-    const ssize_t count = pwrite(fd, bytes.data() + done, bytes.size() - done, static_cast<off_t>(at + done));
+    const ssize_t count =
+        pwrite(fd, bytes.data() + done, bytes.size() - done, static_cast<off_t>(offset + done));
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) return false;
     done += static_cast<std::size_t>(count);
@@ -78,16 +77,15 @@
 }
 
 bool ReplaceFile(const std::string& path, const std::string& bytes) {
-  const std::string fresh = path + ".new";
-  const int fd = open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
-  if (fd < 0) return false;
-  const bool written = WriteAllAt(fd, bytes, 0);
+  const std::string new_path = path + ".new";
+  net::FileDescriptor file(open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kReadableByAll));
+  if (!file.valid()) return false;
+  const bool written = WriteAllAt(file.get(), bytes, 0);
+  file.Close();
+  if (written && std::rename(new_path.c_str(), path.c_str()) == 0) return true;
   const int error = errno;
-  close(fd);
-  if (written && std::rename(fresh.c_str(), path.c_str()) == 0) return true;
-  const int failed = written ? errno : error;
-  std::remove(fresh.c_str());
-  errno = failed;
+  std::remove(new_path.c_str());
+  errno = error;
   return false;
 }
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,90 +1,84 @@
-// What the relay has taken on, in a folder that outlives the process.
+// Write-ahead journal of the accepted requests, in a folder that outlives the process.
 //
-// Append-only records, each with its length and a checksum. What a write call has taken survives the end of
-// the process, so nothing is synced; it does not survive the loss of power, nor of the machine. When the file
-// has grown, the records that still matter go to a new file that takes its place; both count for the disk
-// while that is done, so the budget leaves room for both.
+// The file is append-only, and each record is written before what it stands for happens: `accepted` before
+// the 202, `attempt` before the first byte of the call. Once the file has grown, the records that still
+// matter are written to a new file that replaces it; both count for the disk meanwhile, so the budget leaves
+// room for both. The records and their format: journal_record.h.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
 #include <map>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 #include <vector>
 
-namespace opalroute {
-
-struct JournalAttempt {
-  std::string endpoint, zone;
-  std::int64_t sent_at = 0;  // PersistentClock::Micros
-  bool may_have_run = true;  // until its outcome says otherwise
-};
+#include "journal/journal_file.h"
+#include "journal/journal_record.h"
 
-struct JournalEntry {
-  std::string id, request_class, tenant, key, body;
-  std::int64_t destination = 0;
-  std::int64_t deadline = 0;  // PersistentClock::Micros
-  std::vector<JournalAttempt> attempts;
-  std::string notification;  // not empty: ended, and this is still to be told to the platform
-};
+namespace opalroute {
 
 class Journal {
  public:
-  // Reads what an earlier process left. Records after a torn or damaged one are given up and cut off.
-  // Throws std::system_error if the folder can't be used, or the file can't be read for a second: what is
-  // owed there is not given up for an error that may pass, and the file stays as it is.
-  // `file` is its name there; disk_bytes bounds it and its compaction together.
-  Journal(const std::string& folder, std::size_t disk_bytes, std::string file = "journal");
-  ~Journal();
-  Journal(const Journal&) = delete;
-  Journal& operator=(const Journal&) = delete;
+  // Reads what an earlier process left. Records after a torn or damaged one are dropped and cut off. Throws
+  // std::system_error, with the path, if the file can't be opened or read for a second: requests are not
+  // given up for an error that may pass, and the file stays as it is. `file` is its name in the folder;
+  // `disk_bytes` bounds it and its compaction together.
+  Journal(const std::string& folder, std::size_t disk_bytes, const std::string& file = "journal");
 
-  const std::map<std::uint64_t, JournalEntry>& entries() const { return entries_; }  // in the order taken
-  std::size_t lost_bytes() const { return lost_bytes_; }
+  // The unfinished requests by their number, in the order accepted.
+  const std::map<std::uint64_t, JournalEntry>& entries() const { return entries_; }
+  std::size_t lost_bytes() const { return lost_bytes_; }  // dropped when the file was read
 
-  // Each returns whether it is written. An end always finds room, whatever else does not. An end or a notice
-  // that can't be written is kept, and written before the next record.
+  // Each returns whether its record is written. RecordAccepted and RecordAttempt are also refused where the
+  // disk is too full; RecordAccepted also for an id that is in use. An end always finds space: one that can't
+  // be written now takes effect at once all the same, and is written before the next record.
   bool RecordAccepted(const JournalEntry& entry);
   bool RecordAttempt(const std::string& id, const JournalAttempt& attempt);
-  bool RecordNotExecuted(const std::string& id, std::size_t attempt);
-  bool RecordEnd(const std::string& id);  // nothing more is owed
-  bool RecordEndWithNotification(const std::string& id,
-                                 const std::string& notice);  // once the notice has arrived: End
+  bool RecordNotExecuted(const std::string& id,
+                         std::size_t attempt);  // its index among the recorded attempts
+  bool RecordEnd(const std::string& id);
+  // The request has ended; its entry stays until RecordEnd says that the notification has been delivered.
+  bool RecordEndWithNotification(const std::string& id, const std::string& notification);
 
-  // Takes over what another journal holds, whose process has ended: each entry is written here whole before
-  // it ends there, so that one of the two has it at every moment. Returns the numbers of the new ones. What
-  // finds no room stays there; without that the other's file is empty.
+  // Moves the entries of another journal, whose process has ended, to this one. Each is written here
+  // completely before it ends there, so that at least one of the two has it at every moment. Returns the
+  // numbers of the new entries. An entry that finds no space here stays there; without such the other file is
+  // emptied.
   std::vector<std::uint64_t> AdoptEntriesOf(Journal& other);
 
  private:
-  static std::size_t CostOf(const JournalEntry& entry);
-  static std::size_t AttemptCost(const JournalEntry& entry, std::size_t attempt);
-  bool HasRoom(std::size_t bytes, double part) const;
+  static std::size_t BytesToReserve(const JournalEntry& entry);
+  bool HasSpace(std::size_t bytes, double share_of_disk) const;
+
   JournalEntry* Find(const std::string& id);
-  void Recover();
   void Insert(JournalEntry&& entry);
   void AddAttempt(JournalEntry& entry, JournalAttempt&& attempt);
   void Erase(const JournalEntry& entry);
-  bool Apply(const std::string& record);
+
+  // A record that was read; false: it contradicts the records before it.
+  bool Apply(journal_record::Accepted&& record);
+  bool Apply(journal_record::Attempt&& record);
+  bool Apply(journal_record::NotExecuted&& record);
+  bool Apply(journal_record::End&& record);
+  bool Apply(journal_record::EndWithNotification&& record);
+  bool ApplyBytes(std::string_view bytes);
+
   bool Write(const std::string& record);
+  bool WriteEnd(std::string&& record);
   bool WritePendingEnds();
-  bool CutTornRecord();
-  bool Compact();
-  void Clear();
-  static std::string RecordsOf(const JournalEntry& entry);
-  bool WriteFrames(const std::string& bytes);
-  std::string path() const { return folder_ + "/" + file_; }
+  bool WriteFrames(const std::string& frames);
+  void Compact();
 
-  std::string folder_, file_;
-  std::size_t disk_bytes_;
-  int fd_ = -1;
-  std::size_t file_bytes_ = 0, kept_bytes_ = 0, lost_bytes_ = 0;
-  bool torn_ = false;  // bytes of a record that was not written whole stand behind file_bytes_
+  const std::size_t disk_bytes_;
+  JournalFile file_;
+  std::size_t lost_bytes_ = 0;
+  std::size_t reserved_bytes_ = 0;         // that the records of all entries take, now and until their ends
   std::vector<std::string> pending_ends_;  // records of ends that could not be written
-  std::uint64_t last_ = 0;
+  std::uint64_t last_number_ = 0;
   std::map<std::uint64_t, JournalEntry> entries_;
-  std::unordered_map<std::string, std::uint64_t> numbers_;
+  std::unordered_map<std::string, std::uint64_t> numbers_;  // by request id
 };
 
 }  // namespace opalroute
--- /dev/null
+++ b/src/journal/journal_record.cpp
@@ -0,0 +1,192 @@
+#include "journal/journal_record.h"
+
+#include <utility>
+
+#include "net/framing.h"
+
+namespace opalroute::journal_record {
+
+namespace {
+
+enum class Type : char {
+  kAccepted = 'T',
+  kAttempt = 'A',
+  kNotExecuted = 'N',
+  kEnd = 'E',
+  kEndWithNotification = 'W'
+};
+
+constexpr std::size_t kTypeBytes = 1;
+constexpr std::size_t kNumberBytes = 8;
+
+void AppendNumber(std::string& record, std::uint64_t number) {
+  for (std::size_t i = 0; i < kNumberBytes; ++i) record += static_cast<char>(number >> (8 * i) & 255U);
+}
+
+void AppendText(std::string& record, const std::string& text) {
+  AppendNumber(record, text.size());
+  record += text;
+}
+
+std::size_t TextBytes(const std::string& text) { return kNumberBytes + text.size(); }
+
+std::size_t HeaderBytes(const std::string& id) { return kTypeBytes + TextBytes(id); }
+
+std::string Header(Type type, const std::string& id) {
+  std::string record(kTypeBytes, static_cast<char>(type));
+  AppendText(record, id);
+  return record;
+}
+
+// Reads fields one after another. After the first that is cut off, all are empty and failed() holds.
+class FieldReader {
+ public:
+  explicit FieldReader(std::string_view record) : rest_(record) {}
+
+  bool failed() const { return failed_; }
+
+  char Byte() {
+    const std::string_view byte = Take(kTypeBytes);
+    return byte.empty() ? '\0' : byte.front();
+  }
+
+  std::uint64_t Number() {
+    std::uint64_t number = 0;
+    int shift = 0;
+    for (const char byte : Take(kNumberBytes)) {
+      number |= static_cast<std::uint64_t>(static_cast<unsigned char>(byte)) << shift;
+      shift += 8;
+    }
+    return number;
+  }
+
+  std::int64_t SignedNumber() { return static_cast<std::int64_t>(Number()); }
+
+  std::string Text() {
+    const std::uint64_t size = Number();
+    return std::string(Take(size));
+  }
+
+ private:
+  std::string_view Take(std::uint64_t count) {
+    if (count > rest_.size()) failed_ = true;
+    if (failed_) return {};
+    const std::string_view bytes = rest_.substr(0, count);
+    rest_.remove_prefix(count);
+    return bytes;
+  }
+
+  std::string_view rest_;
+  bool failed_ = false;
+};
+
+Accepted ReadAccepted(FieldReader& reader, std::string id) {
+  JournalEntry entry;
+  entry.id = std::move(id);
+  entry.request_class = reader.Text();
+  entry.tenant = reader.Text();
+  entry.key = reader.Text();
+  entry.body = reader.Text();
+  entry.destination = reader.SignedNumber();
+  entry.deadline = reader.SignedNumber();
+  return {std::move(entry)};
+}
+
+Attempt ReadAttempt(FieldReader& reader, std::string id) {
+  JournalAttempt attempt;
+  attempt.endpoint = reader.Text();
+  attempt.zone = reader.Text();
+  attempt.sent_at = reader.SignedNumber();
+  return {std::move(id), std::move(attempt)};
+}
+
+std::optional<Record> ReadFields(FieldReader& reader, Type type, std::string id) {
+  switch (type) {
+    case Type::kAccepted:
+      return ReadAccepted(reader, std::move(id));
+    case Type::kAttempt:
+      return ReadAttempt(reader, std::move(id));
+    case Type::kNotExecuted:
+      return NotExecuted{std::move(id), reader.Number()};
+    case Type::kEnd:
+      return End{std::move(id)};
+    case Type::kEndWithNotification:
+      return EndWithNotification{std::move(id), reader.Text()};
+  }
+  return std::nullopt;
+}
+
+}  // namespace
+
+std::optional<Record> Decode(std::string_view bytes) {
+  FieldReader reader(bytes);
+  const auto type = static_cast<Type>(reader.Byte());
+  std::string id = reader.Text();
+  std::optional<Record> record = ReadFields(reader, type, std::move(id));
+  if (reader.failed()) return std::nullopt;
+  return record;
+}
+
+std::string EncodeAccepted(const JournalEntry& entry) {
+  std::string record = Header(Type::kAccepted, entry.id);
+  AppendText(record, entry.request_class);
+  AppendText(record, entry.tenant);
+  AppendText(record, entry.key);
+  AppendText(record, entry.body);
+  AppendNumber(record, static_cast<std::uint64_t>(entry.destination));
+  AppendNumber(record, static_cast<std::uint64_t>(entry.deadline));
+  return record;
+}
+
+std::string EncodeAttempt(const std::string& id, const JournalAttempt& attempt) {
+  std::string record = Header(Type::kAttempt, id);
+  AppendText(record, attempt.endpoint);
+  AppendText(record, attempt.zone);
+  AppendNumber(record, static_cast<std::uint64_t>(attempt.sent_at));
+  return record;
+}
+
+std::string EncodeNotExecuted(const std::string& id, std::size_t attempt) {
+  std::string record = Header(Type::kNotExecuted, id);
+  AppendNumber(record, attempt);
+  return record;
+}
+
+std::string EncodeEnd(const std::string& id) { return Header(Type::kEnd, id); }
+
+std::string EncodeEndWithNotification(const std::string& id, const std::string& notification) {
+  std::string record = Header(Type::kEndWithNotification, id);
+  AppendText(record, notification);
+  return record;
+}
+
+std::string EncodeFramesOf(const JournalEntry& entry) {
+  if (!entry.notification.empty()) {
+    JournalEntry ended;
+    ended.id = entry.id;
+    return net::Frame(EncodeAccepted(ended)) +
+           net::Frame(EncodeEndWithNotification(entry.id, entry.notification));
+  }
+  std::string frames = net::Frame(EncodeAccepted(entry));
+  for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
+    frames += net::Frame(EncodeAttempt(entry.id, entry.attempts[i]));
+    if (!entry.attempts[i].may_have_run) frames += net::Frame(EncodeNotExecuted(entry.id, i));
+  }
+  return frames;
+}
+
+std::size_t FrameBytesOfAccepted(const JournalEntry& entry) {
+  return net::kFrameHead + HeaderBytes(entry.id) + TextBytes(entry.request_class) + TextBytes(entry.tenant) +
+         TextBytes(entry.key) + TextBytes(entry.body) + 2 * kNumberBytes;
+}
+
+std::size_t FrameBytesOfAttempt(const std::string& id, const JournalAttempt& attempt) {
+  return net::kFrameHead + HeaderBytes(id) + TextBytes(attempt.endpoint) + TextBytes(attempt.zone) +
+         kNumberBytes;
+}
+
+std::size_t FrameBytesOfNotExecuted(const std::string& id) {
+  return net::kFrameHead + HeaderBytes(id) + kNumberBytes;
+}
+
+}  // namespace opalroute::journal_record
--- a/src/journal/persistent_clock.cpp
+++ b/src/journal/persistent_clock.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr int kVersion = 1;
-constexpr std::size_t kMostRecord = 400;
+constexpr std::size_t kMaxRecordBytes = 400;
+constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
 
@@ -27,30 +28,33 @@
 
 PersistentClock::PersistentClock(const net::Clock& clock, const std::string& folder, std::string boot_id)
     : clock_(clock), folder_(folder), boot_id_(std::move(boot_id)) {
-  const std::optional<std::string> bytes = ReadFileIfThere(path());
+  const std::optional<std::string> bytes = ReadFileIfExists(path());
   if (bytes) {
-    const net::FrameRead frame = net::ReadFrame(*bytes, kMostRecord);
-    resumed_ = persisted_ = frame.state == net::FrameState::kWhole && Resume(std::string(frame.record));
+    const net::FrameRead frame = net::ReadFrame(*bytes, kMaxRecordBytes);
+    resumed_ = frame.state == net::FrameState::kWhole && Resume(frame.record);
+    persisted_ = resumed_;
   }
   if (!resumed_) offset_ = clock_.WallMicros() - MonotonicMicros();
 }
 
-// A monotonic clock that shows less than when the offset was kept is another one, whatever the boot's id
+// A monotonic clock that shows less than when the offset was stored is another one, whatever the boot's id
 // says.
-bool PersistentClock::Resume(const std::string& record) {
-  const nlohmann::json kept = nlohmann::json::parse(record, nullptr, false);
+bool PersistentClock::Resume(std::string_view record) {
+  const nlohmann::json saved = nlohmann::json::parse(record, nullptr, false);
   try {
-    const bool same_boot = !boot_id_.empty() && kept.at("boot").get<std::string>() == boot_id_;
-    const bool same_clock = kept.at("monotonic").get<std::int64_t>() <= MonotonicMicros();
-    if (kept.at("version").get<int>() != kVersion || !same_boot || !same_clock) return false;
-    offset_ = kept.at("offset").get<std::int64_t>();
+    const bool same_boot = !boot_id_.empty() && saved.at("boot").get<std::string>() == boot_id_;
+    const bool same_clock = saved.at("monotonic").get<std::int64_t>() <= MonotonicMicros();
+    if (saved.at("version").get<int>() != kVersion || !same_boot || !same_clock) return false;
+    offset_ = saved.at("offset").get<std::int64_t>();
     return true;
   } catch (const nlohmann::json::exception&) {
     return false;
   }
 }
 
-std::int64_t PersistentClock::MonotonicMicros() const { return std::llround(clock_.Now() * 1e6); }
+std::int64_t PersistentClock::MonotonicMicros() const {
+  return std::llround(clock_.Now() * kMicrosPerSecond);
+}
 
 std::int64_t PersistentClock::Micros() const { return offset_ + MonotonicMicros(); }
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -398,7 +398,7 @@
   std::error_code none;
   const auto bytes = std::filesystem::file_size(config_.state_folder + "/" + file, none);
   if (none || bytes == 0) return taken;
-  process_lock_.RunIfOtherIsFree([&] {
+  process_lock_.TryRunWithOtherSlot([&] {
     Journal other(config_.state_folder, JournalBytes(), file);
     taken = journal_.AdoptEntriesOf(other);
   });
--- a/tests/journal/journal_faults_test.cpp
+++ b/tests/journal/journal_faults_test.cpp
@@ -1,6 +1,6 @@
 // The journal, and other files of the state folder, on a disk whose calls fail for a while, or write a part:
-// what was taken on is still owed, what has ended has ended, a wait that was told holds, and what is written
-// after the trouble is read again.
+// accepted requests stay, ended ones do not come back, a Retry-After time holds, and what is written after
+// the faults is read again.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/syscall.h>
@@ -118,7 +118,7 @@
   ~NoFaults() { opens = reads = writes = cuts = Faults{}; }
 };
 
-JournalEntry Message(const std::string& id, std::size_t size = 40) {
+JournalEntry Request(const std::string& id, std::size_t size = 40) {
   JournalEntry entry;
   entry.id = id;
   entry.request_class = "payment";
@@ -128,7 +128,7 @@
   return entry;
 }
 
-std::set<std::string> Owed(const Journal& journal) {
+std::set<std::string> Unfinished(const Journal& journal) {
   std::set<std::string> ids;
   for (const auto& [number, entry] : journal.entries()) ids.insert(entry.id);
   return ids;
@@ -141,13 +141,13 @@
       const NoFaults after;
       {
         Journal journal(folder.path(), kDisk);
-        for (const char* id : {"a", "b", "c", "d", "e"}) REQUIRE(journal.RecordAccepted(Message(id, 30'000)));
+        for (const char* id : {"a", "b", "c", "d", "e"}) REQUIRE(journal.RecordAccepted(Request(id, 30'000)));
       }
       const std::string before = folder.Bytes();
       for (const int passes : {0, 1, 2}) {  // the first piece of the file, one in its midst, the end
         reads.Plan(passes, failures, error);
         const Journal journal(folder.path(), kDisk);
-        CHECK(Owed(journal).size() == 5);
+        CHECK(Unfinished(journal).size() == 5);
         CHECK(journal.lost_bytes() == 0);
         CHECK(folder.Bytes() == before);
       }
@@ -158,57 +158,57 @@
 TEST_CASE("a file that can't be read at all refuses the start, and stays as it is") {
   const Folder folder;
   const NoFaults after;
-  { REQUIRE(Journal(folder.path(), kDisk).RecordAccepted(Message("a"))); }
+  { REQUIRE(Journal(folder.path(), kDisk).RecordAccepted(Request("a"))); }
   const std::string before = folder.Bytes();
   reads.Plan(0, kForEver, EIO);
   CHECK_THROWS_AS(Journal(folder.path(), kDisk), std::system_error);
   reads = Faults{};
   CHECK(folder.Bytes() == before);
-  CHECK(Owed(Journal(folder.path(), kDisk)).size() == 1);
+  CHECK(Unfinished(Journal(folder.path(), kDisk)).size() == 1);
 }
 
-// What a relay does with five messages, and what it must owe afterwards: a message that was taken on and has
-// not ended, and no other.
+// What a relay does with five requests, and which it must have in its journal afterwards: those that were
+// accepted and have not ended.
 class Script {
  public:
   explicit Script(Journal& journal) : journal_(journal) {}
   void Play() {
-    Take("a");
-    Take("b");
-    Try("a");
+    Accept("a");
+    Accept("b");
+    Attempt("a");
     End("a");
-    Take("c");
-    EndWithNotice("b");
-    Try("c");
+    Accept("c");
+    EndWithNotification("b");
+    Attempt("c");
     End("b");
-    Take("d");
-    Take("a");  // its name once more, after its end
+    Accept("d");
+    Accept("a");  // its id once more, after its end
     End("d");
-    Take("e");
+    Accept("e");
   }
-  const std::set<std::string>& owed() const { return owed_; }
+  const std::set<std::string>& unfinished() const { return unfinished_; }
 
  private:
-  void Take(const std::string& id) {
-    if (journal_.RecordAccepted(Message(id))) owed_.insert(id);
+  void Accept(const std::string& id) {
+    if (journal_.RecordAccepted(Request(id))) unfinished_.insert(id);
   }
-  void Try(const std::string& id) {
-    if (owed_.count(id) > 0) journal_.RecordAttempt(id, {"e1", "ground", 17, true});
+  void Attempt(const std::string& id) {
+    if (unfinished_.count(id) > 0) journal_.RecordAttempt(id, {"e1", "ground", 17, true});
   }
-  void EndWithNotice(const std::string& id) {
-    if (owed_.count(id) > 0) journal_.RecordEndWithNotification(id, "notice");
+  void EndWithNotification(const std::string& id) {
+    if (unfinished_.count(id) > 0) journal_.RecordEndWithNotification(id, "notice");
   }
   void End(const std::string& id) {
-    if (owed_.erase(id) > 0) journal_.RecordEnd(id);
+    if (unfinished_.erase(id) > 0) journal_.RecordEnd(id);
   }
 
   Journal& journal_;
-  std::set<std::string> owed_;
+  std::set<std::string> unfinished_;
 };
 
 // Each write of the script fails in turn, once or more often, whole or after some bytes, and so do the cuts
 // that would take those bytes back. Then the disk is well, one more message comes, and the process is killed.
-TEST_CASE("writes that fail at any place leave what is owed, and nothing that has ended") {
+TEST_CASE("writes that fail at any place leave what is unfinished, and nothing that has ended") {
   int played = 0;
   for (int passes = 0; passes < 14; ++passes)
     for (const int failures : {1, 2, 5})
@@ -220,7 +220,7 @@
           CAPTURE(cuts_failing);
           const Folder folder;
           const NoFaults after;
-          std::set<std::string> owed;
+          std::set<std::string> unfinished;
           {
             Journal journal(folder.path(), kDisk);
             Script script(journal);
@@ -228,13 +228,13 @@
             cuts.Plan(0, cuts_failing, EIO);
             script.Play();
             writes = cuts = Faults{};
-            owed = script.owed();
-            REQUIRE(journal.RecordAccepted(Message("last")));
-            owed.insert("last");
-            CHECK(Owed(journal) == owed);
+            unfinished = script.unfinished();
+            REQUIRE(journal.RecordAccepted(Request("last")));
+            unfinished.insert("last");
+            CHECK(Unfinished(journal) == unfinished);
           }
           const Journal again(folder.path(), kDisk);
-          CHECK(Owed(again) == owed);
+          CHECK(Unfinished(again) == unfinished);
           CHECK(again.lost_bytes() == 0);
           ++played;
         }
@@ -247,43 +247,43 @@
   const Folder folder;
   const NoFaults after;
   Journal journal(folder.path(), kDisk);
-  REQUIRE(journal.RecordAccepted(Message("a")));
+  REQUIRE(journal.RecordAccepted(Request("a")));
   writes.Plan(0, 2, ENOSPC, 5'000);
   cuts.Plan(0, kForEver, EIO);
-  CHECK_FALSE(journal.RecordAccepted(Message("long", 10'000)));
+  CHECK_FALSE(journal.RecordAccepted(Request("long", 10'000)));
   writes = Faults{};
-  CHECK_FALSE(journal.RecordAccepted(Message("short")));
+  CHECK_FALSE(journal.RecordAccepted(Request("short")));
   cuts = Faults{};
-  CHECK(journal.RecordAccepted(Message("short")));
-  CHECK(Owed(Journal(folder.path(), kDisk)) == std::set<std::string>{"a", "short"});
+  CHECK(journal.RecordAccepted(Request("short")));
+  CHECK(Unfinished(Journal(folder.path(), kDisk)) == std::set<std::string>{"a", "short"});
 }
 
 TEST_CASE("a compaction that can't be written leaves the old file, and is done later") {
   const Folder folder;
   const NoFaults after;
   Journal journal(folder.path(), kDisk);
-  REQUIRE(journal.RecordAccepted(Message("kept")));
+  REQUIRE(journal.RecordAccepted(Request("kept")));
   for (int i = 0; i < 60; ++i) {
     const std::string id = "m" + std::to_string(i);
     if (i % 7 == 3) writes.Plan(0, 2, EIO);
-    if (!journal.RecordAccepted(Message(id, 60'000))) continue;
+    if (!journal.RecordAccepted(Request(id, 60'000))) continue;
     journal.RecordEnd(id);
-    if (i % 5 == 0) CHECK(Owed(Journal(folder.path(), kDisk)).count("kept") == 1);
+    if (i % 5 == 0) CHECK(Unfinished(Journal(folder.path(), kDisk)).count("kept") == 1);
   }
   writes = Faults{};
-  REQUIRE(journal.RecordAccepted(Message("last")));
-  CHECK(Owed(Journal(folder.path(), kDisk)) == std::set<std::string>{"kept", "last"});
+  REQUIRE(journal.RecordAccepted(Request("last")));
+  CHECK(Unfinished(Journal(folder.path(), kDisk)) == std::set<std::string>{"kept", "last"});
 }
 
 TEST_CASE("files of the state folder that can't be opened for a while do not refuse the start") {
   const net::SystemClock clock;
   const auto start = [&](const std::string& folder) {
-    const hot_restart::ProcessLock seats(folder, true);
+    const hot_restart::ProcessLock lock(folder, true);
     PersistentClock(clock, folder).Persist();
     const Journal journal(folder, kDisk);
-    const hot_restart::SharedRetryAfterTable waits(folder, seats.own(), seats.other(), 8);
+    const hot_restart::SharedRetryAfterTable times(folder, lock.own(), lock.other(), 8);
   };
-  constexpr int kOpened = 6;  // two seats, the clock, the journal, two files of waits
+  constexpr int kOpened = 6;  // two lock files, the clock, the journal, two files of Retry-After times
   for (const int error : {EIO, ENOSPC, EMFILE, ENFILE, EINTR})
     for (int passes = 0; passes <= kOpened; ++passes) {
       CAPTURE(error);
@@ -299,36 +299,40 @@
   CHECK_THROWS_AS(start(folder.path()), std::system_error);
 }
 
-// What two processes of one relay were told: `first` writes under faults, `second` reads.
-class Waits {
+// The Retry-After times of two processes of one relay: `first` publishes under faults, `second` reads.
+class SharedTimes {
  public:
-  explicit Waits(const std::string& folder) : folder_(folder), second_(folder, 1, 0, kMost) { Restart(); }
+  explicit SharedTimes(const std::string& folder) : folder_(folder), second_(folder, 1, 0, kMaxEntries) {
+    Restart();
+  }
   void Restart() {
     first_.reset();
-    first_ = std::make_unique<hot_restart::SharedRetryAfterTable>(folder_, 0, 1, kMost);
+    first_ = std::make_unique<hot_restart::SharedRetryAfterTable>(folder_, 0, 1, kMaxEntries);
   }
-  void Tell(std::int64_t destination, std::int64_t until) {
+  void Publish(std::int64_t destination, std::int64_t until) {
     first_->Publish({destination, 0, until});
-    told_[destination] = std::max(told_[destination], until);
+    published_[destination] = std::max(published_[destination], until);
   }
-  void EndTurn() { first_->HasChanges(); }
-  // As a relay does at the end of each turn.
-  void Heed() {
+  void EndBatch() { first_->HasChanges(); }
+  // As a relay does at the end of each batch.
+  void ReadChanges() {
     if (!second_.HasChanges()) return;
-    for (const hot_restart::SharedRetryAfter& wait : second_.Active(0))
-      heeded_[wait.destination] = wait.until;
+    for (const hot_restart::SharedRetryAfter& entry : second_.Active(0))
+      seen_[entry.destination] = entry.until;
   }
-  bool AllHeeded() const { return heeded_ == told_; }
+  bool AllSeen() const { return seen_ == published_; }
 
  private:
-  static constexpr std::size_t kMost = 8;
+  static constexpr std::size_t kMaxEntries = 8;
   const std::string folder_;
   std::unique_ptr<hot_restart::SharedRetryAfterTable> first_;
   hot_restart::SharedRetryAfterTable second_;
-  std::map<std::int64_t, std::int64_t> told_, heeded_;
+  std::map<std::int64_t, std::int64_t> published_;
+  std::map<std::int64_t, std::int64_t> seen_;
 };
 
-TEST_CASE("a wait that could not be written or read at once is heeded by the other process all the same") {
+TEST_CASE(
+    "a Retry-After time that could not be written or read at once reaches the other process all the same") {
   for (int passes = 0; passes < 8; ++passes)
     for (const int failures : {1, 2, 5})
       for (const std::size_t part : {std::size_t{0}, std::size_t{7}})
@@ -338,34 +342,34 @@
           CAPTURE(part);
           const Folder folder;
           const NoFaults after;
-          Waits waits(folder.path());
+          SharedTimes times(folder.path());
           faulty->Plan(passes, failures, part > 0 ? ENOSPC : EIO, part);
           for (int i = 0; i < 4; ++i) {
-            waits.Tell(i % 3, 1000 + i);
-            waits.Heed();
+            times.Publish(i % 3, 1000 + i);
+            times.ReadChanges();
           }
           opens = reads = writes = cuts = Faults{};
-          waits.EndTurn();
-          waits.Heed();
-          CHECK(waits.AllHeeded());
+          times.EndBatch();
+          times.ReadChanges();
+          CHECK(times.AllSeen());
         }
 }
 
-TEST_CASE("a process that starts while the disk fails keeps the waits that its former one was told") {
+TEST_CASE("a process that starts while the disk fails keeps the Retry-After times of its predecessor") {
   for (int passes = 0; passes < 6; ++passes)
     for (Faults* faulty : {&reads, &writes, &cuts}) {
       CAPTURE(passes);
       const Folder folder;
       const NoFaults after;
-      Waits waits(folder.path());
-      for (int i = 0; i < 3; ++i) waits.Tell(i, 1000 + i);
+      SharedTimes times(folder.path());
+      for (int i = 0; i < 3; ++i) times.Publish(i, 1000 + i);
       faulty->Plan(passes, 3, EIO);
-      waits.Restart();
-      waits.Tell(3, 1003);
+      times.Restart();
+      times.Publish(3, 1003);
       opens = reads = writes = cuts = Faults{};
-      waits.EndTurn();
-      waits.Heed();
-      CHECK(waits.AllHeeded());
+      times.EndBatch();
+      times.ReadChanges();
+      CHECK(times.AllSeen());
     }
 }
 
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -27,7 +27,7 @@
   fs::path path;
 };
 
-JournalEntry Message(const std::string& id, std::size_t size) {
+JournalEntry Request(const std::string& id, std::size_t size) {
   JournalEntry entry;
   entry.id = id;
   entry.request_class = "order";
@@ -43,10 +43,10 @@
   Folder folder;
   {
     Journal journal(folder.path, 3'000'000);
-    REQUIRE(journal.RecordAccepted(Message("a", 100)));
-    REQUIRE(journal.RecordAccepted(Message("b", 100)));
-    REQUIRE(journal.RecordAccepted(Message("c", 0)));
-    CHECK_FALSE(journal.RecordAccepted(Message("a", 1)));  // it is held already
+    REQUIRE(journal.RecordAccepted(Request("a", 100)));
+    REQUIRE(journal.RecordAccepted(Request("b", 100)));
+    REQUIRE(journal.RecordAccepted(Request("c", 0)));
+    CHECK_FALSE(journal.RecordAccepted(Request("a", 1)));  // it is in use
     REQUIRE(journal.RecordAttempt("a", {"e1", "ground", 17, true}));
     REQUIRE(journal.RecordAttempt("a", {"e2", "first", 18, true}));
     REQUIRE(journal.RecordNotExecuted("a", 0));
@@ -74,7 +74,7 @@
   {
     Journal journal(folder.path, 3'000'000);
     for (const char* id : {"a", "b", "c"}) {
-      REQUIRE(journal.RecordAccepted(Message(id, 20)));
+      REQUIRE(journal.RecordAccepted(Request(id, 20)));
       REQUIRE(journal.RecordAttempt(id, {"e1", "ground", 17, true}));
     }
   }
@@ -86,7 +86,7 @@
     Journal journal(folder.path, 3'000'000);
     CHECK(journal.entries().size() >= before);
     before = journal.entries().size();
-    REQUIRE(journal.RecordAccepted(Message("z", 5)));
+    REQUIRE(journal.RecordAccepted(Request("z", 5)));
     CHECK(Journal(folder.path, 3'000'000).entries().size() == before + 1);
   }
   CHECK(before == 3);
@@ -100,8 +100,8 @@
   }
 }
 
-// 64 KiB bodies times the messages that may be open are more than the disk: what finds no room is not taken
-// on, what was taken on can always be brought to its end, and compaction never goes over the limit.
+// 64 KiB bodies times the requests that may be open are more than the disk: what finds no space is not
+// accepted, what was accepted can always be ended, and compaction never exceeds the limit.
 TEST_CASE("the disk's limit holds, compaction included") {
   Folder folder;
   constexpr std::size_t kDisk = 3'000'000;
@@ -110,7 +110,7 @@
   std::size_t most = 0, rejected = 0;
   for (int i = 0; i < 600; ++i) {
     const std::string id = "m" + std::to_string(i);
-    if (journal.RecordAccepted(Message(id, i % 3 == 0 ? 65536 : 200))) {
+    if (journal.RecordAccepted(Request(id, i % 3 == 0 ? 65536 : 200))) {
       open.push_back(id);
     } else {
       ++rejected;
@@ -125,18 +125,18 @@
   }
   CHECK(rejected > 50);
   CHECK(most <= kDisk);
-  CHECK(most > kDisk / 2);  // it was pressed
+  CHECK(most > kDisk / 2);  // the limit was near
   CHECK(Journal(folder.path, kDisk).entries().size() == open.size());
 }
 
-// Guards against a reserve so careful that usual messages are rejected while most of the disk is free: a
-// relay at 120 messages a second holds several hundred through an outage.
-TEST_CASE("a thousand usual messages find room, and can all be attempted and ended") {
+// Guards against a reserve so careful that usual requests are rejected while most of the disk is free: a
+// relay at 120 requests a second holds several hundred through an outage.
+TEST_CASE("a thousand usual requests find room, and can all be attempted and ended") {
   Folder folder;
   Journal journal(folder.path, 3'000'000);
   for (int round = 0; round < 3; ++round) {
     for (int i = 0; i < 1000; ++i)
-      REQUIRE(journal.RecordAccepted(Message("0123456789abcdef" + std::to_string(i), 212)));
+      REQUIRE(journal.RecordAccepted(Request("0123456789abcdef" + std::to_string(i), 212)));
     for (int i = 0; i < 1000; ++i)
       REQUIRE(
           journal.RecordAttempt("0123456789abcdef" + std::to_string(i), {"s-5be2a07c", "ground", 17, true}));
@@ -148,7 +148,7 @@
 // A compaction that the process did not live to end leaves its file: the old one stands.
 TEST_CASE("a half-written compaction is dropped") {
   Folder folder;
-  { REQUIRE(Journal(folder.path, 3'000'000).RecordAccepted(Message("a", 10))); }
+  { REQUIRE(Journal(folder.path, 3'000'000).RecordAccepted(Request("a", 10))); }
   std::ofstream(folder.path / "journal.new") << "half";
   CHECK(Journal(folder.path, 3'000'000).entries().size() == 1);
   CHECK_FALSE(fs::exists(folder.path / "journal.new"));
--- a/tests/journal/persistent_clock_test.cpp
+++ b/tests/journal/persistent_clock_test.cpp
@@ -84,7 +84,7 @@
 
 TEST_CASE_FIXTURE(ClockFixture, "clock: a damaged file is none, and is replaced") {
   REQUIRE(Process().Persist());
-  const std::string whole = *ReadFileIfThere(folder_ + "/clock");
+  const std::string whole = *ReadFileIfExists(folder_ + "/clock");
   for (std::size_t size = 0; size < whole.size(); ++size) {
     std::ofstream(folder_ + "/clock", std::ios::trunc) << whole.substr(0, size);
     CHECK(!Process().resumed());
