--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,5 +1,6 @@
 #include "admin/admin_server.h"
 
+#include <algorithm>
 #include <utility>
 
 #include "ingress/server_bounds.h"
@@ -19,19 +20,29 @@
   return bounds;
 }
 
+// The page or command with this path, or null.
+template <typename Route>
+const Route* FindByPath(const std::vector<Route>& routes, const std::string& path) {
+  const auto it =
+      std::find_if(routes.begin(), routes.end(), [&path](const Route& route) { return route.path == path; });
+  return it == routes.end() ? nullptr : &*it;
+}
+
 }  // namespace
 
 AdminServer::AdminServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
-                         Commands orders)
-    : pages_(std::move(pages)), orders_(std::move(orders)), http_(loop, listen, BoundsOf(limits), *this) {}
+                         Commands commands)
+    : pages_(std::move(pages)),
+      commands_(std::move(commands)),
+      http_(loop, listen, BoundsOf(limits), *this) {}
 
 net::HttpAnswer AdminServer::OnRequest(net::HttpMessage& request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
-  const auto order = orders_.find(path);
-  if (request.method == "POST" && order != orders_.end()) return order->second(request.body);
-  const auto page = pages_.find(path);
-  if (request.method != "GET" || page == pages_.end()) return net::PlainAnswer(404, "there is no such page");
-  return {200, {{"Content-Type", "application/json"}}, page->second() + "\n", 0};
+  const Command* command = FindByPath(commands_, path);
+  if (request.method == "POST" && command != nullptr) return command->run(request.body);
+  const Page* page = FindByPath(pages_, path);
+  if (request.method != "GET" || page == nullptr) return net::PlainAnswer(404, "there is no such page");
+  return {200, {{"Content-Type", "application/json"}}, page->print() + "\n", 0};
 }
 
 }  // namespace opalroute
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,10 +1,9 @@
-// What a running relay tells its operators, on an address of its own: clients can't reach it, and it costs
-// nothing unless it is asked.
+// The admin pages of a running relay (`--admin-listen`), on an address of their own that clients can't reach.
 #pragma once
 
 #include <functional>
-#include <map>
 #include <string>
+#include <vector>
 
 #include "config/limits.h"
 #include "net/http_server.h"
@@ -13,12 +12,22 @@
 
 class AdminServer : private net::HttpServer::Handler {
  public:
-  using Pages = std::map<std::string, std::function<std::string()>>;  // JSON, by path
-  using Commands = std::map<std::string, std::function<net::HttpAnswer(const std::string& body)>>;  // POST
-
-  // Throws std::system_error if the address can't be had.
+  // Answers GET of `path` with the JSON text that `print` returns.
+  struct Page {
+    std::string path;
+    std::function<std::string()> print;
+  };
+  // Answers POST of `path`, with the request's body, as `run` does.
+  struct Command {
+    std::string path;
+    std::function<net::HttpAnswer(const std::string& body)> run;
+  };
+  using Pages = std::vector<Page>;
+  using Commands = std::vector<Command>;
+
+  // Throws std::system_error if it can't listen on the address.
   AdminServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits, Pages pages,
-              Commands orders = {});
+              Commands commands = {});
   sockaddr_in address() const { return http_.address(); }
 
  private:
@@ -26,7 +35,7 @@
   void OnAnswerLost(std::uint64_t) override {}
 
   const Pages pages_;
-  const Commands orders_;
+  const Commands commands_;
   net::HttpServer http_;
 };
 
--- a/src/admin/operations_server.cpp
+++ b/src/admin/operations_server.cpp
@@ -1,7 +1,5 @@
 #include "admin/operations_server.h"
 
-#include <string_view>
-
 #include "log/log.h"
 
 namespace opalroute::admin {
@@ -21,17 +19,18 @@
   return bounds;
 }
 
-bool TakeOff(std::string_view& text, std::string_view front) {
-  if (text.substr(0, front.size()) != front) return false;
-  text.remove_prefix(front.size());
+// Removes `prefix` from the front of `text` if it stands there.
+bool RemovePrefix(std::string_view& text, std::string_view prefix) {
+  if (text.substr(0, prefix.size()) != prefix) return false;
+  text.remove_prefix(prefix.size());
   return true;
 }
 
 }  // namespace
 
 OperationsServer::OperationsServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits,
-                                   OperationsHandler& relay)
-    : relay_(relay), http_(loop, listen, BoundsOf(limits), *this) {
+                                   OperationsHandler& handler)
+    : handler_(handler), http_(loop, listen, BoundsOf(limits), *this) {
   http_.CloseAfterAnswers();
 }
 
@@ -40,26 +39,30 @@
   path = path.substr(0, path.find('?'));
   if (path == "/v1/readyz" || path == "/v1/metrics") {
     if (request.method != "GET") return net::PlainAnswer(405, "GET only");
-    if (path == "/v1/metrics") return {200, {{"Content-Type", "text/plain"}}, relay_.Metrics(), 0};
-    return relay_.AcceptsClients() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
+    if (path == "/v1/metrics") return {200, {{"Content-Type", "text/plain"}}, handler_.Metrics(), 0};
+    return handler_.AcceptsClients() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
   }
-  if (TakeOff(path, "/v1/endpoints/")) return OnEndpoint(request, path);
+  if (RemovePrefix(path, "/v1/endpoints/")) return OnEndpointCommand(request, path);
   return net::PlainAnswer(404, "no such call");
 }
 
-net::HttpAnswer OperationsServer::OnEndpoint(const net::HttpMessage& request, std::string_view rest) {
-  const std::size_t slash = rest.rfind('/');
+net::HttpAnswer OperationsServer::OnEndpointCommand(const net::HttpMessage& request,
+                                                    std::string_view command_path) {
+  const std::size_t slash = command_path.rfind('/');
   if (slash == std::string_view::npos || slash == 0) return net::PlainAnswer(404, "no such call");
-  const std::string id(rest.substr(0, slash));
-  const std::string_view order = rest.substr(slash + 1);
-  if (order != "suspend" && order != "resume") return net::PlainAnswer(404, "no such call");
+  const std::string id(command_path.substr(0, slash));
+  const std::string command(command_path.substr(slash + 1));
+  if (command != "suspend" && command != "resume") return net::PlainAnswer(404, "no such call");
   if (request.method != "POST") return net::PlainAnswer(405, "POST only");
-  const CommandResult told = relay_.SetSuspended(id, order == "suspend");
-  if (told == CommandResult::kUnknownEndpoint)
-    return net::PlainAnswer(404, "endpoint " + id + " was never listed");
-  if (told == CommandResult::kNotPersisted)
-    return net::PlainAnswer(507, "nothing changed: the state folder can't be written");
-  log::Info("endpoint_by_hand", {{"endpoint", id}, {"order", std::string(order)}});
+  switch (handler_.SetSuspended(id, command == "suspend")) {
+    case CommandResult::kUnknownEndpoint:
+      return net::PlainAnswer(404, "endpoint " + id + " was never listed");
+    case CommandResult::kNotPersisted:
+      return net::PlainAnswer(507, "nothing changed: the state folder can't be written");
+    case CommandResult::kDone:
+      break;
+  }
+  log::Info("endpoint_command", {{"endpoint", id}, {"command", command}});
   return net::PlainAnswer(200, "done");
 }
 
--- a/src/admin/operations_server.h
+++ b/src/admin/operations_server.h
@@ -1,8 +1,13 @@
-// The operators' door: a second address on which one call a connection is answered, however busy the relay
-// is.
+// The operators' HTTP interface (`ops` of the configuration, EDGE_OPS), on an address of its own. It answers
+// one request a connection, however busy the relay is with clients:
+//   GET  /v1/readyz                200 if the relay accepts clients, else 503
+//   GET  /v1/metrics               lines of `name=number`
+//   POST /v1/endpoints/ID/suspend  200; 404 for an id that was never listed; 507 if it can't be stored
+//   POST /v1/endpoints/ID/resume   the same
 #pragma once
 
 #include <string>
+#include <string_view>
 
 #include "config/limits.h"
 #include "net/http_server.h"
@@ -11,32 +16,33 @@
 
 enum class CommandResult {
   kDone,
-  kUnknownEndpoint,
-  kNotPersisted
-};  // kNotKept: the state folder could not be written
+  kUnknownEndpoint,  // no endpoint list has named it
+  kNotPersisted      // the state folder can't be written; nothing has changed
+};
 
-// What callers may ask of the relay.
+// What operators may ask of the relay.
 class OperationsHandler {
  public:
   virtual ~OperationsHandler() = default;
   virtual bool AcceptsClients() const = 0;
   virtual std::string Metrics() const = 0;  // lines of `name=number`
-  virtual CommandResult SetSuspended(const std::string& endpoint, bool banned) = 0;
+  virtual CommandResult SetSuspended(const std::string& endpoint, bool suspended) = 0;
 };
 
 class OperationsServer : private net::HttpServer::Handler {
  public:
-  // Throws std::system_error if the address can't be had.
+  // `handler` must outlive the server. Throws std::system_error if it can't listen on the address.
   OperationsServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits,
-                   OperationsHandler& relay);
+                   OperationsHandler& handler);
   sockaddr_in address() const { return http_.address(); }
 
  private:
   net::HttpAnswer OnRequest(net::HttpMessage& request) override;
   void OnAnswerLost(std::uint64_t) override {}
-  net::HttpAnswer OnEndpoint(const net::HttpMessage& request, std::string_view rest);
+  // `command_path`: what follows /v1/endpoints/.
+  net::HttpAnswer OnEndpointCommand(const net::HttpMessage& request, std::string_view command_path);
 
-  OperationsHandler& relay_;
+  OperationsHandler& handler_;
   net::HttpServer http_;
 };
 
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -1,30 +1,39 @@
 #include "admin/suspended_endpoints.h"
 
 #include <fcntl.h>
-#include <sys/file.h>
-#include <unistd.h>
 
 #include <cerrno>
 #include <fstream>
+#include <optional>
 #include <utility>
 
 #include "journal/durable_file.h"
+#include "journal/file_lock.h"
+#include "net/file_descriptor.h"
 
 namespace opalroute::admin {
 
 namespace {
 
 constexpr const char* kFile = "bans";
-constexpr const char* kLock = "bans.lock";
+constexpr const char* kLockFile = "bans.lock";
+constexpr mode_t kOwnerOnly = 0600;
 
 }  // namespace
 
-SuspendedEndpoints::SuspendedEndpoints(std::string folder, std::size_t most_bytes)
-    : folder_(std::move(folder)), most_bytes_(most_bytes) {
+SuspendedEndpoints::SuspendedEndpoints(std::string folder, std::size_t max_bytes)
+    : folder_(std::move(folder)), max_bytes_(max_bytes) {
   RetryTransientErrors(Path(kFile), [this] { return Read(ids_); });
 }
 
-// Danger: a file that can't be opened just now, for want of descriptors, bans as it did before.
+// Every write makes a new file, so its inode or its time differs.
+bool SuspendedEndpoints::HasChanged(const struct stat& now) const {
+  return now.st_ino != last_read_.st_ino || now.st_mtim.tv_sec != last_read_.st_mtim.tv_sec ||
+         now.st_mtim.tv_nsec != last_read_.st_mtim.tv_nsec;
+}
+
+// Invariant: a file that can't be read now, for want of descriptors say, leaves `ids` as they are. Were it
+// taken as empty, suspended endpoints would get requests.
 bool SuspendedEndpoints::Read(std::set<std::string>& ids) {
   struct stat now {};
   if (stat(Path(kFile).c_str(), &now) != 0) {
@@ -32,17 +41,14 @@
     ids.clear();
     return true;
   }
-  // Each writing is a new file, so its number or its time differs.
-  if (now.st_ino == read_.st_ino && now.st_mtim.tv_sec == read_.st_mtim.tv_sec &&
-      now.st_mtim.tv_nsec == read_.st_mtim.tv_nsec)
-    return true;
+  if (!HasChanged(now)) return true;
   std::ifstream file(Path(kFile));
   if (!file) return false;
   ids.clear();
   for (std::string id; std::getline(file, id);)
     if (!id.empty()) ids.insert(id);
   if (file.bad()) return false;
-  read_ = now;
+  last_read_ = now;
   return true;
 }
 
@@ -53,29 +59,29 @@
   return true;
 }
 
-bool SuspendedEndpoints::SetSuspended(const std::string& id, bool banned) {
-  const int lock = open(Path(kLock).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock < 0) return false;
-  bool kept = false;
-  if (flock(lock, LOCK_EX) == 0) {  // held for one small write
-    std::set<std::string> ids = ids_;
-    if (Read(ids)) {
-      const bool differs = banned ? ids.insert(id).second : ids.erase(id) > 0;
-      kept = !differs || Save(ids);
-      if (kept) ids_ = std::move(ids);
-      if (!kept) read_ = {};  // what another process has written is news still
-    }
+bool SuspendedEndpoints::SetSuspended(const std::string& id, bool suspended) {
+  const net::FileDescriptor lock_file(
+      open(Path(kLockFile).c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly));
+  if (!lock_file.valid()) return false;
+  const std::optional<FileLock> lock = FileLock::Acquire(lock_file.get());
+  if (!lock) return false;
+  std::set<std::string> ids = ids_;
+  if (!Read(ids)) return false;
+  const bool differs = suspended ? ids.insert(id).second : ids.erase(id) > 0;
+  if (differs && !Save(ids)) {
+    last_read_ = {};  // what another process may have written is to be read again
+    return false;
   }
-  close(lock);
-  return kept;
+  ids_ = std::move(ids);
+  return true;
 }
 
 bool SuspendedEndpoints::Save(const std::set<std::string>& ids) {
   std::string text;
   for (const std::string& id : ids) text += id + "\n";
-  if (text.size() > most_bytes_) return false;
+  if (text.size() > max_bytes_) return false;
   if (!ReplaceFile(Path(kFile), text)) return false;
-  stat(Path(kFile).c_str(), &read_);
+  stat(Path(kFile).c_str(), &last_read_);
   return true;
 }
 
--- a/src/admin/suspended_endpoints.h
+++ b/src/admin/suspended_endpoints.h
@@ -1,4 +1,8 @@
-// Endpoints that operators have taken out by hand, in a file that outlives the process.
+// Endpoints that operators have suspended, in a file that outlives the process.
+//
+// The file `bans` holds one endpoint id a line, sorted, each line with its end; it is replaced as a whole.
+// The empty file `bans.lock` is locked while one of two processes changes it. A later version must go on
+// reading `bans`.
 #pragma once
 
 #include <sys/stat.h>
@@ -11,30 +15,32 @@
 
 class SuspendedEndpoints {
  public:
-  // Reads what was kept; a file that can't be read for a second is a fault: std::system_error. `most_bytes`
-  // bounds the file.
-  SuspendedEndpoints(std::string folder, std::size_t most_bytes);
+  // Reads the file. `max_bytes` bounds it. Throws std::system_error, with the path, if it can't be read for a
+  // second.
+  SuspendedEndpoints(std::string folder, std::size_t max_bytes);
 
   const std::set<std::string>& ids() const { return ids_; }
   bool Has(const std::string& id) const { return ids_.count(id) > 0; }
 
-  // True once it is kept; false: it could not be, and nothing has changed. Repeating one changes nothing.
-  // Under a lock: two processes may be told at once.
-  bool SetSuspended(const std::string& id, bool banned);
+  // Suspends or resumes an endpoint. Returns true once that is stored, also if it was so before; false if it
+  // can't be stored, and nothing has changed. Another process may change the file at the same time.
+  bool SetSuspended(const std::string& id, bool suspended);
 
-  // Takes over what another process has written since; true if anything differs.
+  // Reads what another process has written since; returns true if the ids differ from before.
   bool Refresh();
 
  private:
-  // False: there is a file, and it can't be read.
+  // Reads the file if it has changed since it was read last. Returns false, with errno set, if it exists and
+  // can't be read.
   bool Read(std::set<std::string>& ids);
   bool Save(const std::set<std::string>& ids);
+  bool HasChanged(const struct stat& now) const;
   std::string Path(const char* name) const { return folder_ + "/" + name; }
 
   const std::string folder_;
-  const std::size_t most_bytes_;
+  const std::size_t max_bytes_;
   std::set<std::string> ids_;
-  struct stat read_ {};  // of the file as it was read
+  struct stat last_read_ {};  // of the file when it was read or written last
 };
 
 }  // namespace opalroute::admin
--- a/src/admin/zone_command.h
+++ b/src/admin/zone_command.h
@@ -1,5 +1,6 @@
-// Operators' orders of zones, as POST /zones on --admin-listen brings them:
-//   {"zone": "first", "order": "leave", "for_s": 600}     leave, keep, or none to revoke what stands
+// Operators' commands for zones, as POST /zones on --admin-listen brings them:
+//   {"zone": "first", "order": "leave", "for_s": 600}
+// `order` is leave, keep, or none, which revokes the command in force and has no `for_s`.
 #pragma once
 
 #include <functional>
@@ -13,13 +14,15 @@
 struct ZoneCommand {
   std::string zone;
   zone_failover::OverrideKind override_kind{};
-  Seconds duration = 0;  // above 0 and a day at most; of kNone it says nothing
+  Seconds duration = 0;  // above 0, a day at most; without meaning for OverrideKind::kNone
 };
+
 // Throws config::FieldError, which names the key that is wrong.
 ZoneCommand ParseZoneCommand(const std::string& body);
 
-// 200, or 400 with what is wrong; 404 where `give` says that there is no such zone.
+// Parses `body` and hands the command to `apply`, which returns whether the zone exists. Answers 200, 400
+// with what is wrong with the body, or 404 for an unknown zone.
 net::HttpAnswer HandleZoneCommand(const std::string& body,
-                                  const std::function<bool(const ZoneCommand&)>& give);
+                                  const std::function<bool(const ZoneCommand&)>& apply);
 
 }  // namespace opalroute
