--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -84,11 +84,11 @@
 
 void Relay::StartAdminServer() {
   AdminServer::Pages pages;
-  pages["/pool"] = [this] { return PrintPool(); };
-  pages["/counters"] = [this] { return counters_.Print(); };
-  pages["/zones"] = [this] { return PrintZones(); };
+  pages.push_back({"/pool", [this] { return PrintPool(); }});
+  pages.push_back({"/counters", [this] { return counters_.Print(); }});
+  pages.push_back({"/zones", [this] { return PrintZones(); }});
   AdminServer::Commands commands;
-  commands["/zones"] = [this](const std::string& body) { return OnZoneCommand(body); };
+  commands.push_back({"/zones", [this](const std::string& body) { return OnZoneCommand(body); }});
   admin_ = std::make_unique<AdminServer>(loop_, *settings_.admin_listen, config_.limits, std::move(pages),
                                          std::move(commands));
 }
--- a/src/relay/request_recovery.cpp
+++ b/src/relay/request_recovery.cpp
@@ -70,7 +70,7 @@
   std::error_code error;
   const auto bytes = std::filesystem::file_size(parts_.config.state_folder + "/" + file, error);
   if (error || bytes == 0) return adopted;
-  parts_.process_lock.RunIfOtherIsFree([&] {
+  parts_.process_lock.TryRunWithOtherSlot([&] {
     Journal other(parts_.config.state_folder, other_journal_budget_, file);
     adopted = parts_.journal.AdoptEntriesOf(other);
   });
