--- /dev/null
+++ b/src/net/timer.h
@@ -0,0 +1,30 @@
+// A timer of the event loop that is cancelled with its owner.
+#pragma once
+
+#include <functional>
+
+#include "net/event_loop.h"
+
+namespace opalroute::net {
+
+class Timer {
+ public:
+  // `loop` must outlive the timer.
+  explicit Timer(EventLoop& loop) : loop_(loop) {}
+  ~Timer() { Cancel(); }
+  Timer(const Timer&) = delete;
+  Timer& operator=(const Timer&) = delete;
+
+  // Calls `callback` once at `when` on the loop's clock, in place of whatever was scheduled before. The
+  // callback may restart or destroy this timer.
+  void Start(Seconds when, std::function<void()> callback);
+  // No callback follows.
+  void Cancel() { loop_.Cancel(id_); }
+  bool pending() const { return id_ != 0; }
+
+ private:
+  EventLoop& loop_;
+  EventLoop::TimerId id_ = 0;
+};
+
+}  // namespace opalroute::net
