--- a/src/cli/pool_command.h
+++ b/src/cli/pool_command.h
@@ -1,5 +1,5 @@
-// `opalroute pool`: prints the joined set of endpoints with the reason of each, from a running relay, or by
-// asking the name servers once.
+// `opalroute pool`: prints the merged set of endpoints with the reason of each, from a running relay, or by
+// querying the name servers once.
 #pragma once
 
 #include <string>
@@ -9,9 +9,9 @@
 
 namespace opalroute::cli {
 
-// `from`: the address of a relay's --admin-listen; empty: the list is the configuration's `known`, and the
-// names are asked for once. Returns the exit status: 0 done, 1 nobody answered (a line on standard error says
-// why), 2 faults.
+// `from`: the address of a relay's --admin-listen; if empty, the configuration's `known` list is merged with
+// one answer for each SRV name. Returns the exit status: 0 done, 1 the relay did not answer, 2 a fault in the
+// arguments or the configuration; a line on standard error says which.
 int Pool(const std::string& from, bool as_json, const Operator& settings,
          const config::Environment& environment);
 
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
-// The endpoint list from discovery over HTTP: a watch that stays open, and tries to replace it that may run
-// beside it. Whichever brings the list first is the watch from then on, and the others are closed.
+// The endpoint list from discovery over HTTP. Keeps one established watch; further attempts may run beside
+// it, and whichever delivers the list first replaces it.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,36 +17,40 @@
 
 class Discovery : public EndpointSource, private ListWatch::Handler {
  public:
+  // `loop`, `limits` and `listener` must outlive this object.
   Discovery(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits, Listener& listener);
 
   ~Discovery() override;
 
-  // The relay holds the list of this generation, from an earlier process: changes are asked for since then.
+  // The relay has the list of this generation from an earlier process: watches ask for the changes since
+  // then.
   void Resume(long long generation) { generation_ = resume_from_ = newest_ = generation; }
+  // Attempts beyond Limits::watch_tries are ignored while that many are under way.
   void Watch(bool on) override;
 
-  // From now on discovery is there: watches and tries at the old address end. Its list need not continue the
-  // old one. The caller begins the next try.
+  // Discovery has another address from now on: watches and attempts at the old one end, and the next asks for
+  // the whole list, whose generations need not continue the old ones. The caller begins the next attempt.
   void MoveTo(const sockaddr_in& address);
 
  private:
-  void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& news) override;
+  void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) override;
   void OnWatchHeartbeat(ListWatch& watch) override;
-  void OnWatchEnd(ListWatch& watch, const char* why) override;
+  void OnWatchEnd(ListWatch& watch, WatchEnd reason) override;
 
-  void CloseAllBut(const ListWatch* kept);
+  void CloseAllBut(const ListWatch* remaining);
+  bool IsStale(const EndpointListUpdate& complete_list);
+  void LogOlderList(const EndpointListUpdate& update) const;
 
   net::EventLoop& loop_;
   sockaddr_in address_;
   const Limits& limits_;
   Listener& listener_;
-  bool IsOlder(const EndpointListUpdate& whole_list);
-  std::optional<long long> generation_;              // of the list that was told last
-  std::optional<long long> newest_;                  // ever told; drains and removals up to it bind
-  std::optional<net::Seconds> older_since_;          // whole lists from before it have come since then
-  std::optional<long long> resume_from_;             // the generation from which changes are asked for
+  std::optional<long long> generation_;      // of the list that was published last
+  std::optional<long long> newest_;          // the newest ever published; its drains and removals bind
+  std::optional<net::Seconds> stale_since_;  // only older whole lists have arrived since then
+  std::optional<long long> resume_from_;     // the generation from which changes are asked for
   std::vector<std::unique_ptr<ListWatch>> watches_;  // in the order in which they were opened
-  const ListWatch* current_watch_ = nullptr;         // the one of them that has brought the list
+  const ListWatch* current_watch_ = nullptr;         // the one of them that has delivered the list
 };
 
 }  // namespace opalroute
--- a/src/discovery/endpoint_list_parser.cpp
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -10,39 +10,39 @@
 
 namespace {
 
-const config::Words<EndpointRecord::Status> kStates = {{"ready", EndpointRecord::Status::kInService},
-                                                       {"draining", EndpointRecord::Status::kDraining},
-                                                       {"gone", EndpointRecord::Status::kRemoved}};
-
-EndpointRecord ReadMember(const json& row) {
-  EndpointRecord member;
-  member.id = config::Get<std::string>(row, "instanceId");
-  member.status = config::Word(kStates, row, "lifecycle");
+const config::Words<EndpointRecord::Status> kLifecycles = {{"ready", EndpointRecord::Status::kInService},
+                                                           {"draining", EndpointRecord::Status::kDraining},
+                                                           {"gone", EndpointRecord::Status::kRemoved}};
+
+EndpointRecord ParseRecord(const json& row) {
+  EndpointRecord record;
+  record.id = config::Get<std::string>(row, "instanceId");
+  record.status = config::Word(kLifecycles, row, "lifecycle");
   const auto address = net::ParseAddress(config::Get<std::string>(row, "hostPort"));
   if (!address) throw config::FieldError("field 'hostPort' holds no address");
-  member.address = *address;
-  member.zone = config::Get<std::string>(row, "zone");
-  member.kind = config::Get<std::string>(row, "machineType");
-  member.destination = config::Get<long long>(row, "cell");
-  member.weight = config::GetOr(row, "weight", 0.0);
-  return member;
+  record.address = *address;
+  record.zone = config::Get<std::string>(row, "zone");
+  record.kind = config::Get<std::string>(row, "machineType");
+  record.destination = config::Get<long long>(row, "cell");
+  record.weight = config::GetOr(row, "weight", 0.0);
+  return record;
 }
 
 }  // namespace
 
 std::optional<EndpointListUpdate> ParseEndpointList(const json& list) {
-  EndpointListUpdate news;
+  EndpointListUpdate update;
   try {
-    news.generation = config::Get<long long>(list, "generation");
-    news.complete = config::GetOr(list, "reset", false);
+    update.generation = config::Get<long long>(list, "generation");
+    update.complete = config::GetOr(list, "reset", false);
     const json& rows = config::Need(list, "instances");
     if (!rows.is_array()) throw config::FieldError("field 'instances' is no array");
-    for (const json& row : rows) news.endpoints.push_back(ReadMember(row));
+    for (const json& row : rows) update.endpoints.push_back(ParseRecord(row));
   } catch (const config::FieldError& error) {
-    log::Warn("pool_list_unreadable", {{"why", error.what()}});
+    log::Warn("endpoint_list_unreadable", {{"why", error.what()}});
     return std::nullopt;
   }
-  return news;
+  return update;
 }
 
 }  // namespace opalroute
--- a/src/discovery/endpoint_list_parser.h
+++ b/src/discovery/endpoint_list_parser.h
@@ -1,4 +1,5 @@
-// Discovery's form of the endpoint list (protocol page, 'Discovery').
+// Maps discovery's JSON form of the endpoint list to EndpointListUpdate. Its field names are used nowhere
+// else.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,7 +9,7 @@
 
 namespace opalroute {
 
-// A whole list, or a line of changes. None: it can't be read; the reason is logged.
+// Reads a whole list or one line of changes. Returns nullopt, and logs the reason, if it has another form.
 std::optional<EndpointListUpdate> ParseEndpointList(const nlohmann::json& list);
 
 }  // namespace opalroute
--- a/src/discovery/list_watch.cpp
+++ b/src/discovery/list_watch.cpp
@@ -14,13 +14,13 @@
 
 constexpr char kBlanks[] = " \r\t\n";
 
-// Whether more text could make an object of this.
-bool IsPartOfObject(const std::string& text) {
+// Whether more text could make this an object.
+bool IsBeginningOfObject(const std::string& text) {
   if (text[text.find_first_not_of(kBlanks)] != '{') return false;
   try {
     return json::parse(text).is_object();
   } catch (const json::parse_error& error) {
-    return error.byte > text.size();  // nothing is wrong but its end
+    return error.byte > text.size();  // all of it is the beginning of JSON
   }
 }
 
@@ -30,6 +30,26 @@
 
 }  // namespace
 
+const char* NameOf(WatchEnd reason) {
+  switch (reason) {
+    case WatchEnd::kNotConnected:
+      return "no connection";
+    case WatchEnd::kTimedOut:
+      return "silent";
+    case WatchEnd::kUnreadableLine:
+      return "a line can't be read";
+    case WatchEnd::kNotHttp:
+      return "no HTTP answer";
+    case WatchEnd::kRejected:
+      return "refused";
+    case WatchEnd::kAnswerComplete:
+      return "ended";
+    case WatchEnd::kConnectionClosed:
+      return "connection ended";
+  }
+  return "";
+}
+
 ListWatch::ListWatch(net::EventLoop& loop, const sockaddr_in& address, std::optional<long long> since,
                      const Limits& limits, Handler& handler)
     : loop_(loop),
@@ -37,31 +57,29 @@
       since_(since),
       limits_(limits),
       handler_(handler),
-      parser_(net::HttpParser::Kind::kAnswer, BoundsOf(limits)) {
-  parser_.StreamTo([this](std::string_view piece) { ReadChunk(piece); });
+      parser_(net::HttpParser::Kind::kAnswer, BoundsOf(limits)),
+      timer_(loop) {
+  parser_.StreamTo([this](std::string_view chunk) { ReadChunk(chunk); });
   connection_ = net::Connection::Connect(loop_, address_, *this, limits_.head_bytes, limits_.head_bytes);
-  Expect(connection_ ? limits_.list_time : 0);
+  ExpectLine(connection_ ? limits_.list_time : 0);
 }
 
 ListWatch::~ListWatch() { Close(); }
 
 void ListWatch::Close() {
-  loop_.Cancel(timer_);
+  timer_.Cancel();
   if (connection_) connection_->Close();
   loop_.Retire(std::move(connection_));
 }
 
-void ListWatch::Expect(net::Seconds within) {
-  loop_.Cancel(timer_);
-  timer_ = loop_.At(loop_.Now() + within, [this] {
-    timer_ = 0;
-    End(connection_ ? "silent" : "no connection");
-  });
+void ListWatch::ExpectLine(net::Seconds within) {
+  timer_.Start(loop_.Now() + within,
+               [this] { End(connection_ ? WatchEnd::kTimedOut : WatchEnd::kNotConnected); });
 }
 
-void ListWatch::End(const char* why) {
+void ListWatch::End(WatchEnd reason) {
   Close();
-  handler_.OnWatchEnd(*this, why);
+  handler_.OnWatchEnd(*this, reason);
 }
 
 void ListWatch::OnOpen(net::Connection& connection) {
@@ -72,14 +90,15 @@
 
 void ListWatch::OnData(net::Connection& connection) {
   net::RingBuffer& in = connection.in();
-  while (!in.empty() && !parser_.done() && !parser_.failed() && !broken_)
+  while (!in.empty() && !parser_.done() && !parser_.failed() && !unreadable_) {
     in.Consume(parser_.Take(in.Front()));
+  }
   DeliverLines();
   if (!connection_) return;
-  if (broken_) return End("a line can't be read");
-  if (parser_.failed()) return End("no HTTP answer");
-  if (parser_.head_done() && parser_.message().status != 200) return End("refused");
-  if (parser_.done()) return End("ended");
+  if (unreadable_) return End(WatchEnd::kUnreadableLine);
+  if (parser_.failed()) return End(WatchEnd::kNotHttp);
+  if (parser_.head_done() && parser_.message().status != 200) return End(WatchEnd::kRejected);
+  if (parser_.done()) return End(WatchEnd::kAnswerComplete);
 }
 
 // The handler may close this watch at any line.
@@ -94,45 +113,50 @@
   }
 }
 
-void ListWatch::OnEnd(net::Connection&, net::Connection::End) { End("connection ended"); }
+void ListWatch::OnEnd(net::Connection&, net::Connection::End) { End(WatchEnd::kConnectionClosed); }
 
-// Lines may be cut anywhere between chunks. An empty one says that the watch still stands, and so does a
-// whole object; one that stays open does not.
-void ListWatch::ReadChunk(std::string_view piece) {
+// Lines may be cut anywhere between chunks. An empty line or a complete object extends the time given for the
+// next one; an object that is never finished does not.
+void ListWatch::ReadChunk(std::string_view chunk) {
   if (parser_.message().status != 200) return;
-  while (!piece.empty() && !broken_) {
-    const std::size_t end = piece.find('\n');
-    text_.append(piece.substr(0, end));
-    if (text_.size() > limits_.list_bytes) broken_ = true;
+  while (!chunk.empty() && !unreadable_) {
+    const std::size_t end = chunk.find('\n');
+    text_.append(chunk.substr(0, end));
+    if (text_.size() > limits_.list_bytes) unreadable_ = true;
     if (end == std::string_view::npos) return;
-    piece.remove_prefix(end + 1);
+    chunk.remove_prefix(end + 1);
     ReadLine();
   }
 }
 
-// An object may come indented, over several lines. To look at the whole text with each line of it would cost
-// its square, so that is done where it may end, and each time it has doubled.
+// An object may be indented over several lines, so a line may or may not complete one.
 void ListWatch::ReadLine() {
   const std::size_t last = text_.find_last_not_of(kBlanks);
-  const bool blank = last == std::string::npos;
+  if (last == std::string::npos) return ReadCompleteLine(nullptr);
   json list;
-  if (!blank && text_[last] == '}') list = json::parse(text_, nullptr, false);
-  if (blank || list.is_object()) {
-    Expect(limits_.watch_silence);
-    text_.clear();
-    part_seen_ = 0;
-    Line line;
-    if (!blank) line = ParseEndpointList(list);
-    broken_ = !blank && !line;
-    if (!broken_) lines_.push_back(std::move(line));
-    return;
-  }
-  if (text_.size() >= 2 * part_seen_) {
-    broken_ = !IsPartOfObject(text_);
-    part_seen_ = text_.size();
-    if (broken_) log::Warn("pool_list_unreadable", {{"bytes", text_.size()}, {"why", "no JSON"}});
-  }
+  if (text_[last] == '}') list = json::parse(text_, nullptr, false);
+  if (list.is_object()) return ReadCompleteLine(&list);
+  CheckUnfinishedObject();
   text_ += '\n';
 }
 
+// `list`: the object of the line, null for a heartbeat.
+void ListWatch::ReadCompleteLine(const json* list) {
+  ExpectLine(limits_.watch_silence);
+  text_.clear();
+  checked_bytes_ = 0;
+  Line line;
+  if (list != nullptr) line = ParseEndpointList(*list);
+  unreadable_ = list != nullptr && !line;
+  if (!unreadable_) lines_.push_back(std::move(line));
+}
+
+// Parses the text only each time that it has doubled: parsing it at each line would cost its square.
+void ListWatch::CheckUnfinishedObject() {
+  if (text_.size() < 2 * checked_bytes_) return;
+  unreadable_ = !IsBeginningOfObject(text_);
+  checked_bytes_ = text_.size();
+  if (unreadable_) log::Warn("endpoint_list_unreadable", {{"bytes", text_.size()}, {"why", "no JSON"}});
+}
+
 }  // namespace opalroute
--- a/src/discovery/list_watch.h
+++ b/src/discovery/list_watch.h
@@ -1,5 +1,5 @@
-// One watch on the endpoint list: an HTTP request to discovery whose chunked answer stays open and brings a
-// JSON object for each change, and empty lines in between.
+// One watch on the endpoint list: an HTTP request to discovery whose chunked answer stays open and carries a
+// JSON object for each change, and empty lines as heartbeats.
 #pragma once
 
 #include <memory>
@@ -13,26 +13,41 @@
 #include "discovery/endpoint_source.h"
 #include "net/connection.h"
 #include "net/http.h"
+#include "net/timer.h"
 
 namespace opalroute {
 
+// Why a watch is of no use any more.
+enum class WatchEnd {
+  kNotConnected,      // the connection could not be opened
+  kTimedOut,          // no complete line in time
+  kUnreadableLine,    // a line that is no endpoint list
+  kNotHttp,           // the answer breaks HTTP or the bounds set for it
+  kRejected,          // another status than 200
+  kAnswerComplete,    // discovery has ended the answer
+  kConnectionClosed,  // the connection was closed or broke
+};
+const char* NameOf(WatchEnd reason);
+
 class ListWatch : private net::Connection::Owner {
  public:
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& news) = 0;  // a list, or changes
-    virtual void OnWatchHeartbeat(ListWatch& watch) = 0;                               // an empty line
-    // It has failed or ended and is of no use any more; called once, and never after Close.
-    virtual void OnWatchEnd(ListWatch& watch, const char* why) = 0;
+    virtual void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) = 0;
+    virtual void OnWatchHeartbeat(ListWatch& watch) = 0;
+    // Called once at most, and never after Close.
+    virtual void OnWatchEnd(ListWatch& watch, WatchEnd reason) = 0;
   };
 
-  // Asks the discovery at `address` for what has changed since a generation, or for the whole list. What
-  // fails at once is told by OnWatchEnd in a later round of the loop.
+  // Asks discovery at `address` for the changes after the generation `since`, or for the whole list. A
+  // failure to connect is reported by OnWatchEnd in a later round of the loop. `loop`, `limits` and `handler`
+  // must outlive the watch.
   ListWatch(net::EventLoop& loop, const sockaddr_in& address, std::optional<long long> since,
             const Limits& limits, Handler& handler);
   ~ListWatch() override;
-  void Close();  // no callback follows
+  // No callback follows.
+  void Close();
   std::optional<long long> since() const { return since_; }
 
  private:
@@ -40,13 +55,15 @@
   void OnData(net::Connection& connection) override;
   void OnEnd(net::Connection& connection, net::Connection::End how) override;
 
-  void ReadChunk(std::string_view piece);
+  void ReadChunk(std::string_view chunk);
   void ReadLine();
+  void ReadCompleteLine(const nlohmann::json* list);
+  void CheckUnfinishedObject();
   void DeliverLines();
-  void Expect(net::Seconds within);
-  void End(const char* why);
+  void ExpectLine(net::Seconds within);
+  void End(WatchEnd reason);
 
-  // A line of the watch; without news it was empty.
+  // A line of the answer: an update, or nothing for a heartbeat.
   using Line = std::optional<EndpointListUpdate>;
 
   net::EventLoop& loop_;
@@ -56,11 +73,11 @@
   Handler& handler_;
   std::unique_ptr<net::Connection> connection_;
   net::HttpParser parser_;
-  std::string text_;           // an object that is not whole yet
-  std::size_t part_seen_ = 0;  // of it: so much was found to be a part of one
-  std::vector<Line> lines_;    // read and not yet told
-  bool broken_ = false;        // a line can't be read
-  net::EventLoop::TimerId timer_ = 0;
+  std::string text_;               // of an object that is not complete yet
+  std::size_t checked_bytes_ = 0;  // of `text_`: found to be the beginning of an object
+  std::vector<Line> lines_;        // read and not yet delivered
+  bool unreadable_ = false;        // a line can't be read
+  net::Timer timer_;
 };
 
 }  // namespace opalroute
--- /dev/null
+++ b/src/discovery/merged_destination.cpp
@@ -0,0 +1,329 @@
+#include "discovery/merged_destination.h"
+
+#include <algorithm>
+#include <iterator>
+
+#include "net/address.h"
+
+namespace opalroute {
+
+namespace {
+
+using Status = EndpointRecord::Status;
+
+// RFC 2782 gives a weight of 0 'a very small chance' beside others: a tenth of the least other weight.
+constexpr double kEffectiveZeroWeight = 0.1;
+
+// SRV's priorities are numbers of 16 bits.
+constexpr int kNoPriority = 1 << 16;
+
+double EffectiveWeight(const SrvTarget& target) {
+  return std::max<double>(target.weight, kEffectiveZeroWeight);
+}
+
+}  // namespace
+
+void MergedDestination::Endpoint::ForgetAnswers() {
+  target.reset();
+  excluded_since = -1;
+  included_since = -1;
+  exclusion_confirmed = false;
+  drained = false;
+}
+
+MergedDestination::AddressKey MergedDestination::KeyOf(const sockaddr_in& address) {
+  return static_cast<AddressKey>(address.sin_addr.s_addr) << 16 | address.sin_port;
+}
+
+void MergedDestination::AddOwnAddress(const sockaddr_in& address) { own_addresses_.insert(KeyOf(address)); }
+
+// ---- the endpoint list -----------------------------------------------------------------------------------
+
+void MergedDestination::Withdraw(double now, const std::string& list_id) {
+  const auto alias = aliases_.find(list_id);
+  const auto it = endpoints_.find(alias == aliases_.end() ? list_id : alias->second);
+  if (alias != aliases_.end()) aliases_.erase(alias);
+  if (it == endpoints_.end()) return;
+  tombstones_[KeyOf(it->second.record.address)] = now + options_.tombstone_time;
+  endpoints_.erase(it);
+}
+
+// The id that a listed endpoint has here. One that SRV named before the list did keeps the id of then, and
+// with it the Retry-After and the health that the relay has for it, until the list moves it to another
+// address.
+std::string MergedDestination::ResolveId(const EndpointRecord& record) {
+  const AddressKey key = KeyOf(record.address);
+  const auto alias = aliases_.find(record.id);
+  if (alias != aliases_.end()) {
+    const auto it = endpoints_.find(alias->second);
+    if (it == endpoints_.end() || KeyOf(it->second.record.address) == key) return alias->second;
+    endpoints_.erase(it);
+    aliases_.erase(alias);
+    return record.id;
+  }
+  if (Contains(record.id)) return record.id;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.added && KeyOf(endpoint.record.address) == key) aliases_[record.id] = id;
+  }
+  const auto added = aliases_.find(record.id);
+  return added == aliases_.end() ? record.id : added->second;
+}
+
+void MergedDestination::ApplyRecord(double now, const EndpointRecord& record) {
+  if (record.status == Status::kRemoved) return Withdraw(now, record.id);
+  tombstones_.erase(KeyOf(record.address));
+  const std::string id = ResolveId(record);
+  Endpoint& endpoint = endpoints_[id];
+  const bool moved = !endpoint.record.id.empty() && KeyOf(endpoint.record.address) != KeyOf(record.address);
+  if (moved) endpoint.ForgetAnswers();  // they were about another address
+  endpoint.record = record;
+  endpoint.record.id = id;
+  endpoint.added = false;
+}
+
+std::vector<std::string> MergedDestination::WithdrawUnlisted(double now,
+                                                             const std::set<std::string>& listed_ids) {
+  std::map<std::string, std::string> list_ids;  // by the id here
+  for (const auto& [list_id, id] : aliases_) list_ids[id] = list_id;
+  std::vector<std::string> unlisted;
+  for (const auto& [id, endpoint] : endpoints_) {
+    const auto alias = list_ids.find(id);
+    const std::string& list_id = alias == list_ids.end() ? id : alias->second;
+    if (!endpoint.added && listed_ids.count(list_id) == 0) unlisted.push_back(list_id);
+  }
+  for (const std::string& list_id : unlisted) Withdraw(now, list_id);
+  return unlisted;
+}
+
+// ---- SRV
+// ---------------------------------------------------------------------------------------------------
+
+bool MergedDestination::MayAdd(double now, AddressKey key) const {
+  const auto tombstone = tombstones_.find(key);
+  const bool withdrawn = tombstone != tombstones_.end() && now < tombstone->second;
+  return own_addresses_.count(key) > 0 && !withdrawn;
+}
+
+void MergedDestination::AddEndpoint(double now, const std::string& id, const sockaddr_in& address) {
+  Endpoint& endpoint = endpoints_[id];
+  endpoint.added = true;
+  endpoint.added_at = now;
+  endpoint.record = {id, options_.added_zone, options_.added_kind, address, id_, Status::kInService, 0};
+}
+
+// Adds endpoints for targets that the list does not name. Returns the number of targets that may not be
+// added.
+long MergedDestination::AddOwnTargets(double now, const std::vector<SrvTarget>& targets) {
+  std::map<AddressKey, const Endpoint*> known;
+  for (const auto& [id, endpoint] : endpoints_) known[KeyOf(endpoint.record.address)] = &endpoint;
+  long ignored = 0;
+  for (const SrvTarget& target : targets) {
+    const AddressKey key = KeyOf(target.address);
+    const auto there = known.find(key);
+    if (there != known.end() && !there->second->added) continue;
+    if (!MayAdd(now, key)) {
+      ++ignored;
+      continue;
+    }
+    // Another host name at the same address is another machine, so the name is a part of the id.
+    const std::string id = "srv/" + target.target + "/" + net::FormatAddress(target.address);
+    if (there != known.end() && there->second->record.id == id) continue;
+    if (there != known.end()) endpoints_.erase(there->second->record.id);
+    AddEndpoint(now, id, target.address);
+    known[key] = &endpoints_.at(id);
+  }
+  return ignored;
+}
+
+int MergedDestination::BestPriority() const {
+  int best = kNoPriority;
+  for (const auto& [id, endpoint] : endpoints_) {
+    if (endpoint.target && endpoint.ListedInService()) best = std::min(best, endpoint.target->priority);
+  }
+  return best;
+}
+
+// Notes for each endpoint whether the answer includes or excludes it. Excluded: not named, named with a worse
+// priority than the best one in service, or the service is not offered at all.
+void MergedDestination::ApplyAnswer(double now, bool complete) {
+  const int best = BestPriority();
+  for (auto& [id, endpoint] : endpoints_) {
+    const bool excluded = not_offered_ || !endpoint.target || endpoint.target->priority > best;
+    if (!excluded) {
+      endpoint.excluded_since = -1;
+      endpoint.exclusion_confirmed = false;
+      if (endpoint.included_since < 0) endpoint.included_since = now;
+      if (endpoint.drained && now - endpoint.included_since >= options_.return_delay)
+        endpoint.drained = false;
+    } else if (complete) {
+      endpoint.included_since = -1;
+      if (endpoint.excluded_since < 0) endpoint.excluded_since = now;
+      if (now - endpoint.excluded_since >= options_.confirmation_delay) endpoint.exclusion_confirmed = true;
+    }
+  }
+}
+
+long MergedDestination::ApplyTargets(double now, const std::vector<SrvTarget>& targets, bool complete) {
+  std::map<AddressKey, const SrvTarget*>
+      by_address;  // of several at one address, the one of the best priority
+  for (const SrvTarget& target : targets) {
+    const auto [it, inserted] = by_address.emplace(KeyOf(target.address), &target);
+    if (!inserted && target.priority < it->second->priority) it->second = &target;
+  }
+  const long ignored = AddOwnTargets(now, targets);
+  const bool names_one_in_service = std::any_of(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
+    const Endpoint& endpoint = entry.second;
+    return by_address.count(KeyOf(endpoint.record.address)) > 0 && endpoint.ListedInService();
+  });
+  // An answer that names none of the destination's endpoints is about something else.
+  if (!names_one_in_service) {
+    ApplyNoAnswer(now, false);
+    return ignored;
+  }
+  not_offered_ = false;
+  for (auto& [id, endpoint] : endpoints_) {
+    const auto it = by_address.find(KeyOf(endpoint.record.address));
+    if (it != by_address.end()) {
+      endpoint.target = *it->second;
+    } else if (complete) {
+      endpoint.target.reset();
+    }
+  }
+  ApplyAnswer(now, complete);
+  UpdateVerdicts(now, complete);
+  return ignored;
+}
+
+void MergedDestination::ApplyNotOffered(double now) {
+  not_offered_ = true;
+  for (auto& [id, endpoint] : endpoints_) endpoint.target.reset();
+  ApplyAnswer(now, true);
+  UpdateVerdicts(now, true);
+}
+
+void MergedDestination::ApplyNoAnswer(double now, bool expired) {
+  if (expired) {
+    not_offered_ = false;
+    unconfirmed_drains_.clear();
+    const bool any_listed = std::any_of(endpoints_.begin(), endpoints_.end(), [](const auto& entry) {
+      return !entry.second.added && entry.second.ListedInService();
+    });
+    for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+      it->second.ForgetAnswers();
+      it = it->second.added && any_listed ? endpoints_.erase(it) : std::next(it);
+    }
+  }
+  UpdateVerdicts(now, false);
+}
+
+// ---- verdicts
+// ----------------------------------------------------------------------------------------------
+
+bool MergedDestination::MayDrain(double now, std::size_t in_service) const {
+  const auto recent = std::count_if(unconfirmed_drains_.begin(), unconfirmed_drains_.end(),
+                                    [&](double at) { return now - at < options_.removal_window; });
+  return static_cast<double>(recent + 1) <= options_.max_removed_share * static_cast<double>(in_service);
+}
+
+void MergedDestination::DrainExcluded(double now, std::size_t in_service) {
+  for (auto& [id, endpoint] : endpoints_) {
+    if (!endpoint.InService() || endpoint.excluded_since < 0) continue;
+    if (!endpoint.exclusion_confirmed && !MayDrain(now, in_service)) continue;
+    endpoint.drained = true;
+    if (!endpoint.exclusion_confirmed) unconfirmed_drains_.push_back(now);
+  }
+}
+
+// An endpoint that only SRV named is removed once the answers that no longer name it are confirmed.
+void MergedDestination::EraseExcludedAdditions() {
+  for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+    const Endpoint& endpoint = it->second;
+    const bool gone = endpoint.added && endpoint.drained && endpoint.exclusion_confirmed && !endpoint.target;
+    it = gone ? endpoints_.erase(it) : std::next(it);
+  }
+}
+
+// Whether confirmed answers say that the service is not offered.
+bool MergedDestination::IsClosed() const {
+  return not_offered_ && std::all_of(endpoints_.begin(), endpoints_.end(), [](const auto& entry) {
+           return entry.second.exclusion_confirmed || !entry.second.ListedInService();
+         });
+}
+
+// Where SRV has drained all, returns those that its latest answer names, or all if it names none.
+void MergedDestination::KeepOneInService() {
+  for (const bool named_only : {true, false}) {
+    const bool any_in_service = std::any_of(endpoints_.begin(), endpoints_.end(),
+                                            [](const auto& entry) { return entry.second.InService(); });
+    if (any_in_service) return;
+    for (auto& [id, endpoint] : endpoints_) {
+      if (endpoint.target || !named_only) endpoint.drained = false;
+    }
+  }
+}
+
+Verdict MergedDestination::VerdictOf(const Endpoint& endpoint) const {
+  const bool excluded = endpoint.excluded_since >= 0;
+  if (endpoint.record.status == Status::kDraining) return Verdict::kListDraining;
+  if (!endpoint.drained && excluded) return Verdict::kRetained;
+  if (!endpoint.drained) return endpoint.added ? Verdict::kAdded : Verdict::kList;
+  if (!excluded) return Verdict::kReturning;
+  if (not_offered_) return Verdict::kNotOffered;
+  return endpoint.target ? Verdict::kStandby : Verdict::kAbsent;
+}
+
+void MergedDestination::UpdateVerdicts(double now, bool answered) {
+  // Endpoints that this answer has added do not raise the number that it may drain.
+  const auto in_service = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
+    return entry.second.ListedInService() && entry.second.added_at < now;
+  });
+  unconfirmed_drains_.erase(std::remove_if(unconfirmed_drains_.begin(), unconfirmed_drains_.end(),
+                                           [&](double at) { return now - at >= options_.removal_window; }),
+                            unconfirmed_drains_.end());
+  if (answered) {
+    DrainExcluded(now, static_cast<std::size_t>(in_service));
+    EraseExcludedAdditions();
+  }
+  if (!IsClosed()) KeepOneInService();
+  for (auto& [id, endpoint] : endpoints_) endpoint.verdict = VerdictOf(endpoint);
+}
+
+// ---- what the relay gets
+// -----------------------------------------------------------------------------------
+
+bool MergedDestination::IsRatedByWeight(const Endpoint& endpoint) const {
+  return endpoint.target && endpoint.InService() &&
+         options_.kinds_with_endpoint_limits.count(endpoint.record.kind) > 0;
+}
+
+// Where endpoints have limits of their own, SRV's weights divide the sum of the list's ratings among those
+// that it names: a rating of the list is in requests a second, a weight only a share of the whole.
+double MergedDestination::RatingOf(const Endpoint& endpoint) const {
+  if (!IsRatedByWeight(endpoint)) return endpoint.record.weight;
+  double ratings = 0;
+  double weights = 0;
+  for (const auto& [id, other] : endpoints_) {
+    if (!IsRatedByWeight(other)) continue;
+    ratings += other.record.weight;
+    weights += EffectiveWeight(*other.target);
+  }
+  return ratings > 0 ? ratings * EffectiveWeight(*endpoint.target) / weights : endpoint.record.weight;
+}
+
+EndpointRecord MergedDestination::MergedRecord(const Endpoint& endpoint) const {
+  EndpointRecord record = endpoint.record;
+  if (endpoint.drained && endpoint.ListedInService()) record.status = Status::kDraining;
+  record.weight = RatingOf(endpoint);
+  return record;
+}
+
+std::vector<MergedEndpoint> MergedDestination::Endpoints() const {
+  std::vector<MergedEndpoint> endpoints;
+  endpoints.reserve(endpoints_.size());
+  for (const auto& [id, endpoint] : endpoints_) {
+    endpoints.push_back({MergedRecord(endpoint), endpoint.verdict});
+  }
+  return endpoints;
+}
+
+}  // namespace opalroute
--- a/src/discovery/merged_endpoint_source.cpp
+++ b/src/discovery/merged_endpoint_source.cpp
@@ -1,12 +1,15 @@
 #include "discovery/merged_endpoint_source.h"
 
 #include <random>
+#include <utility>
 
 #include "log/log.h"
 #include "net/address.h"
 
 namespace opalroute {
 
+using nlohmann::ordered_json;
+
 namespace {
 
 Limits LimitsOf(const Config& config, const Operator::Dns& dns) {
@@ -17,18 +20,27 @@
   return limits;
 }
 
-MergeOptions RulesOf(const Config& config) {
-  MergeOptions rules;
-  for (std::size_t i = 0; i < config.kinds.size(); ++i)
-    if (config.settings.kinds[i].limits_per_endpoint)
-      rules.kinds_with_endpoint_limits.insert(config.kinds[i]);
-  if (!config.zones.empty()) rules.added_zone = config.zones.front();
-  if (!config.kinds.empty()) rules.added_kind = config.kinds.front();
-  return rules;
+MergeOptions MergeOptionsOf(const Config& config) {
+  MergeOptions options;
+  for (std::size_t i = 0; i < config.kinds.size(); ++i) {
+    if (config.settings.kinds[i].limits_per_endpoint) {
+      options.kinds_with_endpoint_limits.insert(config.kinds[i]);
+    }
+  }
+  if (!config.zones.empty()) options.added_zone = config.zones.front();
+  if (!config.kinds.empty()) options.added_kind = config.kinds.front();
+  return options;
+}
+
+std::vector<SrvSource::Name> SrvNamesOf(const Operator& settings) {
+  std::vector<SrvSource::Name> names;
+  for (const auto& [name, destination] : settings.srv_names) names.push_back({name, destination});
+  return names;
 }
 
-// Ids that can be guessed let anyone forge answers (RFC 5452): not the seed that runs are played again by.
-std::uint64_t Unguessable() {
+// Query ids that can be guessed let anyone forge answers (RFC 5452), so they don't come from the configured
+// seed.
+std::uint64_t UnpredictableSeed() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
@@ -40,87 +52,88 @@
     : loop_(loop),
       limits_(LimitsOf(config, settings.dns)),
       listener_(listener),
-      merge_([&] {
-        EndpointMerge merge(RulesOf(config));
-        for (const auto& [destination, address] : settings.srv_own) merge.SetOwner(destination, address);
-        return merge;
-      }()),
-      resolver_(loop, settings.dns.servers, limits_, Unguessable()),
-      source_(
-          loop, resolver_, limits_,
-          [&] {
-            std::vector<SrvSource::Name> names;
-            for (const auto& [name, destination] : settings.srv_names) names.push_back({name, destination});
-            return names;
-          }(),
-          *this) {}
+      merge_(MergeOptionsOf(config)),
+      resolver_(loop, settings.dns.servers, limits_, UnpredictableSeed()),
+      source_(loop, resolver_, limits_, SrvNamesOf(settings), *this) {
+  for (const auto& [destination, address] : settings.srv_own) merge_.SetOwner(destination, address);
+}
 
 EndpointListUpdate MergedEndpointSource::ApplyCached(const EndpointListUpdate& list) {
   return merge_.OnList(loop_.Now(), list);
 }
 
-void MergedEndpointSource::OnEndpointList(const EndpointListUpdate& news) {
-  EndpointListUpdate joined = merge_.OnList(loop_.Now(), news);
-  joined.generation = news.generation;
-  joined.stale = news.stale;
-  listener_.OnEndpointList(joined);
+void MergedEndpointSource::OnEndpointList(const EndpointListUpdate& update) {
+  EndpointListUpdate merged = merge_.OnList(loop_.Now(), update);
+  merged.generation = update.generation;
+  merged.stale = update.stale;
+  listener_.OnEndpointList(merged);
 }
 
 void MergedEndpointSource::OnWatchFailed() { listener_.OnWatchFailed(); }
 
-void MergedEndpointSource::Forward(EndpointListUpdate news) {
-  news.from_list = false;
-  if (!news.endpoints.empty()) listener_.OnEndpointList(news);
+void MergedEndpointSource::PublishFromSrv(EndpointListUpdate update) {
+  update.from_list = false;
+  if (!update.endpoints.empty()) listener_.OnEndpointList(update);
 }
 
 void MergedEndpointSource::OnTargets(long long destination, const std::vector<SrvTarget>& targets,
                                      bool complete) {
-  if (silent_.erase(destination) > 0) log::Info("srv_answers_again", {{"destination", destination}});
-  const long before = merge_.unowned_targets();
-  const EndpointListUpdate news = merge_.OnTargets(loop_.Now(), destination, targets, complete);
-  if (merge_.unowned_targets() > before)
-    log::Debug("srv_targets_passed_over", {{"destination", destination},
-                                           {"targets", merge_.unowned_targets() - before},
-                                           {"why", "not the partner's own"}});
-  Forward(news);
+  if (unanswered_.erase(destination) > 0) log::Info("srv_answered_again", {{"destination", destination}});
+  const long ignored_before = merge_.unowned_targets();
+  EndpointListUpdate update = merge_.OnTargets(loop_.Now(), destination, targets, complete);
+  const long ignored = merge_.unowned_targets() - ignored_before;
+  if (ignored > 0) {
+    log::Debug("srv_targets_ignored",
+               {{"destination", destination}, {"targets", ignored}, {"why", "not the partner's own"}});
+  }
+  PublishFromSrv(std::move(update));
 }
 
 void MergedEndpointSource::OnNotOffered(long long destination) {
   log::Warn("srv_not_offered", {{"destination", destination}});
-  Forward(merge_.OnNotOffered(loop_.Now(), destination));
+  PublishFromSrv(merge_.OnNotOffered(loop_.Now(), destination));
 }
 
-void MergedEndpointSource::OnNoAnswer(long long destination, const char* why, bool expired) {
-  // Once, not with every try.
-  if (silent_.emplace(destination, why).second || expired)
-    log::Warn("srv_silent", {{"destination", destination}, {"why", why}, {"expired", expired}});
-  Forward(merge_.OnNoAnswer(loop_.Now(), destination, expired));
+void MergedEndpointSource::OnNoAnswer(long long destination, const char* reason, bool expired) {
+  // Logged once until the destination's name is answered again, not for every attempt.
+  if (unanswered_.emplace(destination, reason).second || expired) {
+    log::Warn("srv_unanswered", {{"destination", destination}, {"why", reason}, {"expired", expired}});
+  }
+  PublishFromSrv(merge_.OnNoAnswer(loop_.Now(), destination, expired));
 }
 
-nlohmann::ordered_json MergedEndpointSource::Print() const {
-  nlohmann::ordered_json rows = nlohmann::ordered_json::array();
-  for (const EndpointMerge::Row& row : merge_.Rows()) {
-    const EndpointRecord& m = row.endpoint;
-    rows.push_back({{"destination", m.destination},
-                    {"endpoint", m.id},
-                    {"address", net::FormatAddress(m.address)},
-                    {"in_service", m.status == EndpointRecord::Status::kInService},
-                    {"why", NameOf(row.verdict)},
-                    {"rating", m.weight}});
+ordered_json MergedEndpointSource::PrintEndpoints() const {
+  ordered_json rows = ordered_json::array();
+  for (const MergedEndpoint& merged : merge_.Endpoints()) {
+    const EndpointRecord& record = merged.endpoint;
+    rows.push_back({{"destination", record.destination},
+                    {"endpoint", record.id},
+                    {"address", net::FormatAddress(record.address)},
+                    {"in_service", record.status == EndpointRecord::Status::kInService},
+                    {"why", NameOf(merged.verdict)},
+                    {"rating", record.weight}});
   }
-  nlohmann::ordered_json silent = nlohmann::ordered_json::object();
-  for (const auto& [destination, why] : silent_) silent[std::to_string(destination)] = why;
-  const dns::ResolverCounters& c = resolver_.counters();
-  return {{"members", rows},
-          {"silent", silent},
+  return rows;
+}
+
+ordered_json MergedEndpointSource::PrintUnanswered() const {
+  ordered_json reasons = ordered_json::object();
+  for (const auto& [destination, reason] : unanswered_) reasons[std::to_string(destination)] = reason;
+  return reasons;
+}
+
+ordered_json MergedEndpointSource::Print() const {
+  const dns::ResolverCounters& counters = resolver_.counters();
+  return {{"members", PrintEndpoints()},
+          {"silent", PrintUnanswered()},
           {"targets_passed_over", merge_.unowned_targets()},
           {"dns",
-           {{"queries", c.queries},
-            {"tcp", c.tcp},
-            {"answers", c.answers},
-            {"passed_over", c.passed},
-            {"failures", c.failures},
-            {"stale", c.stale}}}};
+           {{"queries", counters.queries},
+            {"tcp", counters.tcp},
+            {"answers", counters.answers},
+            {"passed_over", counters.passed},
+            {"failures", counters.failures},
+            {"stale", counters.stale}}}};
 }
 
 }  // namespace opalroute
--- a/src/discovery/merged_endpoint_source.h
+++ b/src/discovery/merged_endpoint_source.h
@@ -1,8 +1,8 @@
-// The pool of several sources: stands between the partner list's source and who wants the list, and joins in
-// what SRV says (pool/merge). With it the relay knows of no second source.
+// Stands between the endpoint list's source and its listener, and merges DNS SRV into the list. The listener
+// sees one source.
 #pragma once
 
-#include <memory>
+#include <map>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
@@ -18,25 +18,32 @@
 
 class MergedEndpointSource : public EndpointSource::Listener, private SrvSource::Listener {
  public:
-  // `listener` hears the joined set; never before this constructor returns.
+  // Reports the merged set to `listener`, but never before this constructor returns. `loop` and `listener`
+  // must outlive this object. Throws std::invalid_argument if the settings name something that is no domain
+  // name.
   MergedEndpointSource(net::EventLoop& loop, const Config& config, const Operator& settings,
                        EndpointSource::Listener& listener);
 
-  // The list as it was last held: taken in without a word to the listener. Returns what it comes to.
+  // Applies the list that an earlier process or the configuration has left. Returns the merged set, and does
+  // not report it to the listener.
   EndpointListUpdate ApplyCached(const EndpointListUpdate& list);
 
-  void OnEndpointList(const EndpointListUpdate& news) override;
+  void OnEndpointList(const EndpointListUpdate& update) override;
   void OnListConfirmed() override { listener_.OnListConfirmed(); }
   void OnWatchFailed() override;
 
-  std::size_t unanswered() const { return source_.unanswered(); }  // names that have not been answered yet
-  nlohmann::ordered_json Print() const;  // the joined set, with the reason of each verdict
+  // SRV names whose first answer, or failure, has not arrived yet.
+  std::size_t unanswered() const { return source_.unanswered(); }
+  // The merged set with the reason of each verdict, as operators are shown it.
+  nlohmann::ordered_json Print() const;
 
  private:
   void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) override;
   void OnNotOffered(long long destination) override;
-  void OnNoAnswer(long long destination, const char* why, bool expired) override;
-  void Forward(EndpointListUpdate news);
+  void OnNoAnswer(long long destination, const char* reason, bool expired) override;
+  void PublishFromSrv(EndpointListUpdate update);
+  nlohmann::ordered_json PrintEndpoints() const;
+  nlohmann::ordered_json PrintUnanswered() const;
 
   net::EventLoop& loop_;
   const Limits limits_;
@@ -44,7 +51,7 @@
   EndpointMerge merge_;
   dns::Resolver resolver_;
   SrvSource source_;
-  std::map<long long, std::string> silent_;  // destinations whose name is not answered, and why
+  std::map<long long, std::string> unanswered_;  // why, by destination
 };
 
 }  // namespace opalroute
--- a/src/discovery/srv_source.h
+++ b/src/discovery/srv_source.h
@@ -1,66 +1,85 @@
-// Destinations' endpoints by DNS SRV: asks for each name, then for its targets' addresses, and again ahead of
-// the end of their lifetimes. Says what answers say; what follows from it is the merge's affair.
+// Destinations' endpoints by DNS SRV: queries each name, then its targets' addresses, and repeats both ahead
+// of the end of their lifetimes. Reports what answers say; what follows from it is EndpointMerge's decision.
 #pragma once
 
-#include <functional>
+#include <cstdint>
 #include <map>
 #include <memory>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "discovery/endpoint_merge.h"
+#include "config/limits.h"
+#include "discovery/srv_target.h"
 #include "dns/resolver.h"
+#include "net/timer.h"
 
 namespace opalroute {
 
 class SrvSource {
  public:
+  // A name to query, as in `_api._tcp.partner.example`.
   struct Name {
-    std::string name;  // as in `_api._tcp.partner.example`
+    std::string name;
     long long destination = 0;
   };
+
   class Listener {
    public:
     virtual ~Listener() = default;
+    // An answer that differs from the one before, or repeats it. Not complete: the addresses of some targets
+    // are not known.
     virtual void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) = 0;
+    // The answer is the target ".": the service is decidedly not offered.
     virtual void OnNotOffered(long long destination) = 0;
-    virtual void OnNoAnswer(long long destination, const char* why, bool expired) = 0;
+    // Expired: the last answer is older than Limits::dns_stale and no longer counts.
+    virtual void OnNoAnswer(long long destination, const char* reason, bool expired) = 0;
   };
 
-  // `resolver`, `limits` and `listener` stay. Throws std::invalid_argument if a name is none.
+  // `loop`, `resolver`, `limits` and `listener` must outlive this object. Throws std::invalid_argument if one
+  // of `names` is no domain name.
   SrvSource(net::EventLoop& loop, dns::Resolver& resolver, const Limits& limits,
             const std::vector<Name>& names, Listener& listener);
   ~SrvSource();
 
-  std::size_t unanswered() const {
-    return unanswered_;
-  }  // names whose first answer, or failure, has not come
+  // Names whose first answer, or failure, has not arrived yet.
+  std::size_t unanswered() const { return unanswered_; }
 
  private:
+  using AddressesByHost = std::map<dns::Name, std::set<std::uint32_t>>;  // addresses in network order
+
   struct Lookup {
-    dns::Question question;
-    long long destination = 0;
-    dns::Resolver::Ticket ticket = 0;           // of the SRV question
-    std::set<dns::Resolver::Ticket> addresses;  // of those that follow
-    net::EventLoop::TimerId timer = 0;
-    bool heard = false, ever = false, complete = true;
-    net::Seconds last_good = 0;   // when an answer was last of use
-    net::Seconds refresh_at = 0;  // the earliest of all answers'
+    Lookup(net::EventLoop& loop, const dns::Question& srv_question, long long of_destination)
+        : question(srv_question), destination(of_destination), timer(loop) {}
+
+    const dns::Question question;
+    const long long destination;
+    dns::Resolver::Ticket ticket = 0;                 // of the SRV query
+    std::set<dns::Resolver::Ticket> address_tickets;  // of the address queries that follow
+    net::Timer timer;
+    bool first_result_seen = false;  // answer or failure
+    bool has_answer = false;         // one that is not expired
+    bool complete = true;            // no target lacks its addresses
+    net::Seconds last_answer_at = 0;
+    net::Seconds refresh_at = 0;           // the earliest of all answers
+    net::Seconds services_refresh_at = 0;  // of the SRV answer alone
     std::vector<dns::Srv> services;
-    net::Seconds services_refresh_at = 0;                        // of the SRV answer alone
-    using Found = std::map<dns::Name, std::set<std::uint32_t>>;  // addresses, in network order
-    Found found, told;
-    bool new_services = false;  // else only addresses were asked for again
+    bool services_are_new = false;  // not published yet; else only addresses were queried again
+    AddressesByHost addresses;
+    AddressesByHost published_addresses;
   };
-  void Query(Lookup& look, bool newer);
-  void OnServices(Lookup& look, const dns::Outcome& outcome);
-  void QueryAddresses(Lookup& look);
-  void OnAddresses(Lookup& look, const dns::Name& target, const dns::Outcome& outcome);
-  void Publish(Lookup& look);
-  void ReportNoAnswer(Lookup& look, const char* why, net::Seconds again_at);
-  void ScheduleQuery(Lookup& look, net::Seconds at);
-  void MarkAnswered(Lookup& look);
+
+  void QueryServices(Lookup& lookup, bool newer);
+  void OnServices(Lookup& lookup, const dns::Outcome& outcome);
+  void QueryAddresses(Lookup& lookup);
+  void QueryAddress(Lookup& lookup, const dns::Name& host);
+  void OnAddresses(Lookup& lookup, const dns::Name& host, const dns::Outcome& outcome);
+  void Publish(Lookup& lookup);
+  void ReportNotOffered(Lookup& lookup);
+  void ReportNoAnswer(Lookup& lookup, const char* reason, net::Seconds retry_at);
+  void ScheduleQuery(Lookup& lookup, net::Seconds at);
+  void NoteFirstResult(Lookup& lookup);
+  void NoteAnswer(Lookup& lookup);
 
   net::EventLoop& loop_;
   dns::Resolver& resolver_;
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -1,8 +1,7 @@
 // How old a relay's endpoint list may grow: processes of the program, each with a discovery of its own that
-// is crowded while configurations move it, down for a while, or silent twice in a row. A drain that is
-// published meanwhile has to reach the relay in the time that the terms give, and no call may go to the
-// draining endpoint after its grace. All relays run side by side, with seeds of their own; bounds are seconds
-// away from what is seen, so that a slow machine gives the same verdict.
+// is overloaded while configurations move it, down for a while, or silent twice in a row. A drain that is
+// published meanwhile has to reach the relay within the protocol's bounds, and no call may go to the draining
+// endpoint after its grace period. All relays run at the same time, with seeds of their own.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -23,17 +22,19 @@
 using nlohmann::json;
 using Reply = DiscoveryStandIn::Reply;
 
-// The terms (docs/acceptance.md): a change counts as told so long after discovery had it and could be
-// reached, or after SIGHUP; calls may go on for the grace after that. Times carry the platform's slack of 50
-// ms.
-constexpr Seconds kToldWithin = 6, kToldAfterReload = 4, kGrace = 2, kSlack = 0.05;
+// docs/acceptance.md: a change counts as notified this long after discovery had it and could be reached, or
+// after SIGHUP. Calls may go on for the grace period after that. The platform allows 50 ms of slack.
+constexpr Seconds kNotifiedWithin = 6;
+constexpr Seconds kNotifiedAfterReload = 4;
+constexpr Seconds kGrace = 2;
+constexpr Seconds kSlack = 0.05;
 
-enum class Fault { kCrowdedMoves, kOutage, kSilentTwice };
+enum class Fault { kOverloadedMoves, kOutage, kSilentTwice };
 
 // One relay, its discovery, its two endpoints and a client. Times count from Begin.
-class Stage : private lab::RelayProcess::Owner {
+class RelayUnderFault : private lab::RelayProcess::Owner {
  public:
-  Stage(net::EventLoop& loop, const fs::path& folder, int number, Fault fault)
+  RelayUnderFault(net::EventLoop& loop, const fs::path& folder, int number, Fault fault)
       : loop_(loop),
         fault_(fault),
         number_(number),
@@ -45,28 +46,30 @@
   }
 
   bool ready() const { return relay_.ready(); }
-  std::string Trouble() const { return crash_.empty() ? relay_.LastLog() : crash_ + "\n" + relay_.LastLog(); }
+  std::string Diagnosis() const {
+    return crash_.empty() ? relay_.LastLog() : crash_ + "\n" + relay_.LastLog();
+  }
   void Poll() { relay_.Poll(); }
   void Begin() {
     start_ = loop_.Now();
     client_ = std::make_unique<ClientStandIn>(loop_, relay_.address(), "m" + std::to_string(number_));
     switch (fault_) {
-      case Fault::kCrowdedMoves:
+      case Fault::kOverloadedMoves:
         for (const Seconds at : {1.0, 1.3, 1.7, kLastMove}) At(at, [this] { Move(); });
         At(2.4, [this] { discovery_.Drain(); });
-        bound_ = kLastMove + kToldAfterReload;
-        told_by_ = bound_ + kGrace;  // it is crowded almost until `bound_`
+        bound_ = kLastMove + kNotifiedAfterReload;
+        notified_by_ = bound_ + kGrace;  // discovery is overloaded almost until `bound_`
         break;
       case Fault::kOutage:
         At(1.0, [this] { discovery_.GoDown(); });
         At(2.0, [this] { discovery_.Drain(); });
         At(kReturn, [this] { discovery_.Return(); });
-        bound_ = told_by_ = kReturn + kToldWithin;
+        bound_ = notified_by_ = kReturn + kNotifiedWithin;
         break;
       case Fault::kSilentTwice:
         At(1.0, [this] { discovery_.Mute(); });
         At(1.2, [this] { discovery_.Drain(); });
-        bound_ = told_by_ = 1.0 + kToldWithin;
+        bound_ = notified_by_ = 1.0 + kNotifiedWithin;
         break;
     }
   }
@@ -78,18 +81,18 @@
     CAPTURE(discovery_.calls());
     CAPTURE(relay_.LastLog());
     CHECK_MESSAGE(crash_.empty(), crash_);
-    const Seconds told = discovery_.told_at() < 0 ? 1e9 : discovery_.told_at() - start_;
-    CHECK_MESSAGE(told <= told_by_ + kSlack, "told at ", told, " s, to be told by ", told_by_);
+    const Seconds notified = discovery_.told_at() < 0 ? 1e9 : discovery_.told_at() - start_;
+    CHECK_MESSAGE(notified <= notified_by_ + kSlack, "notified at ", notified, " s, bound ", notified_by_);
     const Seconds latest = first_.latest_call() - start_;
-    CHECK_MESSAGE(latest <= std::min(told, bound_) + kGrace + kSlack, "called at ", latest, " s, told at ",
-                  told, ", bound to it from ", bound_);
+    CHECK_MESSAGE(latest <= std::min(notified, bound_) + kGrace + kSlack, "called at ", latest,
+                  " s, notified at ", notified, ", bound to it from ", bound_);
     CHECK(first_.calls() > 3);
     CHECK(second_.calls() > 20);  // service went on
     CHECK(discovery_.calls() < 40);
   }
 
  private:
-  static constexpr Seconds kLastMove = 2.6, kCrowdedUntil = kLastMove + 3.5;
+  static constexpr Seconds kLastMove = 2.6, kOverloadedUntil = kLastMove + 3.5;
   static constexpr Seconds kReturn = 11;
 
   lab::RelayProcess::Plan PlanOf(const fs::path& folder) {
@@ -115,8 +118,8 @@
   Reply ReplyNow() {
     const Seconds now = start_ > 0 ? loop_.Now() - start_ : 0;
     switch (fault_) {
-      case Fault::kCrowdedMoves:
-        return now > 1 && now < kCrowdedUntil ? Reply::kBusy : Reply::kServe;
+      case Fault::kOverloadedMoves:
+        return now > 1 && now < kOverloadedUntil ? Reply::kBusy : Reply::kServe;
       case Fault::kOutage:
         return Reply::kServe;
       case Fault::kSilentTwice:
@@ -132,7 +135,7 @@
   const int number_;
   EndpointStandIn first_, second_;
   int calls_since_ = 0;
-  Seconds start_ = 0, bound_ = 0, told_by_ = 0;
+  Seconds start_ = 0, bound_ = 0, notified_by_ = 0;
   std::string crash_;
   DiscoveryStandIn discovery_;
   lab::RelayProcess relay_;
@@ -151,35 +154,35 @@
   const fs::path path_;
 };
 
-TEST_CASE("processes: a drain reaches each relay in time while discovery is crowded, down or silent") {
+TEST_CASE("processes: a drain reaches each relay in time while discovery is overloaded, down or silent") {
   const Folder folder;
   const net::SystemClock clock;
   net::EventLoop loop(clock);
-  std::vector<std::unique_ptr<Stage>> stages;
-  for (const Fault fault : {Fault::kCrowdedMoves, Fault::kOutage, Fault::kSilentTwice})
+  std::vector<std::unique_ptr<RelayUnderFault>> relays;
+  for (const Fault fault : {Fault::kOverloadedMoves, Fault::kOutage, Fault::kSilentTwice})
     for (int i = 0; i < 6; ++i)
-      stages.push_back(
-          std::make_unique<Stage>(loop, folder.path(), static_cast<int>(stages.size()) + 1, fault));
+      relays.push_back(
+          std::make_unique<RelayUnderFault>(loop, folder.path(), static_cast<int>(relays.size()) + 1, fault));
   const auto run = [&](Seconds until, const auto& done) {
     while (loop.Now() < until && !done()) {
-      for (const auto& stage : stages) stage->Poll();
+      for (const auto& relay : relays) relay->Poll();
       loop.RunOnce(0.005);
     }
   };
   const auto all_ready = [&] {
-    return std::all_of(stages.begin(), stages.end(), [](const auto& stage) { return stage->ready(); });
+    return std::all_of(relays.begin(), relays.end(), [](const auto& relay) { return relay->ready(); });
   };
   run(loop.Now() + 60, all_ready);
-  for (const auto& stage : stages)
-    if (!stage->ready()) MESSAGE("not ready: ", stage->Trouble());
+  for (const auto& relay : relays)
+    if (!relay->ready()) MESSAGE("not ready: ", relay->Diagnosis());
   REQUIRE(all_ready());
   Seconds longest = 0;
-  for (const auto& stage : stages) {
-    stage->Begin();
-    longest = std::max(longest, stage->end());
+  for (const auto& relay : relays) {
+    relay->Begin();
+    longest = std::max(longest, relay->end());
   }
   run(loop.Now() + longest, [] { return false; });
-  for (const auto& stage : stages) stage->Check();
+  for (const auto& relay : relays) relay->Check();
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/discovery/srv_relay_test.cpp
@@ -0,0 +1,177 @@
+// SRV as a source of endpoints in a whole relay: its settings, the calls that follow, and `opalroute pool`.
+#include <doctest/doctest.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <filesystem>
+#include <fstream>
+
+#include "cli/operator_options.h"
+#include "lab/clock.h"
+#include "lab/dns/name_server.h"
+#include "lab/load.h"
+#include "lab/partner.h"
+#include "lab/platform.h"
+#include "lab/scenario.h"
+#include "lab/sockets/process.h"
+#include "lab/sockets/relay_config.h"
+#include "relay/relay.h"
+#include "tests/discovery/srv_records.h"
+
+namespace opalroute {
+namespace {
+
+namespace fs = std::filesystem;
+
+using lab::NameServer;
+
+TEST_CASE("srv: settings are checked, and nothing is asked for unless they say so") {
+  const auto read = [](std::vector<std::string> flags) {
+    CLI::App app;
+    const config::OperatorOptions options(app, [](const char*) { return std::nullopt; });
+    std::reverse(flags.begin(), flags.end());
+    app.parse(flags);
+    std::pair<Operator, std::vector<std::string>> result;
+    result.first = options.Finish(result.second);
+    return result;
+  };
+  CHECK(read({}).first.srv_names.empty());
+  const auto good = read(
+      {"--dns-server", "127.0.0.1:53", "--srv", kSrvName + "=7,_b._tcp.x=8", "--srv-own", "7=127.0.0.1:80"});
+  CHECK(good.second.empty());
+  CHECK(good.first.srv_names.size() == 2);
+  CHECK(good.first.srv_own[0].first == 7);
+  CHECK(read({"--srv", kSrvName + "=7"}).second ==
+        std::vector<std::string>{"'dns.server' must name a server where 'srv' names what to ask for"});
+  for (const char* wrong : {"x", "x=", "=7", "x=7x", "a..b=7", "x=7,y=7", ".=7"})
+    CHECK(read({"--dns-server", "127.0.0.1:53", "--srv", wrong}).second.size() == 1);
+  for (const char* wrong : {"7", "7=127.0.0.1", "x=127.0.0.1:80", "7=127.0.0.1:0"})
+    CHECK(read({"--srv-own", wrong}).second.size() == 1);
+}
+
+nlohmann::json ListOf(const std::vector<std::pair<std::string, std::string>>& addresses_by_id) {
+  nlohmann::json list = {{"generation", 1}, {"reset", true}, {"instances", nlohmann::json::array()}};
+  for (const auto& [id, address] : addresses_by_id)
+    list["instances"].push_back({{"instanceId", id},
+                                 {"hostPort", address},
+                                 {"zone", "z0"},
+                                 {"machineType", "plain"},
+                                 {"cell", kSrvDestination},
+                                 {"lifecycle", "ready"}});
+  return list;
+}
+nlohmann::json ConfigOf(const std::string& folder, const sockaddr_in& discovery, const nlohmann::json& list) {
+  return {{"name", "n0"},
+          {"listen", "127.0.0.1:0"},
+          {"discovery", net::FormatAddress(discovery)},
+          {"state", folder},
+          {"seed", "1"},
+          {"limits", {{"sockets", 1024}, {"disk_mb", 3}}},
+          {"known", list},
+          {"settings", lab::SettingsJson(lab::ReadScenario({{"relays", 1}}), 0)}};
+}
+
+class Folder {
+ public:
+  Folder() : path_(fs::temp_directory_path() / ("opalroute-srv-test-" + std::to_string(getpid()))) {
+    fs::create_directories(path_);
+  }
+  ~Folder() { fs::remove_all(path_); }
+  std::string operator/(const std::string& name) const { return (path_ / name).string(); }
+
+ private:
+  const fs::path path_;
+};
+
+TEST_CASE("srv: a relay sends nothing more to what SRV has drained, and nothing ever to a stranger") {
+  const Folder folder;
+  lab::Clock clock;
+  net::EventLoop loop(clock);
+  NameServer server(loop);
+  lab::Platform platform(loop);
+  lab::PartnerSettings partner;
+  lab::Partner a(loop, partner, 1, 1), b(loop, partner, 1, 1), stranger(loop, partner, 1, 1);
+  const auto port = [](const lab::Partner& partner_of) { return ntohs(partner_of.Address(0, 0).sin_port); };
+  server.Set(AddressQuestion("host.example"), AddressAnswer("host.example", "127.0.0.1", 60));
+  server.Set(
+      SrvQuestion(),
+      SrvAnswer({{"host.example", port(a)}, {"host.example", port(b)}, {"host.example", port(stranger)}}, 2));
+  const auto list =
+      ListOf({{"a", net::FormatAddress(a.Address(0, 0))}, {"b", net::FormatAddress(b.Address(0, 0))}});
+  platform.SetList(list);
+  const auto file = ConfigOf(folder / "state", platform.address(), list);
+  fs::create_directories(folder / "state");
+  const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
+  Operator settings;
+  settings.dns.servers = {server.address()};
+  settings.srv_names = {{kSrvName, kSrvDestination}};
+  Relay relay(loop, config, settings);
+  lab::LoadSettings rate;
+  rate.from = clock.Now();
+  rate.to = clock.Now() + 20;
+  rate.destinations = {kSrvDestination};
+  lab::Load load(loop, rate);
+  load.SetRelay(relay.address());
+  lab::PlayUntil(loop, clock, clock.Now() + 5);
+  CHECK(a.model().calls().size() > 10);
+  CHECK(b.model().calls().size() > 10);
+  server.Set(SrvQuestion(), SrvAnswer({{"host.example", port(a)}, {"host.example", port(stranger)}}, 2));
+  const double changed = clock.Now();
+  lab::PlayUntil(loop, clock, changed + 15);
+  CHECK(b.model().calls().back().at <
+        changed + 2);  // the answer's lifetime; the relay has the new one by then
+  CHECK(a.model().calls().back().at > changed + 10);
+  CHECK(stranger.model().calls().empty());
+  lab::PlayUntil(loop, clock, clock.Now() + 10);
+  for (const auto& [id, message] : load.messages()) CHECK(message.status == 202);
+  CHECK(a.delivered().size() + b.delivered().size() == load.messages().size());
+}
+
+TEST_CASE(
+    "srv: the merged endpoints are printed with their reasons, by querying once and from a running relay") {
+  const Folder folder;
+  const net::SystemClock clock;
+  net::EventLoop loop(clock);
+  NameServer server(loop);
+  server.Set(AddressQuestion("a.example"), AddressAnswer("a.example", "127.0.0.1", 60));
+  server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}}, 60));
+  lab::Platform platform(loop);
+  const auto list = ListOf({{"a", "127.0.0.1:80"}, {"b", "127.0.0.2:80"}});
+  platform.SetList(list);
+  fs::create_directories(folder / "state");
+  const auto file = ConfigOf(folder / "state", platform.address(), list);
+  std::ofstream(folder / "config.json") << file.dump();
+  const auto print = [&](std::vector<std::string> arguments) {
+    arguments.insert(arguments.begin(), "pool");
+    arguments.emplace_back("--json");
+    fs::remove(folder / "out");
+    lab::Process program(RELAY_PROGRAM, arguments, {{"EDGE_CONFIG", folder / "config.json"}}, folder / "out");
+    for (const double ends = loop.Now() + 20; !program.Ended() && loop.Now() < ends;) loop.RunOnce(0.01);
+    REQUIRE(program.Ended());
+    CHECK(*program.Ended() == "exit status 0");
+    return nlohmann::json::parse(program.LastLog());
+  };
+  const std::string dns = net::FormatAddress(server.address());
+  const auto once = print({"--dns-server", dns, "--srv", kSrvName + "=7"});
+  REQUIRE(once["members"].size() == 2);
+  CHECK(once["members"][0]["why"] == "list");
+  CHECK(once["members"][1]["endpoint"] == "b");
+  CHECK(once["members"][1]["why"] == "srv names others");
+  CHECK(once["members"][1]["in_service"] == false);
+  const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
+  Operator settings;
+  settings.admin_listen = *net::ParseAddress("127.0.0.1:0");
+  settings.dns.servers = {server.address()};
+  settings.srv_names = {{kSrvName, kSrvDestination}};
+  for (const bool srv : {true, false}) {
+    if (!srv) settings.srv_names.clear();
+    Relay relay(loop, config, settings);
+    for (int i = 0; i < 50; ++i) loop.RunOnce(0.01);
+    const auto running = print({net::FormatAddress(relay.admin()->address())});
+    CHECK(running["members"].size() == 2);
+    CHECK(running["members"][1]["why"] == (srv ? "srv names others" : "list"));
+  }
+}
+
+}  // namespace
+}  // namespace opalroute
