--- a/src/zone_failover/report_scheduler.cpp
+++ b/src/zone_failover/report_scheduler.cpp
@@ -64,7 +64,7 @@
   if (now < next_report_at_ || !HasBudget(now)) return false;
   next_report_at_ = decision::kNever;
   if (IsRedundant(now) && !HasStateToSpread()) return false;
-  if (!budget_.Take()) urgent_budget_.Take();
+  if (!budget_.TryTake()) urgent_budget_.TryTake();
   MarkReported(now);
   return true;
 }
@@ -139,8 +139,8 @@
 bool ReportScheduler::HasBudget(Seconds now) {
   const double rate = std::clamp(options_.reports_per_second / options_.membership.fleet_size, kMinReportRate,
                                  kMaxReportRate);
-  budget_.Fill(now, rate, kBurst);
-  urgent_budget_.Fill(now, options_.urgent_reports_per_second, kBurst);
+  budget_.Refill(now, rate, kBurst);
+  urgent_budget_.Refill(now, options_.urgent_reports_per_second, kBurst);
   return budget_.tokens >= 1 || (urgent_budget_.tokens >= 1 && IsUrgent(now));
 }
 
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -1,7 +1,7 @@
 // Load shedding and the quotas of tenants.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class AdmissionTest : public StartedRouterTest {};
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class CircuitBreakerTest : public StartedRouterTest {};
@@ -172,4 +172,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -1,7 +1,7 @@
 // How free call slots are shared, and how lost calls give theirs back.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class DispatcherTest : public StartedRouterTest {};
@@ -80,4 +80,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -8,7 +8,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr Seconds kStep = 0.005;  // of the test's clock
@@ -178,4 +178,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -1,7 +1,7 @@
 // The endpoint list: draining and removed endpoints, and how the list is kept current.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class EndpointListTest : public StartedRouterTest {};
@@ -57,4 +57,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr Seconds kTick = 0.01;
@@ -376,4 +376,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/hedging_test.cpp
+++ b/tests/decision/hedging_test.cpp
@@ -1,7 +1,7 @@
 // Hedged requests: when a second attempt is sent, and what becomes of it.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class HedgingTest : public StartedRouterTest {};
@@ -79,4 +79,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/idle_connections_test.cpp
+++ b/tests/decision/idle_connections_test.cpp
@@ -2,7 +2,7 @@
 #include "decision/route_gossip.h"
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class IdleConnectionsTest : public StartedRouterTest {};
@@ -58,4 +58,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -5,7 +5,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class LegalRunTest : public RouterTest, public ::testing::WithParamInterface<int> {
@@ -177,4 +177,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, LegalRunTest, ::testing::Range(1, 7));
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -4,7 +4,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class LoadBalancerTest : public StartedRouterTest {};
@@ -32,4 +32,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class RateLimiterTest : public StartedRouterTest {};
@@ -141,4 +141,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/recovery_test.cpp
+++ b/tests/decision/recovery_test.cpp
@@ -1,7 +1,7 @@
 // Requests of an earlier process, the time before a shutdown, and sends that have not left yet.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class RecoveryTest : public RouterTest {
@@ -151,4 +151,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/request_queue_test.cpp
+++ b/tests/decision/request_queue_test.cpp
@@ -1,7 +1,7 @@
 // Requests that wait: deadlines, order by key, and priority.
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class RequestQueueTest : public StartedRouterTest {};
@@ -88,4 +88,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/request_router_test.cpp
+++ b/tests/decision/request_router_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class RequestRouterTest : public StartedRouterTest {};
@@ -32,4 +32,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class RetryPolicyTest : public StartedRouterTest {};
@@ -97,4 +97,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/route_gossip_test.cpp
+++ b/tests/decision/route_gossip_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 TEST(RouteGossipTest, DatagramsRoundTripAndOtherBytesAreRejected) {
@@ -52,4 +52,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -7,7 +7,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kLimit = 10;      // calls a second that the destination takes from all relays
@@ -175,4 +175,4 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/state_transfer_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -4,7 +4,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class StateTransferTest : public RouterTest {
@@ -216,4 +216,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, TransferredStateInvariantTest, ::testing::Range(1, 61));
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/zone_traffic_test.cpp
+++ b/tests/decision/zone_traffic_test.cpp
@@ -3,7 +3,7 @@
 
 #include "tests/decision/fixture.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 class ZoneTrafficTest : public StartedRouterTest {};
@@ -136,4 +136,4 @@
 }
 
 }  // namespace
-}  // namespace opalroute
+}  // namespace opalroute::decision
