--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <iterator>
+#include <tuple>
 #include <utility>
 
 #include "decision/route_gossip.h"
@@ -12,8 +13,8 @@
 
 namespace {
 
-const char* NameOf(EndpointStatus listing) {
-  switch (listing) {
+const char* NameOf(EndpointStatus status) {
+  switch (status) {
     case EndpointStatus::kInService:
       return "in_service";
     case EndpointStatus::kDraining:
@@ -23,6 +24,24 @@
   }
 }
 
+EndpointStatus StatusOf(EndpointRecord::Status status) {
+  switch (status) {
+    case EndpointRecord::Status::kRemoved:
+      return EndpointStatus::kRemoved;
+    case EndpointRecord::Status::kDraining:
+      return EndpointStatus::kDraining;
+    default:
+      return EndpointStatus::kInService;
+  }
+}
+
+// Whether the endpoint that is listed under this id serves something else than the entry says. The entry then
+// stands for another endpoint, whatever its id.
+bool HasMoved(const EndpointTable::Endpoint& endpoint, const ListedEndpoint& entry) {
+  return endpoint.listed && (endpoint.destination != entry.destination || endpoint.zone != entry.zone ||
+                             endpoint.kind != entry.kind);
+}
+
 }  // namespace
 
 EndpointTable::EndpointTable(net::EventLoop& loop, net::HttpClient& client, const Config& config,
@@ -30,8 +49,8 @@
     : loop_(loop), client_(client), config_(config), counters_(counters) {}
 
 EndpointId EndpointTable::Intern(const std::string& id) {
-  const auto [it, fresh] = ids_.emplace(id, last_ + 1);
-  if (fresh) {
+  const auto [it, is_new] = ids_.emplace(id, last_ + 1);
+  if (is_new) {
     endpoints_[++last_].id = id;
     unlisted_.insert(last_);
     ++counters_.endpoints;
@@ -40,15 +59,19 @@
 }
 
 nlohmann::ordered_json EndpointTable::Print() const {
-  std::map<std::pair<DestinationId, std::string>, const Endpoint*> ordered;
+  std::vector<const Endpoint*> listed;
   for (const auto& [id, endpoint] : endpoints_)
-    if (endpoint.listed) ordered[{endpoint.destination, endpoint.id}] = &endpoint;
+    if (endpoint.listed) listed.push_back(&endpoint);
+  std::sort(listed.begin(), listed.end(), [](const Endpoint* a, const Endpoint* b) {
+    return std::tie(a->destination, a->id) < std::tie(b->destination, b->id);
+  });
   nlohmann::ordered_json rows = nlohmann::ordered_json::array();
-  for (const auto& [key, endpoint] : ordered)
-    rows.push_back({{"destination", key.first},
-                    {"endpoint", key.second},
+  for (const Endpoint* endpoint : listed) {
+    rows.push_back({{"destination", endpoint->destination},
+                    {"endpoint", endpoint->id},
                     {"address", net::FormatAddress(endpoint->address)},
                     {"why", "list"}});
+  }
   return {{"members", rows}};
 }
 
@@ -63,9 +86,9 @@
   if (!std::exchange(endpoint.listed, false)) return;
   unlisted_.insert(id);
   client_.CloseIdle({endpoint.address, id});
-  DestinationState& served = destinations_[endpoint.destination];
-  --served.endpoints;
-  served.left_at = loop_.Now();
+  DestinationState& destination = destinations_[endpoint.destination];
+  --destination.endpoints;
+  destination.left_at = loop_.Now();
 }
 
 std::vector<EndpointId> EndpointTable::Unused() const {
@@ -80,8 +103,8 @@
     const Endpoint& endpoint = endpoints_.at(id);
     if (endpoint.listed || endpoint.users > 0) continue;
     client_.CloseIdle({endpoint.address, id});
-    const auto name = ids_.find(endpoint.id);
-    if (name != ids_.end() && name->second == id) ids_.erase(name);
+    const auto number = ids_.find(endpoint.id);
+    if (number != ids_.end() && number->second == id) ids_.erase(number);
     endpoints_.erase(id);
     unlisted_.erase(id);
     --counters_.endpoints;
@@ -95,66 +118,75 @@
   return listed && endpoints_.at(*listed).listed_endpoint.status == EndpointStatus::kDraining;
 }
 
-// Returns the endpoint that the list names, if it is of use. Danger: an older list knows nothing of a drain
-// or a removal that was told since, and the grace of those has begun.
-std::optional<EndpointId> EndpointTable::Place(EndpointRecord member, bool older, ListUpdate& update) {
-  if (older && IsRemoved(member.id)) return std::nullopt;
-  if (older && IsDraining(member.id)) member.status = EndpointRecord::Status::kDraining;
-  const bool gone = member.status == EndpointRecord::Status::kRemoved;
-  if (gone && ids_.count(member.id) == 0) return std::nullopt;
+// Nothing if the record is skipped. Invariant: a stale list takes back no drain and no removal that came
+// after it; the grace period of those has begun, and the endpoint may be gone before it ends anew.
+std::optional<ListedEndpoint> EndpointTable::ToListedEndpoint(const EndpointRecord& record,
+                                                              bool stale) const {
+  if (stale && IsRemoved(record.id)) return std::nullopt;
   ListedEndpoint entry;
-  entry.zone = IndexOf(config_.zones, member.zone);
-  entry.kind = IndexOf(config_.kinds, member.kind);
+  entry.status = stale && IsDraining(record.id) ? EndpointStatus::kDraining : StatusOf(record.status);
+  if (entry.status == EndpointStatus::kRemoved && ids_.count(record.id) == 0) return std::nullopt;
+  entry.zone = IndexOf(config_.zones, record.zone);
+  entry.kind = IndexOf(config_.kinds, record.kind);
   if (entry.zone < 0 || entry.kind < 0) {
-    log::Warn("pool_member_left_out", {{"endpoint", member.id},
-                                       {"zone", member.zone},
-                                       {"kind", member.kind},
-                                       {"why", "zone or kind is not in the settings"}});
+    log::Warn("endpoint_ignored", {{"endpoint", record.id},
+                                   {"zone", record.zone},
+                                   {"kind", record.kind},
+                                   {"why", "zone or kind is not in the settings"}});
     return std::nullopt;
   }
-  entry.endpoint = Intern(member.id);
-  entry.destination = member.destination;
-  entry.status = gone                                                 ? EndpointStatus::kRemoved
-                 : member.status == EndpointRecord::Status::kDraining ? EndpointStatus::kDraining
-                                                                      : EndpointStatus::kInService;
-  entry.listed_rate = member.weight;
-  entry.name_hash = HashName(member.id);
-  Endpoint* endpoint = &endpoints_.at(entry.endpoint);
-  if (endpoint->listed && (endpoint->destination != entry.destination || endpoint->zone != entry.zone ||
-                           endpoint->kind != entry.kind)) {
-    // What serves something else now is another endpoint, whatever its name.
-    update.entries.push_back(
-        {entry.endpoint, endpoint->zone, endpoint->kind, endpoint->destination, EndpointStatus::kRemoved, 0});
-    Unlist(entry.endpoint);
-    ids_.erase(member.id);
-    if (gone) return std::nullopt;
-    entry.endpoint = Intern(member.id);
-    endpoint = &endpoints_.at(entry.endpoint);
-  }
-  const net::Peer before{endpoint->address, entry.endpoint};
-  if (net::FormatAddress(before.address) != net::FormatAddress(member.address)) client_.CloseIdle(before);
-  endpoint->zone = entry.zone;
-  endpoint->kind = entry.kind;
-  endpoint->address = member.address;
-  endpoint->destination = entry.destination;
-  if (!gone && !std::exchange(endpoint->listed, true)) {
-    unlisted_.erase(entry.endpoint);
-    ++destinations_[entry.destination].endpoints;
+  entry.destination = record.destination;
+  entry.listed_rate = record.weight;
+  entry.name_hash = HashName(record.id);
+  return entry;
+}
+
+std::optional<EndpointId> EndpointTable::ApplyRecord(const EndpointRecord& record, bool stale,
+                                                     ListUpdate& update) {
+  std::optional<ListedEndpoint> entry = ToListedEndpoint(record, stale);
+  if (!entry) return std::nullopt;
+  entry->endpoint = Intern(record.id);
+  if (HasMoved(endpoints_.at(entry->endpoint), *entry)) {
+    RemoveMoved(record.id, entry->endpoint, update);
+    if (entry->status == EndpointStatus::kRemoved) return std::nullopt;
+    entry->endpoint = Intern(record.id);
   }
-  if (gone) Unlist(entry.endpoint);
-  if (ever_listed_.size() < config_.limits.ids_remembered) ever_listed_.insert(member.id);
-  const EndpointStatus state_before = std::exchange(endpoint->listed_endpoint, entry).status;
-  if (state_before != entry.status) LogState(*endpoint, state_before);
-  update.entries.push_back(WithSuspension(*endpoint));
-  return entry.endpoint;
+  Endpoint& endpoint = endpoints_.at(entry->endpoint);
+  Place(endpoint, *entry, record.address);
+  if (ever_listed_.size() < config_.limits.ids_remembered) ever_listed_.insert(record.id);
+  const EndpointStatus before = std::exchange(endpoint.listed_endpoint, *entry).status;
+  if (before != entry->status) LogState(endpoint, before);
+  update.entries.push_back(WithSuspension(endpoint));
+  return entry->endpoint;
+}
+
+// The old endpoint is removed; its id is free for the new one.
+void EndpointTable::RemoveMoved(const std::string& id, EndpointId number, ListUpdate& update) {
+  const Endpoint& old = endpoints_.at(number);
+  update.entries.push_back({number, old.zone, old.kind, old.destination, EndpointStatus::kRemoved, 0});
+  Unlist(number);
+  ids_.erase(id);
+}
+
+void EndpointTable::Place(Endpoint& endpoint, const ListedEndpoint& entry, const sockaddr_in& address) {
+  if (net::FormatAddress(endpoint.address) != net::FormatAddress(address))
+    client_.CloseIdle({endpoint.address, entry.endpoint});
+  endpoint.zone = entry.zone;
+  endpoint.kind = entry.kind;
+  endpoint.address = address;
+  endpoint.destination = entry.destination;
+  if (entry.status == EndpointStatus::kRemoved) return Unlist(entry.endpoint);
+  if (std::exchange(endpoint.listed, true)) return;
+  unlisted_.erase(entry.endpoint);
+  ++destinations_[entry.destination].endpoints;
 }
 
 void EndpointTable::LogState(const Endpoint& endpoint, EndpointStatus before) const {
-  log::Info("pool_member_state", {{"endpoint", endpoint.id},
-                                  {"destination", endpoint.destination},
-                                  {"before", NameOf(before)},
-                                  {"state", NameOf(endpoint.listed_endpoint.status)},
-                                  {"generation", version_.generation}});
+  log::Info("endpoint_state", {{"endpoint", endpoint.id},
+                               {"destination", endpoint.destination},
+                               {"before", NameOf(before)},
+                               {"state", NameOf(endpoint.listed_endpoint.status)},
+                               {"generation", version_.generation}});
 }
 
 ListedEndpoint EndpointTable::WithSuspension(const Endpoint& endpoint) const {
@@ -170,10 +202,10 @@
   update.from_discovery = false;
   const std::set<std::string> before = std::exchange(suspended_, ids);
   for (const auto& [id, endpoint] : endpoints_) {
-    const bool banned = ids.count(endpoint.id) > 0;
-    if (!endpoint.listed || banned == (before.count(endpoint.id) > 0)) continue;
+    const bool suspended = ids.count(endpoint.id) > 0;
+    if (!endpoint.listed || suspended == (before.count(endpoint.id) > 0)) continue;
     update.entries.push_back(WithSuspension(endpoint));
-    if (banned) client_.CloseIdle({endpoint.address, id});  // it is about to be restarted
+    if (suspended) client_.CloseIdle({endpoint.address, id});  // it is about to be restarted
   }
   return update;
 }
@@ -185,27 +217,34 @@
   return listed;
 }
 
-ListUpdate EndpointTable::Apply(const EndpointListUpdate& news, ListScope scope) {
+ListUpdate EndpointTable::Apply(const EndpointListUpdate& list, ListScope scope) {
   ListUpdate update;
   update.scope = scope;
-  update.from_discovery = news.from_list;
-  if (news.from_list) version_ = {news.generation, loop_.Now()};
+  update.from_discovery = list.from_list;
+  if (list.from_list) version_ = {list.generation, loop_.Now()};
   std::set<EndpointId> named;
-  for (const EndpointRecord& member : news.endpoints)
-    if (const auto id = Place(member, news.stale, update)) named.insert(*id);
-  if (scope != ListScope::kChanges) {
-    std::vector<EndpointId> unnamed;
-    for (const auto& [id, endpoint] : endpoints_)
-      if (endpoint.listed && named.count(id) == 0) unnamed.push_back(id);
-    for (const EndpointId id : unnamed) Unlist(id);
+  for (const EndpointRecord& record : list.endpoints) {
+    const auto id = ApplyRecord(record, list.stale, update);
+    if (id) named.insert(*id);
   }
-  // A destination that has just lost its last endpoint is about to get another, mostly.
+  if (scope != ListScope::kChanges) UnlistOthers(named);
+  ForgetEmptyDestinations();
+  return update;
+}
+
+void EndpointTable::UnlistOthers(const std::set<EndpointId>& named) {
+  for (const EndpointId id : Listed())
+    if (named.count(id) == 0) Unlist(id);
+}
+
+// A destination that has just lost its last endpoint usually gets another soon, and is served until then.
+void EndpointTable::ForgetEmptyDestinations() {
   for (auto it = destinations_.begin(); it != destinations_.end();) {
-    const DestinationState& served = it->second;
-    const bool past = served.endpoints == 0 && served.left_at + config_.limits.destination_rest < loop_.Now();
-    it = past ? destinations_.erase(it) : std::next(it);
+    const DestinationState& destination = it->second;
+    const bool expired =
+        destination.endpoints == 0 && destination.left_at + config_.limits.destination_rest < loop_.Now();
+    it = expired ? destinations_.erase(it) : std::next(it);
   }
-  return update;
 }
 
 }  // namespace opalroute
--- a/src/relay/endpoint_table.h
+++ b/src/relay/endpoint_table.h
@@ -1,4 +1,4 @@
-// The endpoints that the pool's lists have named, and the destinations that they serve.
+// The endpoints that the endpoint lists have named, and the destinations that they serve.
 #pragma once
 
 #include <netinet/in.h>
@@ -22,36 +22,38 @@
 
 class EndpointTable {
  public:
-  // The list as it is held: its generation, and when the latest news of it was read (seconds, the loop's
-  // clock).
+  // The endpoint list in force.
   struct ListVersion {
     long long generation = 0;
-    Seconds at = 0;
+    Seconds at = 0;  // when its latest update was read, by the loop's clock
   };
 
   struct Endpoint {
     std::string id;
-    int zone = 0, kind = 0;
+    int zone = 0;  // index in the settings
+    int kind = 0;  // index in the settings
     sockaddr_in address{};
     DestinationId destination = 0;
     bool listed = false;
-    ListedEndpoint listed_endpoint;  // as the list says, whatever was done by hand
-    int users = 0;                   // flows and probes
+    ListedEndpoint listed_endpoint;  // as the list has it, suspended or not
+    int users = 0;                   // calls and health checks
   };
 
-  // Closes idle connections of `client` to endpoints that leave or move.
+  // Closes idle connections of `client` to endpoints that are removed or change their address.
   EndpointTable(net::EventLoop& loop, net::HttpClient& client, const Config& config, Counters& counters);
 
-  // Takes a list over; returns the same for the decision module.
-  ListUpdate Apply(const EndpointListUpdate& news, ListScope scope);
+  // Applies an update of the endpoint list; returns it as the decision module gets it.
+  ListUpdate Apply(const EndpointListUpdate& list, ListScope scope);
 
-  // Takes endpoints out by hand, and these alone; returns what that changes for the decision module, to which
-  // a banned endpoint is draining, whatever the list says of it.
+  // Suspends these endpoints, and resumes all others. A suspended endpoint is draining for the decision
+  // module, whatever the list says of it; returns the entries that this changes.
   ListUpdate SetSuspended(const std::set<std::string>& ids);
+  // Whether an update has named the endpoint since the process started. Bounded by Limits::ids_remembered.
   bool WasListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
   std::vector<EndpointId> Listed() const;
 
-  EndpointId Intern(const std::string& id);  // gives a name a number, though no list has named it yet
+  // The number of an endpoint id; a new one if no update has named it yet.
+  EndpointId Intern(const std::string& id);
   std::optional<EndpointId> FindListed(const std::string& id) const;
   Endpoint& At(EndpointId id) { return endpoints_.at(id); }
   const Endpoint& At(EndpointId id) const { return endpoints_.at(id); }
@@ -59,24 +61,33 @@
   bool Serves(DestinationId destination) const { return destinations_.count(destination) > 0; }
   const ListVersion& version() const { return version_; }
   bool empty() const { return destinations_.empty(); }
-  // The listed endpoints, in the form of JoinedPool's, where the list is the only source.
+  // The listed endpoints, in the form of MergedEndpointSource::Print, where the list is the only source.
   nlohmann::ordered_json Print() const;
 
-  // Danger: lists name new endpoints all day, and what is kept of each would grow for good. The module has
-  // dropped an endpoint that is gone when a turn ends with no call or probe out there: those that were unused
-  // before the turn, and still are after it, are forgotten.
+  // Lists name new endpoints all day, and the table would grow without bound. The decision module has dropped
+  // a removed endpoint when a batch ends with no call or health check there: Forget removes those that were
+  // unused before the batch and still are after it.
   std::vector<EndpointId> Unused() const;
   void Forget(const std::vector<EndpointId>& unused);
 
  private:
   struct DestinationState {
-    int endpoints = 0;    // listed
-    Seconds left_at = 0;  // the last one of them
+    int endpoints = 0;    // listed ones
+    Seconds left_at = 0;  // when the last of them was removed
   };
-  std::optional<EndpointId> Place(EndpointRecord member, bool older, ListUpdate& update);
+
+  // Applies one record. Returns the endpoint's number, nothing if the record is skipped. `stale`: the list is
+  // older than what is known.
+  std::optional<EndpointId> ApplyRecord(const EndpointRecord& record, bool stale, ListUpdate& update);
+  std::optional<ListedEndpoint> ToListedEndpoint(const EndpointRecord& record, bool stale) const;
+  void RemoveMoved(const std::string& id, EndpointId number, ListUpdate& update);
+  void Place(Endpoint& endpoint, const ListedEndpoint& entry, const sockaddr_in& address);
+  void UnlistOthers(const std::set<EndpointId>& named);
+  void ForgetEmptyDestinations();
+
   bool IsRemoved(const std::string& id) const;
   bool IsDraining(const std::string& id) const;
-  ListedEndpoint WithSuspension(const Endpoint& endpoint) const;  // what the module is told of it
+  ListedEndpoint WithSuspension(const Endpoint& endpoint) const;  // as the decision module gets it
   void Unlist(EndpointId id);
   void LogState(const Endpoint& endpoint, EndpointStatus before) const;
 
@@ -88,10 +99,10 @@
   std::unordered_map<EndpointId, Endpoint> endpoints_;
   EndpointId last_ = 0;
   ListVersion version_;
-  std::set<EndpointId> unlisted_;  // not forgotten yet: calls may be out there, and the module may know them
+  std::set<EndpointId> unlisted_;  // not forgotten yet: calls may be in flight, and the module may know them
   std::map<DestinationId, DestinationState> destinations_;
   std::set<std::string> suspended_;
-  std::set<std::string> ever_listed_;  // since the start; bounded, and enough to know an id by
+  std::set<std::string> ever_listed_;
 };
 
 }  // namespace opalroute
--- a/src/relay/membership_file.cpp
+++ b/src/relay/membership_file.cpp
@@ -2,8 +2,9 @@
 
 #include <algorithm>
 #include <fstream>
-#include <iterator>
 #include <nlohmann/json.hpp>
+#include <optional>
+#include <utility>
 
 #include "journal/durable_file.h"
 #include "net/framing.h"
@@ -13,82 +14,138 @@
 namespace {
 
 using nlohmann::json;
+using zone_failover::EvacuationPhase;
+using zone_failover::EvacuationState;
+using zone_failover::OperatorOverride;
 
 constexpr int kVersion = 1;
-constexpr std::size_t kMostRecord = MembershipFile::kMostBytes / 2 - 512;  // files count in whole blocks
+constexpr std::size_t kMaxRecordBytes = MembershipFile::kMostBytes / 2 - kDiskBlockBytes;
+constexpr int kMaxRelapses = 31;
+constexpr double kMicrosPerSecond = 1e6;
 
-}  // namespace
+// The phase of a zone's row; nothing if there is no such phase.
+std::optional<EvacuationPhase> ReadPhase(const json& row) {
+  const int phase = row.at("step").get<int>();
+  if (phase < 0 || phase > static_cast<int>(EvacuationPhase::kInService)) return std::nullopt;
+  return static_cast<EvacuationPhase>(phase);
+}
 
-MembershipFile::Saved MembershipFile::Load(const std::string& relay, const std::vector<std::string>& zones,
-                                           std::int64_t now, double oldest) const {
-  Saved kept;
-  std::ifstream file(path_, std::ios::binary);
-  if (!file) return kept;
-  std::string bytes(kMostBytes, '\0');
+// `age`: seconds since the file was written.
+EvacuationState ReadState(const json& row, EvacuationPhase phase, double age) {
+  EvacuationState state;
+  state.round = row.at("round").get<std::uint64_t>();
+  state.phase = phase;
+  state.relapses = std::clamp(row.at("relapses").get<int>(), 0, kMaxRelapses);
+  state.since = age + row.at("age").get<double>();
+  return state;
+}
+
+// Nothing if there is no such kind of override.
+std::optional<OperatorOverride> ReadOverride(const json& order, double age) {
+  const auto kind = zone_failover::OverrideKindOf(order.at("what").get<std::string>());
+  if (!kind) return std::nullopt;
+  OperatorOverride result;
+  result.sequence = order.at("number").get<std::uint64_t>();
+  result.issued_by = order.at("by").get<int>();
+  result.kind = *kind;
+  result.expires_at = order.at("left").get<double>() - std::max(0.0, age);
+  return result;
+}
+
+// Reads the zones that have a row; the others are new. `with_states`: else overrides alone. Nothing if a row
+// has a value that this version doesn't know.
+std::optional<zone_failover::ZoneFailover::SavedState> ReadZones(const json& rows,
+                                                                 const std::vector<std::string>& zones,
+                                                                 double age, bool with_states) {
+  zone_failover::ZoneFailover::SavedState saved;
+  saved.states.resize(with_states ? zones.size() : 0);
+  saved.overrides.resize(zones.size());
+  for (std::size_t i = 0; i < zones.size(); ++i) {
+    const auto row = rows.find(zones[i]);
+    if (row == rows.end()) continue;
+    const std::optional<EvacuationPhase> phase = ReadPhase(*row);
+    if (!phase) return std::nullopt;
+    if (with_states) saved.states[i] = ReadState(*row, *phase, age);
+    const auto order = row->find("order");
+    if (order == row->end()) continue;
+    const std::optional<OperatorOverride> read = ReadOverride(*order, age);
+    if (!read) return std::nullopt;
+    saved.overrides[i] = *read;
+  }
+  return saved;
+}
+
+// At most `max_bytes` of the file; nothing if it can't be opened.
+std::optional<std::string> ReadUpTo(const std::string& path, std::size_t max_bytes) {
+  std::ifstream file(path, std::ios::binary);
+  if (!file) return std::nullopt;
+  std::string bytes(max_bytes, '\0');
   file.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
   bytes.resize(static_cast<std::size_t>(file.gcount()));
-  kept.load_result = "broken";
-  const net::FrameRead frame = net::ReadFrame(bytes, kMostRecord);
-  if (frame.state != net::FrameState::kWhole || frame.size != bytes.size()) return kept;
-  const json all = json::parse(frame.record, nullptr, false);
+  return bytes;
+}
+
+json ToJson(const OperatorOverride& operator_override) {
+  return {{"number", operator_override.sequence},
+          {"by", operator_override.issued_by},
+          {"what", zone_failover::NameOf(operator_override.kind)},
+          {"left", operator_override.expires_at}};
+}
+
+json ToJson(const EvacuationState& state) {
+  return {{"round", state.round},
+          {"step", static_cast<int>(state.phase)},
+          {"relapses", state.relapses},
+          {"age", state.since}};
+}
+
+}  // namespace
+
+MembershipFile::Saved MembershipFile::Load(const std::string& relay, const std::vector<std::string>& zones,
+                                           std::int64_t now, double max_age) const {
+  Saved saved;
+  const std::optional<std::string> bytes = ReadUpTo(path_, kMostBytes);
+  if (!bytes) return saved;
+  saved.load_result = "broken";
+  const net::FrameRead frame = net::ReadFrame(*bytes, kMaxRecordBytes);
+  if (frame.state != net::FrameState::kWhole || frame.size != bytes->size()) return saved;
+  const json record = json::parse(frame.record, nullptr, false);
   try {
-    if (all.at("version").get<int>() != kVersion) {
-      kept.load_result = "other version";
-      return kept;
-    }
-    if (all.at("relay").get<std::string>() != relay) {
-      kept.load_result = "other relay";
-      return kept;
+    if (record.at("version").get<int>() != kVersion) {
+      saved.load_result = "other version";
+      return saved;
     }
-    kept.incarnation = all.at("life").get<std::uint64_t>();
-    const double age = static_cast<double>(now - all.at("at").get<std::int64_t>()) / 1e6;
-    const bool old = age < 0 || age > oldest;
-    std::vector<zone_failover::EvacuationState> stages(old ? 0 : zones.size());
-    std::vector<zone_failover::OperatorOverride> orders(zones.size());
-    for (std::size_t i = 0; i < zones.size(); ++i) {
-      const auto row = all.at("zones").find(zones[i]);
-      if (row == all.at("zones").end()) continue;  // it is new
-      const int step = row->at("step").get<int>();
-      if (step < 0 || step > static_cast<int>(zone_failover::EvacuationPhase::kInService)) return kept;
-      if (!old)
-        stages[i] = {row->at("round").get<std::uint64_t>(), static_cast<zone_failover::EvacuationPhase>(step),
-                     std::clamp(row->at("relapses").get<int>(), 0, 31), age + row->at("age").get<double>()};
-      const auto order = row->find("order");  // an earlier build writes none
-      if (order == row->end()) continue;
-      const auto what = zone_failover::OverrideKindOf(order->at("what").get<std::string>());
-      if (!what) return kept;
-      orders[i] = {order->at("number").get<std::uint64_t>(), order->at("by").get<int>(), *what,
-                   order->at("left").get<double>() - std::max(0.0, age)};
+    if (record.at("relay").get<std::string>() != relay) {
+      saved.load_result = "other relay";
+      return saved;
     }
-    kept.zones = {std::move(stages), std::move(orders)};
-    kept.load_result = old ? "too old" : "whole";
+    saved.incarnation = record.at("life").get<std::uint64_t>();
+    const double age = static_cast<double>(now - record.at("at").get<std::int64_t>()) / kMicrosPerSecond;
+    const bool too_old = age < 0 || age > max_age;
+    auto states = ReadZones(record.at("zones"), zones, age, !too_old);
+    if (!states) return saved;
+    saved.zones = std::move(*states);
+    saved.load_result = too_old ? "too old" : "whole";
   } catch (const json::exception&) {
-    kept.incarnation = 0;
+    saved.incarnation = 0;
   }
-  return kept;
+  return saved;
 }
 
 bool MembershipFile::Save(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
-                          std::uint64_t life, const zone_failover::ZoneFailover::SavedState& kept) const {
-  json all = {
-      {"version", kVersion}, {"relay", relay}, {"life", life}, {"at", now}, {"zones", json::object()}};
-  for (std::size_t i = 0; i < zones.size() && i < kept.states.size(); ++i) {
-    const zone_failover::EvacuationState& stage = kept.states[i];
-    json& row = all["zones"][zones[i]];
-    row = {{"round", stage.round},
-           {"step", static_cast<int>(stage.phase)},
-           {"relapses", stage.relapses},
-           {"age", stage.since}};
-    if (i >= kept.overrides.size() || kept.overrides[i].sequence == 0) continue;
-    const zone_failover::OperatorOverride& order = kept.overrides[i];
-    row["order"] = {{"number", order.sequence},
-                    {"by", order.issued_by},
-                    {"what", zone_failover::NameOf(order.kind)},
-                    {"left", order.expires_at}};
+                          std::uint64_t incarnation,
+                          const zone_failover::ZoneFailover::SavedState& state) const {
+  json rows = json::object();
+  for (std::size_t i = 0; i < zones.size() && i < state.states.size(); ++i) {
+    json& row = rows[zones[i]] = ToJson(state.states[i]);
+    const bool has_override = i < state.overrides.size() && state.overrides[i].sequence != 0;
+    if (has_override) row["order"] = ToJson(state.overrides[i]);
   }
-  const std::string record = all.dump();
-  if (record.size() > kMostRecord) return false;
-  return ReplaceFile(path_, net::Frame(record));
+  const json record = {
+      {"version", kVersion}, {"relay", relay}, {"life", incarnation}, {"at", now}, {"zones", rows}};
+  const std::string bytes = record.dump();
+  if (bytes.size() > kMaxRecordBytes) return false;
+  return ReplaceFile(path_, net::Frame(bytes));
 }
 
 }  // namespace opalroute
--- a/src/relay/membership_file.h
+++ b/src/relay/membership_file.h
@@ -1,8 +1,20 @@
-// What a relay keeps of its tier over restarts, in the state folder: the life of its process, so that notes
-// of an earlier one are known as such whatever the clock says, and by name the stage of each zone and what
-// operators have ordered of it.
+// What a relay stores of the fleet for its next process: its incarnation, so that peers can tell messages of
+// an earlier process whatever the clock says, and for each zone its evacuation state and the operators'
+// override.
+//
+// The file `tier` holds one frame (net/framing.h) with a JSON object:
+//   version  1
+//   relay    the relay's name
+//   life     incarnation
+//   at       when it was written, Unix time in microseconds
+//   zones    by name: {"round", "step", "relapses", "age"}, the evacuation's number, its phase (0 evacuating,
+//            1 evacuated, 2 recovering, 3 in service), relapses in a row, seconds since the phase began;
+//            and "order", the operators' override, if there is one: {"number", "by", "what", "left"}, its
+//            sequence, the peer that issued it, leave, keep or none, seconds until it expires
+// Early versions wrote no "order". A later version must go on reading the file.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
@@ -13,23 +25,28 @@
 
 class MembershipFile {
  public:
-  static constexpr std::size_t kMostBytes = 4096;  // on the disk, with the file that takes its place
-
-  explicit MembershipFile(std::string folder) : path_(std::move(folder) + "/tier") {}
+  static constexpr std::size_t kMostBytes = 4096;  // on disk: the file and the one that replaces it
 
   struct Saved {
-    std::uint64_t incarnation = 0;
-    zone_failover::ZoneFailover::SavedState zones;  // by zone as `zones` has them; empty: nothing was kept
-    std::string load_result =
-        "none";  // whole; none: there is no file; broken, other version, other relay, too old
+    std::uint64_t incarnation = 0;                  // 0: unknown
+    zone_failover::ZoneFailover::SavedState zones;  // in the order of Load's `zones`; empty: nothing was read
+    // whole; none: there is no file; broken, other version, other relay; too old: without the evacuation
+    // states
+    std::string load_result = "none";
   };
-  // `now`: Unix time in microseconds. Stages older than `oldest` seconds, or from a clock that was ahead, are
-  // passed over; the life counts all the same, and so do orders, which have an end of their own.
+
+  explicit MembershipFile(std::string folder) : path_(std::move(folder) + "/tier") {}
+
+  // `now`: Unix time in microseconds. Evacuation states older than `max_age` seconds, or from a time still to
+  // come, are dropped. The incarnation counts all the same, and so do overrides, which have an end of their
+  // own.
   Saved Load(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
-             double oldest) const;
-  // False: the folder took nothing, and the old file stands.
+             double max_age) const;
+
+  // Returns false if the file can't be written or would be too large; the old one then stays.
   bool Save(const std::string& relay, const std::vector<std::string>& zones, std::int64_t now,
-            std::uint64_t life, const zone_failover::ZoneFailover::SavedState& kept) const;
+            std::uint64_t incarnation, const zone_failover::ZoneFailover::SavedState& state) const;
+
   const std::string& path() const { return path_; }
 
  private:
--- a/src/relay/request_table.cpp
+++ b/src/relay/request_table.cpp
@@ -1,38 +1,47 @@
 #include "relay/request_table.h"
 
 #include <cerrno>
-#include <cstring>
+#include <system_error>
 #include <utility>
 
 #include "log/log.h"
 
 namespace opalroute {
 
+namespace {
+
+constexpr double kMicrosPerSecond = 1e6;
+
+}  // namespace
+
 RequestTable::RequestTable(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
                            Counters& counters, Journal& journal)
     : loop_(loop), clock_(clock), config_(config), counters_(counters), journal_(journal) {}
 
-AcceptedRequest* RequestTable::Find(RequestId message) {
-  const auto it = transactions_.find(message);
-  return it == transactions_.end() ? nullptr : &it->second;
+AcceptedRequest* RequestTable::Find(RequestId request_id) {
+  const auto it = requests_.find(request_id);
+  return it == requests_.end() ? nullptr : &it->second;
 }
 
-AcceptedRequest* RequestTable::FindByClientId(const std::string& id) {
-  const auto it = names_.find(id);
-  return it == names_.end() ? nullptr : &transactions_.at(it->second);
+AcceptedRequest* RequestTable::FindByClientId(const std::string& client_id) {
+  const auto it = by_client_id_.find(client_id);
+  return it == by_client_id_.end() ? nullptr : &requests_.at(it->second);
 }
 
-AcceptedRequest& RequestTable::Add(RequestId message, AcceptedRequest&& transaction) {
-  names_[transaction.id] = message;
+RequestId RequestTable::Add(AcceptedRequest&& request) {
+  ++last_id_;
+  by_client_id_[request.id] = last_id_;
   ++open_;
-  return transactions_[message] = std::move(transaction);
+  requests_[last_id_] = std::move(request);
+  return last_id_;
 }
 
-void RequestTable::Recorded(bool written) {
+void RequestTable::OnRecorded(bool written) {
   if (!written) ++counters_.journal_failures;
   if (std::exchange(journal_fails_, !written) == !written) return;
-  if (written) return log::Info("journal_writes_again", {{"failures", counters_.journal_failures}});
-  log::Error("journal_write_failed", {{"why", std::strerror(errno)}, {"open", open_}});
+  if (written) return log::Info("journal_write_recovered", {{"failures", counters_.journal_failures}});
+  log::Error("journal_write_failed",
+             {{"why", std::generic_category().message(errno)}, {"open_requests", open_}});
 }
 
 RequestId RequestTable::Accept(ClientRequest&& request) {
@@ -43,61 +52,63 @@
   entry.key = request.key;
   entry.body = request.body;
   entry.destination = request.destination;
-  entry.deadline = clock_.Micros() + static_cast<std::int64_t>(request.remaining_time * 1e6);
+  entry.deadline = clock_.Micros() + static_cast<std::int64_t>(request.remaining_time * kMicrosPerSecond);
   if (!journal_.RecordAccepted(entry)) return 0;
-  AcceptedRequest t;
-  t.id = std::move(request.id);
-  t.key = std::move(request.key);
-  t.body = std::move(request.body);
-  t.request_class = request.request_class;
-  t.destination = request.destination;
-  t.deadline = loop_.Now() + request.remaining_time;
-  Add(++last_, std::move(t));
-  return last_;
+  AcceptedRequest accepted;
+  accepted.id = std::move(request.id);
+  accepted.key = std::move(request.key);
+  accepted.body = std::move(request.body);
+  accepted.request_class = request.request_class;
+  accepted.destination = request.destination;
+  accepted.deadline = loop_.Now() + request.remaining_time;
+  return Add(std::move(accepted));
 }
 
 RequestId RequestTable::Recover(const JournalEntry& entry, Seconds remaining) {
-  AcceptedRequest t;
-  t.id = entry.id;
-  t.key = entry.key;
-  t.body = entry.body;
-  t.request_class = IndexOf(config_.classes, entry.request_class);
-  t.destination = entry.destination;
-  t.deadline = loop_.Now() + remaining;
-  for (std::size_t i = 0; i < entry.attempts.size(); ++i) t.journal_attempts.push_back(t.records++);
-  Add(++last_, std::move(t));
-  return last_;
+  AcceptedRequest recovered;
+  recovered.id = entry.id;
+  recovered.key = entry.key;
+  recovered.body = entry.body;
+  recovered.request_class = IndexOf(config_.classes, entry.request_class);
+  recovered.destination = entry.destination;
+  recovered.deadline = loop_.Now() + remaining;
+  for (std::size_t i = 0; i < entry.attempts.size(); ++i)
+    recovered.journal_attempts.push_back(recovered.records++);
+  return Add(std::move(recovered));
 }
 
-bool RequestTable::RecordAttempt(AcceptedRequest& t, int attempt, const JournalAttempt& record) {
-  const bool written = journal_.RecordAttempt(t.id, record);
-  Recorded(written);
-  if (written) t.journal_attempts[static_cast<std::size_t>(attempt)] = t.records++;
+bool RequestTable::RecordAttempt(AcceptedRequest& request, int attempt, const JournalAttempt& record) {
+  const bool written = journal_.RecordAttempt(request.id, record);
+  OnRecorded(written);
+  if (written) request.journal_attempts[static_cast<std::size_t>(attempt)] = request.records++;
   return written;
 }
 
-void RequestTable::RecordNotExecuted(const AcceptedRequest& t, int attempt) {
-  const int record = t.journal_attempts[static_cast<std::size_t>(attempt)];
-  if (record >= 0) Recorded(journal_.RecordNotExecuted(t.id, static_cast<std::size_t>(record)));
+void RequestTable::RecordNotExecuted(const AcceptedRequest& request, int attempt) {
+  const int record = request.journal_attempts[static_cast<std::size_t>(attempt)];
+  if (record < 0) return;
+  OnRecorded(journal_.RecordNotExecuted(request.id, static_cast<std::size_t>(record)));
 }
 
-void RequestTable::End(AcceptedRequest& t) {
-  t.ended = true;
+void RequestTable::End(AcceptedRequest& request) {
+  request.ended = true;
   --open_;
-  Recorded(journal_.RecordEnd(t.id));
+  OnRecorded(journal_.RecordEnd(request.id));
 }
 
-void RequestTable::EndWithNotification(AcceptedRequest& t, const std::string& notice) {
-  t.ended = true;
+void RequestTable::EndWithNotification(AcceptedRequest& request, const std::string& notification) {
+  request.ended = true;
   --open_;
-  Recorded(journal_.RecordEndWithNotification(t.id, notice));
+  OnRecorded(journal_.RecordEndWithNotification(request.id, notification));
 }
 
-void RequestTable::ForgetIfDone(RequestId message) {
-  const auto it = transactions_.find(message);
-  if (it == transactions_.end() || !it->second.ended || it->second.attempts_in_flight > 0) return;
-  names_.erase(it->second.id);
-  transactions_.erase(it);
+void RequestTable::ForgetIfDone(RequestId request_id) {
+  const auto it = requests_.find(request_id);
+  if (it == requests_.end()) return;
+  const AcceptedRequest& request = it->second;
+  if (!request.ended || request.attempts_in_flight > 0) return;
+  by_client_id_.erase(request.id);
+  requests_.erase(it);
 }
 
 }  // namespace opalroute
--- a/src/relay/request_table.h
+++ b/src/relay/request_table.h
@@ -1,5 +1,5 @@
-// The transactions that the relay has taken on, and their records in the journal. A record is written before
-// what it stands for: taken on before the 202, an attempt before its call's first byte.
+// The accepted requests and their records in the journal. A record is written before what it stands for:
+// `accepted` before the 202, `attempt` before the first byte of its call.
 #pragma once
 
 #include <map>
@@ -18,12 +18,14 @@
 namespace opalroute {
 
 struct AcceptedRequest {
-  std::string id, key, body;
-  int request_class = -1;  // -1: the settings have lost it
+  std::string id;  // the client's
+  std::string key;
+  std::string body;
+  int request_class = -1;  // -1: the settings have it no more
   DestinationId destination = 0;
-  Seconds deadline = 0;
-  int attempts_in_flight = 0;         // attempts without an outcome
-  std::vector<int> journal_attempts;  // by attempt: its number in the journal, or -1
+  Seconds deadline = 0;               // the event loop's clock
+  int attempts_in_flight = 0;         // without an outcome yet
+  std::vector<int> journal_attempts;  // by attempt: its index in the journal, or -1
   int records = 0;                    // attempts in the journal
   bool ended = false;
 };
@@ -33,37 +35,40 @@
   RequestTable(net::EventLoop& loop, const PersistentClock& clock, const Config& config, Counters& counters,
                Journal& journal);
 
-  AcceptedRequest* Find(RequestId message);
-  AcceptedRequest& At(RequestId message) { return transactions_.at(message); }
-  AcceptedRequest* FindByClientId(const std::string& id);  // as the client named it
-  int open() const { return open_; }                       // not over
+  AcceptedRequest* Find(RequestId request_id);  // null: there is none
+  AcceptedRequest& At(RequestId request_id) { return requests_.at(request_id); }
+  AcceptedRequest* FindByClientId(const std::string& client_id);
+  int open() const { return open_; }  // requests that have not ended
 
-  // 0: it could not be recorded, and so is not taken on.
+  // Returns the id of the new request; 0 if it could not be recorded, and so is not accepted.
   RequestId Accept(ClientRequest&& request);
-  // One that an earlier process had taken on; `remaining` is what is left of its time.
+  // Adds a request that an earlier process accepted; `remaining`: until its deadline.
   RequestId Recover(const JournalEntry& entry, Seconds remaining);
 
-  // Each records first. RecordAttempt: false if it could not, and the attempt must not leave.
-  bool RecordAttempt(AcceptedRequest& t, int attempt, const JournalAttempt& record);
-  void RecordNotExecuted(const AcceptedRequest& t, int attempt);
-  void End(AcceptedRequest& t);  // nothing more is owed
-  void EndWithNotification(AcceptedRequest& t, const std::string& notice);
+  // Records an attempt before it is sent. False: it is not recorded, and must not be sent.
+  bool RecordAttempt(AcceptedRequest& request, int attempt, const JournalAttempt& record);
+  void RecordNotExecuted(const AcceptedRequest& request, int attempt);
 
-  // The name of a message that is over and has nothing out is not needed any more.
-  void ForgetIfDone(RequestId message);
+  // Ends a request, with or without a notification that the platform must still get. What can't be recorded
+  // now, the journal writes later.
+  void End(AcceptedRequest& request);
+  void EndWithNotification(AcceptedRequest& request, const std::string& notification);
+
+  // Forgets a request that has ended and has no attempt in flight; others stay.
+  void ForgetIfDone(RequestId request_id);
 
  private:
-  AcceptedRequest& Add(RequestId message, AcceptedRequest&& transaction);
-  void Recorded(bool written);  // counts, and logs where that has changed
+  RequestId Add(AcceptedRequest&& request);
+  void OnRecorded(bool written);  // counts failures, logs the first of several and the end of them
 
   net::EventLoop& loop_;
   const PersistentClock& clock_;
   const Config& config_;
   Counters& counters_;
   Journal& journal_;
-  RequestId last_ = 0;
-  std::map<RequestId, AcceptedRequest> transactions_;
-  std::unordered_map<std::string, RequestId> names_;
+  RequestId last_id_ = 0;
+  std::map<RequestId, AcceptedRequest> requests_;
+  std::unordered_map<std::string, RequestId> by_client_id_;
   int open_ = 0;
   bool journal_fails_ = false;
 };
