--- a/lab/experiments/snapshot_table.cpp
+++ b/lab/experiments/snapshot_table.cpp
@@ -135,12 +135,11 @@
     heard.state.success_age = 9.5;
     lanes.push_back(heard);
   }
-  std::size_t apart = 0, whole = 0;
   state_transfer::Datagram note;
   note.routes = lanes;
-  state_transfer::EncodeDatagram(note, apart);
+  const std::size_t apart = state_transfer::EncodeDatagram(note).route_count;
   for (state_transfer::NamedRouteState& heard : note.routes) heard.endpoint.clear();
-  state_transfer::EncodeDatagram(note, whole);
+  const std::size_t whole = state_transfer::EncodeDatagram(note).route_count;
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid()))).string();
   std::filesystem::create_directories(folder);
@@ -179,11 +178,11 @@
     int status = 0;
     waitpid(child, &status, 0);
     for (const int fd : {address_pipe[0], address_pipe[1], report_pipe[0], report_pipe[1]}) close(fd);
-    if (got.report.result != "whole" || got.lanes != destinations) {
-      std::printf("a run ended %s with %d lanes\n", got.report.result.c_str(), got.lanes);
+    if (got.report.result != state_transfer::SnapshotResult::kComplete || got.lanes != destinations) {
+      std::printf("a run ended %s with %d lanes\n", NameOf(got.report.result), got.lanes);
       return 1;
     }
-    figures[0].push_back(got.report.took * 1000);
+    figures[0].push_back(got.report.duration * 1000);
     figures[1].push_back(static_cast<double>(got.report.bytes) / destinations);
     figures[2].push_back(report[0] * 1000);
     figures[3].push_back(report[1] * 1000);
--- a/src/cli/pool_command.cpp
+++ b/src/cli/pool_command.cpp
@@ -105,8 +105,8 @@
 
 }  // namespace
 
-int Pool(const std::string& from, bool as_json, const Operator& settings,
-         const config::Environment& environment) {
+int PrintPool(const std::string& from, bool as_json, const Operator& settings,
+              const config::Environment& environment) {
   return from.empty() ? PrintResolvedPool(as_json, settings, environment) : PrintRelaysPool(from, as_json);
 }
 
--- a/src/cli/pool_command.h
+++ b/src/cli/pool_command.h
@@ -12,7 +12,7 @@
 // `from`: the address of a relay's --admin-listen; if empty, the configuration's `known` list is merged with
 // one answer for each SRV name. Returns the exit status: 0 done, 1 the relay did not answer, 2 a fault in the
 // arguments or the configuration; a line on standard error says which.
-int Pool(const std::string& from, bool as_json, const Operator& settings,
-         const config::Environment& environment);
+int PrintPool(const std::string& from, bool as_json, const Operator& settings,
+              const config::Environment& environment);
 
 }  // namespace opalroute::cli
--- a/src/cli/snapshot_command.cpp
+++ b/src/cli/snapshot_command.cpp
@@ -3,6 +3,7 @@
 #include <cstdio>
 #include <iostream>
 #include <nlohmann/json.hpp>
+#include <optional>
 #include <vector>
 
 #include "journal/persistent_clock.h"
@@ -16,104 +17,126 @@
 
 using nlohmann::ordered_json;
 using state_transfer::NamedRouteState;
+using state_transfer::SnapshotClient;
+using state_transfer::SnapshotResult;
 
-constexpr Seconds kTime = 5;  // for all of it
+constexpr Seconds kTimeout = 5;
+// The name that this command gives itself to the relay it asks.
+constexpr char kClientName[] = "snapshot";
 
-struct Result {
-  std::string name, end;
+struct Snapshot {
+  std::string name;  // of the relay
+  SnapshotResult result = SnapshotResult::kNoFile;
   Seconds age = 0;  // of a saved one
-  std::vector<NamedRouteState> lanes;
+  std::vector<NamedRouteState> routes;
 };
 
-class Fetch : private state_transfer::SnapshotClient::Owner {
+// Fetches a running relay's snapshot.
+class Fetch : private SnapshotClient::Owner {
  public:
-  explicit Fetch(const sockaddr_in& from) : learner_(loop_, {from}, "snapshot", kTime, limits_, *this) {
+  explicit Fetch(const sockaddr_in& from) : client_(loop_, {from}, kClientName, kTimeout, limits_, *this) {
     loop_.Run();
   }
-  Result result;
+  const Snapshot& snapshot() const { return snapshot_; }
 
  private:
-  void OnRouteState(int, const NamedRouteState& heard, Seconds made) override {
-    result.lanes.push_back(heard);
-    state_transfer::AgeBy(result.lanes.back().state, loop_.Now() - made);
+  void OnRouteState(int, const NamedRouteState& route, Seconds observed_at) override {
+    snapshot_.routes.push_back(route);
+    state_transfer::AgeBy(snapshot_.routes.back().state, loop_.Now() - observed_at);
   }
-  void OnSnapshotsEnded(const std::vector<state_transfer::SnapshotClient::Report>& reports) override {
-    result.name = reports[0].name;
-    result.end = reports[0].result;
+  void OnSnapshotsEnded(const std::vector<SnapshotClient::Report>& reports) override {
+    snapshot_.name = reports[0].name;
+    snapshot_.result = reports[0].result;
     loop_.Stop();
   }
+
+  Snapshot snapshot_;
   const Limits limits_;
   const net::SystemClock clock_;
   net::EventLoop loop_{clock_};
-  state_transfer::SnapshotClient learner_;
+  SnapshotClient client_;
 };
 
-Result Load(const std::string& folder) {
+Snapshot Load(const std::string& folder) {
   const Limits limits;
   const auto saved = state_transfer::SnapshotFile(folder, limits.learn_file_bytes).Load();
   const net::SystemClock system_clock;
   const PersistentClock clock(system_clock, folder);
-  return {saved.name, saved.result, static_cast<double>(clock.Micros() - saved.written_at) / 1e6,
-          saved.routes};
+  const Seconds age = static_cast<double>(clock.Micros() - saved.written_at) / 1e6;
+  return {saved.name, saved.result, age, saved.routes};
+}
+
+std::string Dump(const ordered_json& value) {
+  return value.dump(-1, ' ', true, ordered_json::error_handler_t::replace);
 }
 
-ordered_json LaneJson(const NamedRouteState& heard) {
-  const RouteState& b = heard.state;
-  ordered_json row = {{"destination", b.destination}};
-  if (!heard.endpoint.empty()) row["endpoint"] = heard.endpoint;
-  if (b.retry_after > 0) row["wait_s"] = b.retry_after;
-  if (b.failure_age) row["out_since_s"] = *b.failure_age;
-  if (b.recovery_age) row["back_since_s"] = *b.recovery_age;
-  if (b.success_age) row["served_before_s"] = *b.success_age;
-  if (b.rejection_age) row["refused_before_s"] = *b.rejection_age;
-  if (b.rejection_age) row["pace_per_s"] = b.send_rate;
-  if (b.latency_age) row["latency_s"] = b.latency;
-  if (b.hedging_disabled_age) row["copies_barred_before_s"] = *b.hedging_disabled_age;
+ordered_json RouteJson(const NamedRouteState& route) {
+  const RouteState& state = route.state;
+  ordered_json row = {{"destination", state.destination}};
+  if (!route.endpoint.empty()) row["endpoint"] = route.endpoint;
+  if (state.retry_after > 0) row["wait_s"] = state.retry_after;
+  if (state.failure_age) row["out_since_s"] = *state.failure_age;
+  if (state.recovery_age) row["back_since_s"] = *state.recovery_age;
+  if (state.success_age) row["served_before_s"] = *state.success_age;
+  if (state.rejection_age) row["refused_before_s"] = *state.rejection_age;
+  if (state.rejection_age) row["pace_per_s"] = state.send_rate;
+  if (state.latency_age) row["latency_s"] = state.latency;
+  if (state.hedging_disabled_age) row["copies_barred_before_s"] = *state.hedging_disabled_age;
   return row;
 }
 
-void PrintTable(const Result& result) {
+void PrintJson(const Snapshot& snapshot) {
+  ordered_json rows = ordered_json::array();
+  for (const NamedRouteState& route : snapshot.routes) rows.push_back(RouteJson(route));
+  const ordered_json page = {{"name", snapshot.name},
+                             {"end", NameOf(snapshot.result)},
+                             {"saved_before_s", snapshot.age},
+                             {"lanes", rows}};
+  std::cout << Dump(page) << '\n';
+}
+
+void PrintCell(const std::optional<double>& value) {
+  if (value) {
+    std::printf(" %8.3f", *value);
+  } else {
+    std::printf(" %8s", "-");
+  }
+}
+
+void PrintRow(const NamedRouteState& route) {
+  const RouteState& state = route.state;
+  const std::string name = route.endpoint.empty() ? "(all)" : Dump(route.endpoint);
+  const auto value_if = [](bool has_value, double value) {
+    return has_value ? std::optional<double>(value) : std::nullopt;
+  };
+  std::printf("%-12lld %-16s", static_cast<long long>(state.destination), name.c_str());
+  PrintCell(value_if(state.retry_after > 0, state.retry_after));
+  PrintCell(state.failure_age);
+  PrintCell(state.recovery_age);
+  PrintCell(state.success_age);
+  PrintCell(value_if(state.rejection_age.has_value(), state.send_rate));
+  PrintCell(value_if(state.latency_age.has_value(), state.latency));
+  std::printf("\n");
+}
+
+void PrintTable(const Snapshot& snapshot) {
   std::printf("%-12s %-16s %8s %8s %8s %8s %8s %8s\n", "destination", "endpoint", "wait", "out", "back",
               "served", "pace/s", "latency");
-  const auto cell = [](bool has, double value) {
-    if (has)
-      std::printf(" %8.3f", value);
-    else
-      std::printf(" %8s", "-");
-  };
-  for (const NamedRouteState& heard : result.lanes) {
-    const RouteState& b = heard.state;
-    const std::string name =
-        heard.endpoint.empty()
-            ? "(all)"
-            : ordered_json(heard.endpoint).dump(-1, ' ', true, ordered_json::error_handler_t::replace);
-    std::printf("%-12lld %-16s", static_cast<long long>(b.destination), name.c_str());
-    cell(b.retry_after > 0, b.retry_after);
-    cell(b.failure_age.has_value(), b.failure_age.value_or(0));
-    cell(b.recovery_age.has_value(), b.recovery_age.value_or(0));
-    cell(b.success_age.has_value(), b.success_age.value_or(0));
-    cell(b.rejection_age.has_value(), b.send_rate);
-    cell(b.latency_age.has_value(), b.latency);
-    std::printf("\n");
-  }
+  for (const NamedRouteState& route : snapshot.routes) PrintRow(route);
 }
 
 }  // namespace
 
-int Snapshot(const std::string& from, bool as_json) {
+int PrintSnapshot(const std::string& from, bool as_json) {
   const auto address = net::ParseAddress(from);
-  const Result result = address ? Fetch(*address).result : Load(from);
+  const Snapshot snapshot = address ? Fetch(*address).snapshot() : Load(from);
   if (as_json) {
-    ordered_json rows = ordered_json::array();
-    for (const NamedRouteState& heard : result.lanes) rows.push_back(LaneJson(heard));
-    const ordered_json all = {
-        {"name", result.name}, {"end", result.end}, {"saved_before_s", result.age}, {"lanes", rows}};
-    std::cout << all.dump(-1, ' ', true, ordered_json::error_handler_t::replace) << '\n';
+    PrintJson(snapshot);
   } else {
-    PrintTable(result);
+    PrintTable(snapshot);
   }
-  if (result.end == "whole") return 0;
-  std::cerr << "snapshot of " << from << ": " << result.end << '\n';
+  if (snapshot.result == SnapshotResult::kComplete) return 0;
+  std::cerr << "snapshot of " << from << ": " << NameOf(snapshot.result) << '\n';
   return 1;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -94,14 +94,14 @@
   if (parsed.exits) return parsed.exit_code;
   const opalroute::cli::Order& order = parsed.order;
   if (order.command == opalroute::cli::Command::kSnapshot)
-    return opalroute::cli::Snapshot(order.snapshot_of, order.as_json);
+    return opalroute::cli::PrintSnapshot(order.snapshot_of, order.as_json);
   if (order.command == opalroute::cli::Command::kCheck) return opalroute::cli::Check(order, Variable);
   if (order.command == opalroute::cli::Command::kZones)
     return opalroute::cli::Zones(order.zones, order.as_json);
   for (const std::string& fault : order.faults) std::cerr << fault << '\n';
   if (!order.faults.empty()) return 2;
   if (order.command == opalroute::cli::Command::kPool)
-    return opalroute::cli::Pool(order.pool_of, order.as_json, order.settings, Variable);
+    return opalroute::cli::PrintPool(order.pool_of, order.as_json, order.settings, Variable);
   const opalroute::Operator& settings = order.settings;
   opalroute::log::Start(settings.log_json ? opalroute::log::Form::kJson : opalroute::log::Form::kText,
                         spdlog::level::from_str(settings.log_level));
--- a/src/relay/state_transfer_host.h
+++ b/src/relay/state_transfer_host.h
@@ -1,5 +1,5 @@
-// What learning sees of the relay: beliefs by name instead of number, and only endpoints that the pool has
-// named.
+// What state transfer sees of the relay: endpoints by id instead of number, and only those that the endpoint
+// list names.
 #pragma once
 
 #include <functional>
@@ -13,28 +13,29 @@
 
 namespace opalroute {
 
+// All references must outlive the host.
 class StateTransferHost : public state_transfer::Host {
  public:
   using SendTo = std::function<void(int peer, const std::string& bytes)>;
 
-  StateTransferHost(net::EventLoop& loop, EndpointTable& endpoints, DecisionLoop& driver, SendTo send)
-      : loop_(loop), endpoints_(endpoints), driver_(driver), send_(std::move(send)) {}
+  StateTransferHost(net::EventLoop& loop, EndpointTable& endpoints, DecisionLoop& decisions, SendTo send)
+      : loop_(loop), endpoints_(endpoints), decisions_(decisions), send_(std::move(send)) {}
 
   std::vector<RouteState> ExportRouteStates(std::optional<DestinationId>& from, int most) const override {
-    return driver_.router().ExportRouteStates(loop_.Now(), from, most);
+    return decisions_.router().ExportRouteStates(loop_.Now(), from, most);
   }
-  std::string NameOf(EndpointId endpoint) const override { return endpoints_.At(endpoint).id; }
+  std::string EndpointName(EndpointId endpoint) const override { return endpoints_.At(endpoint).id; }
   std::optional<EndpointId> ListedEndpoint(const std::string& name) const override {
     return endpoints_.FindListed(name);
   }
   bool ListedDestination(DestinationId destination) const override { return endpoints_.Serves(destination); }
-  void ApplyState(TransferredState learned) override { driver_.Post(std::move(learned)); }
+  void ApplyState(TransferredState state) override { decisions_.Post(std::move(state)); }
   void SendDatagram(int peer, const std::string& bytes) override { send_(peer, bytes); }
 
  private:
   net::EventLoop& loop_;
   EndpointTable& endpoints_;
-  DecisionLoop& driver_;
+  DecisionLoop& decisions_;
   SendTo send_;
 };
 
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -10,154 +10,198 @@
 
 namespace {
 
-constexpr std::string_view kNoteMark = "OLN1";
+constexpr std::string_view kDatagramMagic = "OLN1";
+constexpr double kMicrosPerSecond = 1e6;
+constexpr Seconds kMaxSpan = 1e9;  // of an uptime, and of a chunk's time after the header
 
 std::int64_t Micros(Seconds seconds) {
-  return static_cast<std::int64_t>(std::llround(std::clamp(seconds, 0.0, kMaxAge) * 1e6));
+  return static_cast<std::int64_t>(std::llround(std::clamp(seconds, 0.0, kMaxAge) * kMicrosPerSecond));
 }
 
-// Negative, endless or absurd durations are counted and left out.
-std::optional<Seconds> InRange(std::int64_t micros, int& out_of_range) {
-  if (micros >= 0 && micros <= Micros(kMaxAge)) return static_cast<double>(micros) / 1e6;
+// Uptimes and the like, which are not limited to kMaxAge.
+std::int64_t UnboundedMicros(Seconds seconds) {
+  return static_cast<std::int64_t>(seconds * kMicrosPerSecond);
+}
+
+Seconds ReadSpan(std::int64_t micros) {
+  return std::clamp(static_cast<double>(micros) / kMicrosPerSecond, 0.0, kMaxSpan);
+}
+
+// Nullopt, and counted, for a negative duration or one of more than kMaxAge.
+std::optional<Seconds> ReadAge(std::int64_t micros, int& out_of_range) {
+  if (micros >= 0 && micros <= Micros(kMaxAge)) return static_cast<double>(micros) / kMicrosPerSecond;
   ++out_of_range;
   return std::nullopt;
 }
 
-void WriteLane(const NamedRouteState& heard, wire::Lane& lane) {
-  const RouteState& b = heard.state;
-  lane.set_destination(b.destination);
-  lane.set_endpoint(heard.endpoint);
-  if (b.retry_after > 0) lane.set_wait_us(Micros(b.retry_after));
-  if (b.failure_age) lane.set_out_us(Micros(*b.failure_age));
-  if (b.recovery_age) lane.set_back_us(Micros(*b.recovery_age));
-  if (b.success_age) lane.set_served_us(Micros(*b.success_age));
-  if (b.rejection_age) {
-    lane.set_refused_us(Micros(*b.rejection_age));
-    lane.set_pace(b.send_rate);
+void WriteRoute(const NamedRouteState& route, wire::RouteState& out) {
+  const RouteState& state = route.state;
+  out.set_destination(state.destination);
+  out.set_endpoint(route.endpoint);
+  if (state.retry_after > 0) out.set_retry_after_us(Micros(state.retry_after));
+  if (state.failure_age) out.set_failure_age_us(Micros(*state.failure_age));
+  if (state.recovery_age) out.set_recovery_age_us(Micros(*state.recovery_age));
+  if (state.success_age) out.set_success_age_us(Micros(*state.success_age));
+  if (state.rejection_age) {
+    out.set_rejection_age_us(Micros(*state.rejection_age));
+    out.set_send_rate(state.send_rate);
   }
-  if (b.latency_age) {
-    lane.set_measured_us(Micros(*b.latency_age));
-    lane.set_latency_us(Micros(b.latency));
+  if (state.latency_age) {
+    out.set_latency_age_us(Micros(*state.latency_age));
+    out.set_latency_us(Micros(state.latency));
   }
-  if (b.hedging_disabled_age) lane.set_barred_us(Micros(*b.hedging_disabled_age));
+  if (state.hedging_disabled_age) out.set_hedging_disabled_age_us(Micros(*state.hedging_disabled_age));
 }
 
-bool ReadLane(const wire::Lane& lane, NamedRouteState& heard, int& out_of_range) {
-  if (lane.endpoint().size() > kMaxNameBytes) {
+void ReadSendRate(const wire::RouteState& in, RouteState& state, int& out_of_range) {
+  if (in.has_rejection_age_us()) state.rejection_age = ReadAge(in.rejection_age_us(), out_of_range);
+  state.send_rate = in.send_rate();
+  // Written so that it also holds for what is not a number.
+  const bool in_range = state.send_rate > 0 && state.send_rate <= kMaxSendRate;
+  if (state.rejection_age && !in_range) {
+    state.rejection_age.reset();
     ++out_of_range;
-    return false;
   }
-  heard.endpoint = lane.endpoint();
-  RouteState& b = heard.state;
-  b.destination = lane.destination();
-  if (lane.has_wait_us()) b.retry_after = InRange(lane.wait_us(), out_of_range).value_or(0);
-  if (lane.has_out_us()) b.failure_age = InRange(lane.out_us(), out_of_range);
-  if (lane.has_back_us()) b.recovery_age = InRange(lane.back_us(), out_of_range);
-  if (lane.has_served_us()) b.success_age = InRange(lane.served_us(), out_of_range);
-  if (lane.has_refused_us()) b.rejection_age = InRange(lane.refused_us(), out_of_range);
-  b.send_rate = lane.pace();
-  if (b.rejection_age && !(b.send_rate > 0 && b.send_rate <= kMaxSendRate)) {  // also what is no number
-    b.rejection_age.reset();
+}
+
+void ReadLatency(const wire::RouteState& in, RouteState& state, int& out_of_range) {
+  if (in.has_latency_age_us()) state.latency_age = ReadAge(in.latency_age_us(), out_of_range);
+  if (!state.latency_age) return;
+  const auto latency = ReadAge(in.latency_us(), out_of_range);
+  if (!latency) state.latency_age.reset();
+  state.latency = latency.value_or(0);
+}
+
+std::optional<NamedRouteState> ReadRoute(const wire::RouteState& in, int& out_of_range) {
+  if (in.endpoint().size() > kMaxNameBytes) {
     ++out_of_range;
+    return std::nullopt;
+  }
+  NamedRouteState route;
+  route.endpoint = in.endpoint();
+  RouteState& state = route.state;
+  state.destination = in.destination();
+  if (in.has_retry_after_us()) state.retry_after = ReadAge(in.retry_after_us(), out_of_range).value_or(0);
+  if (in.has_failure_age_us()) state.failure_age = ReadAge(in.failure_age_us(), out_of_range);
+  if (in.has_recovery_age_us()) state.recovery_age = ReadAge(in.recovery_age_us(), out_of_range);
+  if (in.has_success_age_us()) state.success_age = ReadAge(in.success_age_us(), out_of_range);
+  ReadSendRate(in, state, out_of_range);
+  ReadLatency(in, state, out_of_range);
+  if (in.has_hedging_disabled_age_us()) {
+    state.hedging_disabled_age = ReadAge(in.hedging_disabled_age_us(), out_of_range);
   }
-  if (lane.has_measured_us()) b.latency_age = InRange(lane.measured_us(), out_of_range);
-  if (b.latency_age) {
-    const auto latency = InRange(lane.latency_us(), out_of_range);
-    if (!latency) b.latency_age.reset();
-    b.latency = latency.value_or(0);
+  return route;
+}
+
+template <typename WireRoutes>
+std::vector<NamedRouteState> ReadRoutes(const WireRoutes& in, int& out_of_range) {
+  std::vector<NamedRouteState> routes;
+  for (const wire::RouteState& wire_route : in) {
+    if (auto route = ReadRoute(wire_route, out_of_range)) routes.push_back(std::move(*route));
   }
-  if (lane.has_barred_us()) b.hedging_disabled_age = InRange(lane.barred_us(), out_of_range);
-  return true;
+  return routes;
 }
 
-template <typename Lanes>
-std::vector<NamedRouteState> ReadLanes(const Lanes& lanes, int& out_of_range) {
-  std::vector<NamedRouteState> all;
-  for (const wire::Lane& lane : lanes) {
-    NamedRouteState heard;
-    if (ReadLane(lane, heard, out_of_range)) all.push_back(std::move(heard));
+// Writes each kind of message into a frame.
+struct FrameWriter {
+  wire::Frame& frame;
+
+  void operator()(const SnapshotRequest& request) const {
+    frame.mutable_request()->set_version(request.version);
+    frame.mutable_request()->set_name(request.name);
   }
-  return all;
+  void operator()(const SnapshotHeader& header) const {
+    frame.mutable_header()->set_version(header.version);
+    frame.mutable_header()->set_name(header.name);
+    frame.mutable_header()->set_uptime_us(UnboundedMicros(header.uptime));
+    frame.mutable_header()->set_written_at_us(header.written_at);
+  }
+  void operator()(const SnapshotChunk& chunk) const {
+    frame.mutable_chunk()->set_since_header_us(UnboundedMicros(chunk.since_header));
+    for (const NamedRouteState& route : chunk.routes) WriteRoute(route, *frame.mutable_chunk()->add_routes());
+  }
+  void operator()(const SnapshotEnd& end) const { frame.mutable_end()->set_route_count(end.route_count); }
+};
+
+SnapshotRequest ReadRequest(const wire::SnapshotRequest& in) {
+  return {in.version(), in.name().substr(0, kMaxNameBytes)};
 }
 
-Seconds ReadSpan(std::int64_t micros) { return std::clamp(static_cast<double>(micros) / 1e6, 0.0, 1e9); }
+SnapshotHeader ReadHeader(const wire::SnapshotHeader& in) {
+  return {in.version(), in.name().substr(0, kMaxNameBytes), ReadSpan(in.uptime_us()), in.written_at_us()};
+}
+
+SnapshotChunk ReadChunk(const wire::SnapshotChunk& in) {
+  SnapshotChunk chunk;
+  chunk.since_header = ReadSpan(in.since_header_us());
+  chunk.routes = ReadRoutes(in.routes(), chunk.out_of_range);
+  return chunk;
+}
 
 }  // namespace
 
 std::string EncodeFrame(const Message& message) {
   wire::Frame frame;
-  if (const auto* ask = std::get_if<SnapshotRequest>(&message)) {
-    frame.mutable_ask()->set_version(ask->version);
-    frame.mutable_ask()->set_name(ask->name);
-  } else if (const auto* begin = std::get_if<SnapshotHeader>(&message)) {
-    frame.mutable_begin()->set_version(begin->version);
-    frame.mutable_begin()->set_name(begin->name);
-    frame.mutable_begin()->set_running_us(static_cast<std::int64_t>(begin->running * 1e6));
-    frame.mutable_begin()->set_written_at_us(begin->written_at);
-  } else if (const auto* chunk = std::get_if<SnapshotChunk>(&message)) {
-    frame.mutable_chunk()->set_since_begin_us(static_cast<std::int64_t>(chunk->since_begin * 1e6));
-    for (const NamedRouteState& heard : chunk->routes) WriteLane(heard, *frame.mutable_chunk()->add_lanes());
-  } else {
-    frame.mutable_end()->set_lanes(std::get<SnapshotEnd>(message).route_count);
-  }
+  std::visit(FrameWriter{frame}, message);
   return net::Frame(frame.SerializeAsString());
 }
 
 std::optional<Message> DecodeFrame(std::string_view record) {
   wire::Frame frame;
   if (!frame.ParseFromArray(record.data(), static_cast<int>(record.size()))) return std::nullopt;
-  if (frame.has_ask())
-    return SnapshotRequest{frame.ask().version(), frame.ask().name().substr(0, kMaxNameBytes)};
-  if (frame.has_begin()) {
-    const wire::Begin& begin = frame.begin();
-    return SnapshotHeader{begin.version(), begin.name().substr(0, kMaxNameBytes),
-                          ReadSpan(begin.running_us()), begin.written_at_us()};
-  }
-  if (frame.has_chunk()) {
-    SnapshotChunk chunk;
-    chunk.since_begin = ReadSpan(frame.chunk().since_begin_us());
-    chunk.routes = ReadLanes(frame.chunk().lanes(), chunk.out_of_range);
-    return chunk;
+  switch (frame.kind_case()) {
+    case wire::Frame::kRequest:
+      return ReadRequest(frame.request());
+    case wire::Frame::kHeader:
+      return ReadHeader(frame.header());
+    case wire::Frame::kChunk:
+      return ReadChunk(frame.chunk());
+    case wire::Frame::kEnd:
+      return SnapshotEnd{frame.end().route_count()};
+    case wire::Frame::KIND_NOT_SET:
+      break;
   }
-  if (frame.has_end()) return SnapshotEnd{frame.end().lanes()};
   return std::nullopt;
 }
 
-std::string EncodeDatagram(const Datagram& note, std::size_t& written) {
-  wire::Note out;
-  out.set_version(note.version);
-  out.set_nonce(note.nonce);
-  out.set_asks(note.is_request);
-  written = 0;
-  for (const NamedRouteState& heard : note.routes) {
-    WriteLane(heard, *out.add_lanes());
-    if (kNoteMark.size() + out.ByteSizeLong() > kMaxDatagramBytes) {
-      out.mutable_lanes()->RemoveLast();
+EncodedDatagram EncodeDatagram(const Datagram& datagram) {
+  wire::Datagram out;
+  out.set_version(datagram.version);
+  out.set_nonce(datagram.nonce);
+  out.set_is_request(datagram.is_request);
+  EncodedDatagram encoded;
+  for (const NamedRouteState& route : datagram.routes) {
+    WriteRoute(route, *out.add_routes());
+    if (kDatagramMagic.size() + out.ByteSizeLong() > kMaxDatagramBytes) {
+      out.mutable_routes()->RemoveLast();
       break;
     }
-    ++written;
+    ++encoded.route_count;
   }
-  return std::string(kNoteMark) + out.SerializeAsString();
+  encoded.bytes = std::string(kDatagramMagic) + out.SerializeAsString();
+  return encoded;
 }
 
 std::optional<Datagram> DecodeDatagram(std::string_view bytes) {
-  if (bytes.substr(0, kNoteMark.size()) != kNoteMark) return std::nullopt;
-  bytes.remove_prefix(kNoteMark.size());
-  wire::Note in;
+  if (bytes.substr(0, kDatagramMagic.size()) != kDatagramMagic) return std::nullopt;
+  bytes.remove_prefix(kDatagramMagic.size());
+  wire::Datagram in;
   if (!in.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) return std::nullopt;
-  Datagram note;
-  note.version = in.version();
-  note.nonce = in.nonce();
-  note.is_request = in.asks();
-  note.routes = ReadLanes(in.lanes(), note.out_of_range);
-  return note;
-}
-
-void AgeBy(RouteState& b, Seconds by) {
-  b.retry_after = std::max(0.0, b.retry_after - by);
-  for (std::optional<Seconds>* age : {&b.failure_age, &b.recovery_age, &b.success_age, &b.rejection_age,
-                                      &b.latency_age, &b.hedging_disabled_age})
+  Datagram datagram;
+  datagram.version = in.version();
+  datagram.nonce = in.nonce();
+  datagram.is_request = in.is_request();
+  datagram.routes = ReadRoutes(in.routes(), datagram.out_of_range);
+  return datagram;
+}
+
+void AgeBy(RouteState& state, Seconds by) {
+  state.retry_after = std::max(0.0, state.retry_after - by);
+  for (std::optional<Seconds>* age :
+       {&state.failure_age, &state.recovery_age, &state.success_age, &state.rejection_age, &state.latency_age,
+        &state.hedging_disabled_age}) {
     if (*age) **age += by;
+  }
 }
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/codec.h
+++ b/src/state_transfer/codec.h
@@ -1,4 +1,5 @@
-// The forms in which beliefs travel (proto/learning.proto), and the ranges that they are held to. Pure.
+// Encodes and decodes what state transfer sends and saves (proto/state_transfer.proto), and keeps decoded
+// values in their ranges. Pure.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +14,14 @@
 namespace opalroute::state_transfer {
 
 constexpr std::uint32_t kVersion = 1;
-constexpr Seconds kMaxAge = 3600;     // of an observation, and of a wait: what is beyond is no sound value
-constexpr double kMaxSendRate = 1e6;  // calls a second
+constexpr Seconds kMaxAge = 3600;     // of an observation, and of a Retry-After; longer ones are out of range
+constexpr double kMaxSendRate = 1e6;  // requests a second
 constexpr std::size_t kMaxNameBytes = 256;
-constexpr std::size_t kMaxFrameBytes = 64 * 1024;  // bytes of a record
-constexpr std::size_t kMaxDatagramBytes = 256;     // a datagram between relays holds no more
+constexpr std::size_t kMaxFrameBytes = std::size_t{64} * 1024;  // of a frame's record
+constexpr std::size_t kMaxDatagramBytes = 256;                  // the limit for datagrams between relays
 
-// A belief whose endpoint is still a name. `belief.endpoint` counts for nothing until the name was looked up.
+// The state of a route whose endpoint has an id of the endpoint list instead of a number of one process.
+// `state.endpoint` has no meaning.
 struct NamedRouteState {
   std::string endpoint;  // empty: the destination as a whole
   RouteState state;
@@ -27,27 +29,32 @@
 
 struct SnapshotRequest {
   std::uint32_t version = kVersion;
-  std::string name;
+  std::string name;  // of the relay that asks
 };
+
 struct SnapshotHeader {
   std::uint32_t version = kVersion;
-  std::string name;
-  Seconds running = 0;
+  std::string name;             // of the relay whose state it is
+  Seconds uptime = 0;           // of that relay
   std::int64_t written_at = 0;  // Unix time in microseconds, in a saved file alone
 };
+
 struct SnapshotChunk {
-  Seconds since_begin = 0;
+  Seconds since_header = 0;  // when it was made, after the header was
   std::vector<NamedRouteState> routes;
-  int out_of_range = 0;  // values left out while reading: negative, not a number, or too large
+  int out_of_range = 0;  // values left out while decoding: negative, not a number, or too large
 };
+
 struct SnapshotEnd {
-  std::uint64_t route_count = 0;
+  std::uint64_t route_count = 0;  // in all chunks together
 };
+
 using Message = std::variant<SnapshotRequest, SnapshotHeader, SnapshotChunk, SnapshotEnd>;
 
-// Whole frames, ready for a stream or a file.
+// A complete frame, ready for a stream or a file.
 std::string EncodeFrame(const Message& message);
-// Reads a frame's record. None: no such message, or of a kind that this version does not know.
+// Decodes a frame's record. Returns nullopt for what is no message, or of a kind that this version does not
+// know.
 std::optional<Message> DecodeFrame(std::string_view record);
 
 struct Datagram {
@@ -55,13 +62,19 @@
   std::uint32_t nonce = 0;
   bool is_request = false;
   std::vector<NamedRouteState> routes;
-  int out_of_range = 0;
+  int out_of_range = 0;  // values left out while decoding
 };
-// As many lanes as fit into a datagram, from the front; returns how many in `written`.
-std::string EncodeDatagram(const Datagram& note, std::size_t& written);
+
+struct EncodedDatagram {
+  std::string bytes;
+  std::size_t route_count = 0;  // of the routes from the front that fit
+};
+
+EncodedDatagram EncodeDatagram(const Datagram& datagram);
+// Returns nullopt for a datagram that is not state transfer's.
 std::optional<Datagram> DecodeDatagram(std::string_view bytes);
 
-// Makes a belief older by this: waits get shorter, ages grow.
-void AgeBy(RouteState& belief, Seconds by);
+// Makes a route's state older by this time: Retry-Afters get shorter, ages grow.
+void AgeBy(RouteState& state, Seconds by);
 
 }  // namespace opalroute::state_transfer
--- /dev/null
+++ b/src/state_transfer/frame_reader.h
@@ -0,0 +1,31 @@
+// Cuts the bytes of a stream or a file into the messages of state transfer.
+#pragma once
+
+#include <optional>
+#include <string>
+#include <string_view>
+
+#include "net/ring_buffer.h"
+#include "state_transfer/codec.h"
+
+namespace opalroute::state_transfer {
+
+class FrameReader {
+ public:
+  // Consumes all of `in`.
+  void Append(net::RingBuffer& in);
+  void Append(std::string_view bytes) { bytes_.append(bytes); }
+  // The next message; nullopt: none is complete. Frames of an unknown kind are skipped, and after a damaged
+  // frame no message follows.
+  std::optional<Message> Next();
+  bool broken() const { return broken_; }
+  std::size_t frame_bytes() const { return frame_bytes_; }  // of the frames read so far
+
+ private:
+  std::string bytes_;
+  std::size_t offset_ = 0;  // of the next frame
+  std::size_t frame_bytes_ = 0;
+  bool broken_ = false;
+};
+
+}  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_client.cpp
+++ b/src/state_transfer/snapshot_client.cpp
@@ -5,119 +5,137 @@
 
 namespace opalroute::state_transfer {
 
+namespace {
+
+constexpr std::size_t kRequestBufferBytes = 4096;
+
+}  // namespace
+
+// The connection to one relay.
 class SnapshotClient::Session : public net::Connection::Owner {
  public:
-  Session(SnapshotClient& learner, int donor) : learner_(learner), donor_(donor) {}
+  Session(SnapshotClient& client, int server) : client_(client), server_(server) {}
 
-  bool Open(const sockaddr_in& to) {
-    asked_ = learner_.loop_.Now();
-    connection_ = net::Connection::Connect(learner_.loop_, to, *this, kMaxFrameBytes, 4096);
+  bool Open(const sockaddr_in& address) {
+    opened_at_ = client_.loop_.Now();
+    connection_ =
+        net::Connection::Connect(client_.loop_, address, *this, kMaxFrameBytes, kRequestBufferBytes);
     return connection_ != nullptr &&
-           connection_->Write(EncodeFrame(SnapshotRequest{kVersion, learner_.name_}));
+           connection_->Write(EncodeFrame(SnapshotRequest{kVersion, client_.name_}));
   }
-  void Shut() {
+
+  void Close() {
     if (connection_) connection_->Close();
   }
 
+  // The client lives on until all sessions have ended.
+  void End(SnapshotResult result) {
+    if (std::exchange(ended_, true)) return;
+    report().result = result;
+    report().duration = client_.loop_.Now() - opened_at_;
+    Close();
+    client_.OnSessionEnded();
+  }
+
+ private:
+  // Handles each kind of message.
+  struct MessageHandler {
+    Session& session;
+
+    void operator()(const SnapshotRequest&) const {
+      if (!session.header_at_) session.End(SnapshotResult::kCorrupt);
+    }
+    void operator()(const SnapshotHeader& header) const { session.OnHeader(header); }
+    void operator()(const SnapshotChunk& chunk) const { session.OnChunk(chunk); }
+    void operator()(const SnapshotEnd& end) const { session.OnSnapshotEnd(end); }
+  };
+
   void OnData(net::Connection& connection) override {
     reader_.Append(connection.in());
-    while (auto message = reader_.Next()) {
-      Take(*message);
-      if (over_) return;
+    while (const auto message = reader_.Next()) {
+      std::visit(MessageHandler{*this}, *message);
+      if (ended_) return;
     }
-    report().bytes = reader_.taken();
-    if (reader_.broken()) return End("garbled");
-    if (reader_.taken() > learner_.limits_.learn_bytes) End("too_much");
+    report().bytes = reader_.frame_bytes();
+    if (reader_.broken()) return End(SnapshotResult::kCorrupt);
+    if (reader_.frame_bytes() > client_.limits_.learn_bytes) End(SnapshotResult::kLimitExceeded);
   }
 
   void OnEnd(net::Connection&, net::Connection::End how) override {
-    End(how == net::Connection::End::kNotConnected ? "refused" : "cut");
-  }
-
-  // The report's last word. The learner lives on until all have ended.
-  void End(const char* how) {
-    if (std::exchange(over_, true)) return;
-    report().result = how;
-    report().took = learner_.loop_.Now() - asked_;
-    Shut();
-    learner_.Ended();
+    End(how == net::Connection::End::kNotConnected ? SnapshotResult::kNotConnected
+                                                   : SnapshotResult::kTruncated);
   }
 
- private:
-  Report& report() { return learner_.reports_[static_cast<std::size_t>(donor_)]; }
-
-  void Take(const Message& message) {
-    if (const auto* begin = std::get_if<SnapshotHeader>(&message)) {
-      report().name = begin->name;
-      report().running = begin->running;
-      begun_ = learner_.loop_.Now();
-      has_begun_ = true;
-      if (begin->version > kVersion) return End("newer");
-      if (begin->version < kVersion) return End("older");
-      if (begin->name == learner_.name_) return End("itself");
-    } else if (!has_begun_) {
-      End("garbled");
-    } else if (const auto* chunk = std::get_if<SnapshotChunk>(&message)) {
-      TakeChunk(*chunk);
-    } else if (const auto* end = std::get_if<state_transfer::SnapshotEnd>(&message)) {
-      End(end->route_count == report().route_count ? "whole" : "cut");
-    }
+  void OnHeader(const SnapshotHeader& header) {
+    report().name = header.name;
+    report().uptime = header.uptime;
+    header_at_ = client_.loop_.Now();
+    if (header.version > kVersion) return End(SnapshotResult::kNewerVersion);
+    if (header.version < kVersion) return End(SnapshotResult::kOlderVersion);
+    if (header.name == client_.name_) End(SnapshotResult::kOwn);
   }
 
-  // No clock is shared: a chunk states how long after Begin it was made, and Begin was made no later than it
-  // came. So nothing is taken for younger than it is by more than Begin's way, and no wait ends too soon.
-  void TakeChunk(const SnapshotChunk& chunk) {
-    const Seconds made = std::min(learner_.loop_.Now(), begun_ + chunk.since_begin);
+  // Relays share no clock: a chunk states how long after the header it was made, and the header was made no
+  // later than it arrived. So no state is taken for younger than it is by more than the header's time on the
+  // way, and no Retry-After ends too soon.
+  void OnChunk(const SnapshotChunk& chunk) {
+    if (!header_at_) return End(SnapshotResult::kCorrupt);
+    const Seconds observed_at = std::min(client_.loop_.Now(), *header_at_ + chunk.since_header);
     report().out_of_range += chunk.out_of_range;
-    for (const NamedRouteState& heard : chunk.routes) {
+    for (const NamedRouteState& route : chunk.routes) {
       ++report().route_count;
-      learner_.owner_.OnRouteState(donor_, heard, made);
+      client_.owner_.OnRouteState(server_, route, observed_at);
     }
-    if (report().route_count > learner_.limits_.learn_lanes) End("too_much");
+    if (report().route_count > client_.limits_.learn_lanes) End(SnapshotResult::kLimitExceeded);
   }
 
-  SnapshotClient& learner_;
-  const int donor_;
+  void OnSnapshotEnd(const SnapshotEnd& end) {
+    if (!header_at_) return End(SnapshotResult::kCorrupt);
+    End(end.route_count == report().route_count ? SnapshotResult::kComplete : SnapshotResult::kTruncated);
+  }
+
+  Report& report() { return client_.reports_[static_cast<std::size_t>(server_)]; }
+
+  SnapshotClient& client_;
+  const int server_;
   std::unique_ptr<net::Connection> connection_;
   FrameReader reader_;
-  Seconds asked_ = 0, begun_ = 0;
-  bool has_begun_ = false, over_ = false;
+  Seconds opened_at_ = 0;
+  std::optional<Seconds> header_at_;
+  bool ended_ = false;
 };
 
-SnapshotClient::SnapshotClient(net::EventLoop& loop, const std::vector<sockaddr_in>& donors, std::string name,
-                               Seconds time, const Limits& limits, Owner& owner)
-    : loop_(loop), name_(std::move(name)), limits_(limits), owner_(owner) {
-  reports_.resize(donors.size());
-  running_ = donors.size();
-  timer_ = loop_.At(loop_.Now() + time, [this] {
-    timer_ = 0;
-    Finish();
-  });
-  for (std::size_t i = 0; i < donors.size(); ++i) {
-    reports_[i].address = donors[i];
+SnapshotClient::SnapshotClient(net::EventLoop& loop, const std::vector<sockaddr_in>& servers,
+                               std::string name, Seconds timeout, const Limits& limits, Owner& owner)
+    : loop_(loop),
+      name_(std::move(name)),
+      limits_(limits),
+      owner_(owner),
+      reports_(servers.size()),
+      running_sessions_(servers.size()),
+      timer_(loop) {
+  timer_.Start(loop_.Now() + timeout, [this] { Finish(); });
+  for (std::size_t i = 0; i < servers.size(); ++i) {
+    reports_[i].address = servers[i];
     sessions_.push_back(std::make_unique<Session>(*this, static_cast<int>(i)));
   }
-  for (std::size_t i = 0; i < donors.size(); ++i)
-    if (!sessions_[i]->Open(donors[i])) sessions_[i]->End("refused");
+  for (std::size_t i = 0; i < servers.size(); ++i) {
+    if (!sessions_[i]->Open(servers[i])) sessions_[i]->End(SnapshotResult::kNotConnected);
+  }
 }
 
 SnapshotClient::~SnapshotClient() {
-  loop_.Cancel(timer_);
-  for (const auto& session : sessions_) session->Shut();
+  for (const auto& session : sessions_) session->Close();
 }
 
-void SnapshotClient::Ended() {
-  if (--running_ > 0 || timer_ == 0) return;
-  // Not from inside a session's own callback, nor from the constructor.
-  loop_.Cancel(timer_);
-  timer_ = loop_.At(loop_.Now(), [this] {
-    timer_ = 0;
-    Finish();
-  });
+void SnapshotClient::OnSessionEnded() {
+  if (--running_sessions_ > 0 || !timer_.pending()) return;
+  // In a round of its own: neither from within a session's callback nor from the constructor.
+  timer_.Start(loop_.Now(), [this] { Finish(); });
 }
 
 void SnapshotClient::Finish() {
-  for (const auto& session : sessions_) session->Shut();
+  for (const auto& session : sessions_) session->Close();
   owner_.OnSnapshotsEnded(reports_);
 }
 
--- a/src/state_transfer/snapshot_file.cpp
+++ b/src/state_transfer/snapshot_file.cpp
@@ -2,71 +2,111 @@
 
 #include <algorithm>
 #include <fstream>
-#include <iterator>
 #include <utility>
 
 #include "journal/durable_file.h"
-#include "state_transfer/stream.h"
+#include "state_transfer/frame_reader.h"
 
 namespace opalroute::state_transfer {
 
-SnapshotFile::SnapshotFile(std::string folder, std::size_t most_bytes)
-    : folder_(std::move(folder)), most_(std::max<std::size_t>(most_bytes / 2, 2048)) {}
+namespace {
+
+constexpr std::size_t kMinFileBytes = 2048;
+constexpr std::size_t kDiskBlockBytes = 512;  // the disk limit counts whole blocks
+constexpr std::size_t kEndMargin = 16;        // the end's frame grows with its count
+constexpr std::size_t kRoutesPerChunk = 16;
+
+// Adds each kind of message to what is loaded. False: nothing after it counts.
+struct MessageLoader {
+  SnapshotFile::Saved& saved;
+  bool& has_header;
+
+  bool operator()(const SnapshotRequest&) const { return true; }
+
+  bool operator()(const SnapshotHeader& header) const {
+    has_header = true;
+    saved.name = header.name;
+    saved.written_at = header.written_at;
+    if (header.version == kVersion) return true;
+    saved.result = header.version > kVersion ? SnapshotResult::kNewerVersion : SnapshotResult::kOlderVersion;
+    return false;
+  }
+
+  bool operator()(const SnapshotChunk& chunk) const {
+    if (!has_header) return true;
+    saved.out_of_range += chunk.out_of_range;
+    saved.routes.insert(saved.routes.end(), chunk.routes.begin(), chunk.routes.end());
+    return true;
+  }
+
+  bool operator()(const SnapshotEnd&) const {
+    if (has_header) saved.result = SnapshotResult::kComplete;
+    return true;
+  }
+};
+
+// Appends routes to a file's bytes in chunks, up to a limit.
+class ChunkWriter {
+ public:
+  ChunkWriter(std::string& bytes, std::size_t max_bytes) : bytes_(bytes), max_bytes_(max_bytes) {}
+
+  // False: the chunk does not fit, and nothing more is written.
+  bool Add(const NamedRouteState& route) {
+    chunk_.routes.push_back(route);
+    return chunk_.routes.size() < kRoutesPerChunk || Flush();
+  }
+
+  bool Flush() {
+    if (chunk_.routes.empty()) return true;
+    const std::string frame = EncodeFrame(chunk_);
+    if (bytes_.size() + frame.size() > max_bytes_) return false;
+    route_count_ += chunk_.routes.size();
+    bytes_ += frame;
+    chunk_.routes.clear();
+    return true;
+  }
+
+  std::uint64_t route_count() const { return route_count_; }
+
+ private:
+  std::string& bytes_;
+  const std::size_t max_bytes_;
+  SnapshotChunk chunk_;
+  std::uint64_t route_count_ = 0;
+};
+
+}  // namespace
+
+SnapshotFile::SnapshotFile(std::string folder, std::size_t max_bytes)
+    : folder_(std::move(folder)), max_file_bytes_(std::max(max_bytes / 2, kMinFileBytes)) {}
 
 SnapshotFile::Saved SnapshotFile::Load() const {
   Saved saved;
   std::ifstream stream(path(), std::ios::binary);
   if (!stream) return saved;
-  std::string bytes(most_ + 1, '\0');
+  std::string bytes(max_file_bytes_ + 1, '\0');
   stream.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
   bytes.resize(static_cast<std::size_t>(stream.gcount()));
   FrameReader reader;
   reader.Append(bytes);
-  saved.result = "cut";
-  bool has_begun = false;
+  saved.result = SnapshotResult::kTruncated;
+  bool has_header = false;
   while (const auto message = reader.Next()) {
-    if (const auto* begin = std::get_if<SnapshotHeader>(&*message)) {
-      has_begun = true;
-      saved.name = begin->name;
-      saved.written_at = begin->written_at;
-      if (begin->version != kVersion) {
-        saved.result = begin->version > kVersion ? "newer" : "older";
-        return saved;
-      }
-    } else if (const auto* chunk = std::get_if<SnapshotChunk>(&*message); chunk != nullptr && has_begun) {
-      saved.out_of_range += chunk->out_of_range;
-      saved.routes.insert(saved.routes.end(), chunk->routes.begin(), chunk->routes.end());
-    } else if (std::holds_alternative<SnapshotEnd>(*message) && has_begun) {
-      saved.result = "whole";
-    }
+    if (!std::visit(MessageLoader{saved, has_header}, *message)) return saved;
   }
-  if (reader.broken()) saved.result = "garbled";
+  if (reader.broken()) saved.result = SnapshotResult::kCorrupt;
   return saved;
 }
 
 bool SnapshotFile::Save(const std::string& name, std::int64_t now,
-                        const std::vector<NamedRouteState>& lanes) const {
+                        const std::vector<NamedRouteState>& routes) const {
   std::string bytes = EncodeFrame(SnapshotHeader{kVersion, name, 0, now});
-  const std::size_t room =
-      most_ - 512 - EncodeFrame(SnapshotEnd{}).size() - 16;  // files count in whole blocks of 512
-  std::uint64_t written = 0;
-  SnapshotChunk chunk;
-  const auto flush = [&] {
-    if (chunk.routes.empty()) return true;
-    const std::string frame = EncodeFrame(chunk);
-    if (bytes.size() + frame.size() > room) return false;
-    written += chunk.routes.size();
-    bytes += frame;
-    chunk.routes.clear();
-    return true;
-  };
-  bool fits = true;
-  for (const NamedRouteState& heard : lanes) {
-    chunk.routes.push_back(heard);
-    if (chunk.routes.size() == 16 && !(fits = flush())) break;
-  }
-  if (fits) flush();
-  bytes += EncodeFrame(SnapshotEnd{written});
+  const std::size_t end_bytes = EncodeFrame(SnapshotEnd{}).size() + kEndMargin;
+  ChunkWriter writer(bytes, max_file_bytes_ - kDiskBlockBytes - end_bytes);
+  const bool all_fit = std::all_of(routes.begin(), routes.end(),
+                                   [&](const NamedRouteState& route) { return writer.Add(route); });
+  if (all_fit) writer.Flush();
+  bytes += EncodeFrame(SnapshotEnd{writer.route_count()});
   return ReplaceFile(path(), bytes);
 }
 
--- a/src/state_transfer/snapshot_file.h
+++ b/src/state_transfer/snapshot_file.h
@@ -1,4 +1,5 @@
-// What a relay believed, in its own state folder, for the process that comes after it.
+// The file `learned` of the state folder: the urgent route states of a relay, for the process that comes
+// after it.
 #pragma once
 
 #include <cstdint>
@@ -6,30 +7,32 @@
 #include <vector>
 
 #include "state_transfer/codec.h"
+#include "state_transfer/snapshot_result.h"
 
 namespace opalroute::state_transfer {
 
 class SnapshotFile {
  public:
-  // Holds at most `most_bytes` on the disk, the file that takes the place of another counted too.
-  SnapshotFile(std::string folder, std::size_t most_bytes);
-
   struct Saved {
-    std::string name;
+    std::string name;                     // of the relay that has written it
     std::int64_t written_at = 0;          // Unix time in microseconds
     std::vector<NamedRouteState> routes;  // as they were then
-    int out_of_range = 0;
-    std::string result = "none";  // whole; none: there is no file; cut, garbled, newer, older
+    int out_of_range = 0;                 // values left out
+    SnapshotResult result = SnapshotResult::kNoFile;
   };
-  Saved Load() const;
 
-  // From the front as many as there is room for; false: the folder took nothing, and the old file stands.
-  bool Save(const std::string& name, std::int64_t now, const std::vector<NamedRouteState>& lanes) const;
+  // Occupies at most `max_bytes` of the disk, where a new file and the one that it replaces count together.
+  SnapshotFile(std::string folder, std::size_t max_bytes);
+
+  Saved Load() const;
+  // Saves as many routes from the front as there is space for, as of `now`, Unix time in microseconds. False:
+  // the folder took no file, and the old one stays.
+  bool Save(const std::string& name, std::int64_t now, const std::vector<NamedRouteState>& routes) const;
   std::string path() const { return folder_ + "/learned"; }
 
  private:
-  std::string folder_;
-  std::size_t most_;
+  const std::string folder_;
+  const std::size_t max_file_bytes_;
 };
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_merger.cpp
+++ b/src/state_transfer/snapshot_merger.cpp
@@ -6,10 +6,50 @@
 
 namespace opalroute::state_transfer {
 
+namespace {
+
+void KeepYounger(std::optional<Seconds>& age, const std::optional<Seconds>& other) {
+  if (other && (!age || *other < *age)) age = other;
+}
+
+// The age if there is one that is still valid; one that is not is counted as stale.
+template <typename Predicate>
+std::optional<Seconds> IfValid(const std::optional<Seconds>& age, MergeTally& tally,
+                               const Predicate& is_valid) {
+  if (!age || is_valid(*age)) return age;
+  ++tally.stale;
+  return std::nullopt;
+}
+
+// Adds what one source has observed of a route to what others have.
+void AddTo(RouteState& combined, const RouteState& state) {
+  combined.destination = state.destination;
+  combined.retry_after = std::max(combined.retry_after, state.retry_after);
+  KeepYounger(combined.failure_age, state.failure_age);
+  KeepYounger(combined.recovery_age, state.recovery_age);
+  KeepYounger(combined.success_age, state.success_age);
+  KeepYounger(combined.hedging_disabled_age, state.hedging_disabled_age);
+  if (state.rejection_age && (!combined.rejection_age || state.send_rate < combined.send_rate)) {
+    combined.rejection_age = state.rejection_age;
+    combined.send_rate = state.send_rate;
+  }
+  if (state.latency_age && (!combined.latency_age || *state.latency_age < *combined.latency_age)) {
+    combined.latency_age = state.latency_age;
+    combined.latency = state.latency;
+  }
+}
+
+bool HasEffect(const RouteState& state) {
+  return state.retry_after > 0 || state.failure_age || state.recovery_age || state.rejection_age ||
+         state.latency_age || state.hedging_disabled_age;
+}
+
+}  // namespace
+
 double HealthWeight(Seconds age) { return std::exp2(-std::max(0.0, age) / kHealthHalfLife); }
 
-void SnapshotMerger::Add(int donor, const NamedRouteState& heard, Seconds made) {
-  const RouteKey key{heard.state.destination, heard.endpoint};
+void SnapshotMerger::Add(int source, const NamedRouteState& route, Seconds observed_at) {
+  const RouteKey key{route.state.destination, route.endpoint};
   auto it = routes_.find(key);
   if (it == routes_.end()) {
     if (routes_.size() >= max_routes_) {
@@ -18,98 +58,80 @@
     }
     it = routes_.emplace(key, std::vector<Observation>()).first;
   }
-  // A donor that speaks of a lane again has thought better of it.
-  for (Observation& told : it->second) {
-    if (told.donor != donor) continue;
-    told = {donor, made, heard.state};
-    return;
+  std::vector<Observation>& observations = it->second;
+  const auto earlier =
+      std::find_if(observations.begin(), observations.end(),
+                   [source](const Observation& observation) { return observation.source == source; });
+  if (earlier != observations.end()) {
+    *earlier = {source, observed_at, route.state};
+  } else {
+    observations.push_back({source, observed_at, route.state});
   }
-  it->second.push_back({donor, made, heard.state});
 }
 
-namespace {
-
-void Least(std::optional<Seconds>& to, const std::optional<Seconds>& age) {
-  if (age && (!to || *age < *to)) to = age;
-}
-
-}  // namespace
-
-// All that was told of one lane as one belief, with its ages as of now; then what still counts of it.
-RouteState SnapshotMerger::MergeRoute(const std::vector<Observation>& told, Seconds now) {
-  RouteState all;
-  for (const Observation& t : told) {
-    RouteState b = t.belief;
-    if (b.retry_after > options_.max_retry_after) {
-      b.retry_after = options_.max_retry_after;
+// All observations of one route as one state, with its ages as of `now`.
+RouteState SnapshotMerger::Combine(const std::vector<Observation>& observations, Seconds now) {
+  RouteState combined;
+  for (const Observation& observation : observations) {
+    RouteState state = observation.state;
+    if (state.retry_after > options_.max_retry_after) {
+      state.retry_after = options_.max_retry_after;
       ++tally_.retry_afters_shortened;
     }
-    state_transfer::AgeBy(b, std::max(0.0, now - t.made));
-    all.destination = b.destination;
-    all.retry_after = std::max(all.retry_after, b.retry_after);
-    Least(all.failure_age, b.failure_age);
-    Least(all.recovery_age, b.recovery_age);
-    Least(all.success_age, b.success_age);
-    Least(all.hedging_disabled_age, b.hedging_disabled_age);
-    if (b.rejection_age && (!all.rejection_age || b.send_rate < all.send_rate)) {
-      all.rejection_age = b.rejection_age;
-      all.send_rate = b.send_rate;
-    }
-    if (b.latency_age && (!all.latency_age || *b.latency_age < *all.latency_age)) {
-      all.latency_age = b.latency_age;
-      all.latency = b.latency;
-    }
+    AgeBy(state, std::max(0.0, now - observation.observed_at));
+    AddTo(combined, state);
   }
-  RouteState counts;
-  counts.destination = all.destination;
-  counts.retry_after = all.retry_after;
-  if (all.failure_age && all.success_age && *all.success_age < *all.failure_age) {  // it has come back since
-    Least(all.recovery_age, all.success_age);
-    all.failure_age.reset();
+  return combined;
+}
+
+RouteState SnapshotMerger::StillValid(RouteState combined) {
+  const bool has_recovered =
+      combined.failure_age && combined.success_age && *combined.success_age < *combined.failure_age;
+  if (has_recovered) {
+    KeepYounger(combined.recovery_age, combined.success_age);
+    combined.failure_age.reset();
     ++tally_.contradicted;
   }
-  // Danger: an outage that was seen twelve seconds ago may have ended just now. To take it for a slow start
-  // under way would let the ramp end long before the partner is warm; a trial finds out, and begins a ramp of
-  // its own.
-  if (all.failure_age && HealthWeight(*all.failure_age) >= kMinWeight) counts.failure_age = all.failure_age;
-  if (all.failure_age && !counts.failure_age) ++tally_.stale;
-  if (all.recovery_age && *all.recovery_age < options_.slow_start_duration)
-    Least(counts.recovery_age, all.recovery_age);
-  if (all.recovery_age && *all.recovery_age >= options_.slow_start_duration) ++tally_.stale;
-  if (all.rejection_age && *all.rejection_age <= kSendRateRegained * options_.slow_start_duration) {
-    counts.rejection_age = all.rejection_age;
-    counts.send_rate = all.send_rate;
-  } else if (all.rejection_age) {
-    ++tally_.stale;
-  }
-  if (all.latency_age && *all.latency_age <= kLatencyLifetime) {
-    counts.latency_age = all.latency_age;
-    counts.latency = all.latency;
-  } else if (all.latency_age) {
-    ++tally_.stale;
-  }
-  if (all.hedging_disabled_age && HealthWeight(*all.hedging_disabled_age) >= kHedgingDisabledWeight)
-    counts.hedging_disabled_age = all.hedging_disabled_age;
-  if (all.hedging_disabled_age && !counts.hedging_disabled_age) ++tally_.stale;
-  return counts;
+  const auto has_weight = [](double min_weight) {
+    return [min_weight](Seconds age) { return HealthWeight(age) >= min_weight; };
+  };
+  const auto is_within = [](Seconds lifetime) { return [lifetime](Seconds age) { return age <= lifetime; }; };
+  RouteState valid;
+  valid.destination = combined.destination;
+  valid.retry_after = combined.retry_after;
+  // An older failure stays a failure and never becomes a slow start that began then: the outage may have
+  // ended just now, and that slow start would end before the endpoint is warm. A trial finds out, and begins
+  // one of its own.
+  valid.failure_age = IfValid(combined.failure_age, tally_, has_weight(kMinHealthWeight));
+  valid.recovery_age = IfValid(combined.recovery_age, tally_,
+                               [this](Seconds age) { return age < options_.slow_start_duration; });
+  valid.rejection_age =
+      IfValid(combined.rejection_age, tally_, is_within(kSendRateRecovery * options_.slow_start_duration));
+  if (valid.rejection_age) valid.send_rate = combined.send_rate;
+  valid.latency_age = IfValid(combined.latency_age, tally_, is_within(kLatencyLifetime));
+  if (valid.latency_age) valid.latency = combined.latency;
+  valid.hedging_disabled_age = IfValid(combined.hedging_disabled_age, tally_, has_weight(kMinHedgingWeight));
+  return valid;
+}
+
+void SnapshotMerger::CountApplied(const RouteState& state) {
+  if (state.retry_after > 0) ++tally_.retry_afters;
+  if (state.failure_age) ++tally_.outages;
+  if (state.recovery_age) ++tally_.recoveries;
+  if (state.rejection_age) ++tally_.send_rates;
+  if (state.latency_age) ++tally_.latencies;
+  if (state.hedging_disabled_age) ++tally_.hedging_disabled;
 }
 
 std::vector<NamedRouteState> SnapshotMerger::Merge(Seconds now) {
-  std::vector<NamedRouteState> decided;
-  for (const auto& [lane, Merge] : routes_) {
-    const RouteState b = MergeRoute(Merge, now);
-    tally_.retry_afters += b.retry_after > 0;
-    tally_.outages += b.failure_age.has_value();
-    tally_.recoveries += b.recovery_age.has_value();
-    tally_.send_rates += b.rejection_age.has_value();
-    tally_.latencies += b.latency_age.has_value();
-    tally_.hedging_disabled += b.hedging_disabled_age.has_value();
-    if (b.retry_after > 0 || b.failure_age || b.recovery_age || b.rejection_age || b.latency_age ||
-        b.hedging_disabled_age)
-      decided.push_back({lane.second, b});
+  std::vector<NamedRouteState> merged;
+  for (const auto& [key, observations] : routes_) {
+    const RouteState state = StillValid(Combine(observations, now));
+    CountApplied(state);
+    if (HasEffect(state)) merged.push_back({key.second, state});
   }
   routes_.clear();
-  return decided;
+  return merged;
 }
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_merger.h
+++ b/src/state_transfer/snapshot_merger.h
@@ -1,20 +1,19 @@
-// Judges what a relay is handed of others' beliefs: how old each is, and what it still counts for. Pure: no
-// I/O, the clock is handed in. docs/learning.md has the reasons.
+// Merges the route states that other relays or an earlier process have observed: how old each is, and how far
+// it is still valid. Pure: no I/O, and the clock is handed in. docs/learning.md has the reasons.
 //
-//   belief              counts                       until
-//   wait in force       in full, never stretched     its end, or longest_wait after it was told
-//   out since a         doubt: one call tries first  w = 2^(-a / 8.1 s) < 0.1, which is 27 s
-//   back since r        in full                      the ramp's end
-//   pace after refusal  in full                      0.4 of the ramp: by then it is regained
-//   latency             only as patience             60 s
-//   copies barred       in full                      w < 1/2, which is 8.1 s
+//   state                   is applied                       until
+//   Retry-After in force    in full, never prolonged         its end, or max_retry_after after it was
+//   received failing, age a          as a suspected outage            w = 2^(-a / kHealthHalfLife) <
+//   kMinHealthWeight recovering for r        in full                          the end of slow start send rate
+//   in full                          kSendRateRecovery of slow start latency                 only to lengthen
+//   a timeout       kLatencyLifetime hedging disabled        in full                          w <
+//   kMinHedgingWeight
 //
-// Two donors that contradict: for a wait the longest counts; a served call that one has seen after the bad
-// outcome of another makes 'out' into 'back'.
+// Where two sources contradict each other, the longest Retry-After holds, and a success that one has seen
+// after the failure of another makes 'failing' into 'recovering'.
 #pragma once
 
 #include <cstddef>
-#include <cstdint>
 #include <map>
 #include <string>
 #include <utility>
@@ -24,15 +23,15 @@
 
 namespace opalroute::state_transfer {
 
-// The mean rest of an outage that is met at any moment, for outages of 6.5 to 23 s (the operators' brief, 2.2
-// and 2.3): E[L^2] / 2E[L] = 8.1 s.
+// The mean remaining duration of an outage that is observed at a random moment.
 constexpr Seconds kHealthHalfLife = 8.1;
-constexpr double kHedgingDisabledWeight = 0.5;
-constexpr double kMinWeight = 0.1;
-constexpr double kSendRateRegained = 0.4;  // of the ramp: after it the module allows its even share again
+constexpr double kMinHedgingWeight = 0.5;
+constexpr double kMinHealthWeight = 0.1;
+// The share of slow start after which a relay would send at its own fair share again.
+constexpr double kSendRateRecovery = 0.4;
 constexpr Seconds kLatencyLifetime = 60;
 
-// 1 for what was seen just now, next to nothing (0.006) after a minute.
+// How far an observation of a route's health is still valid: 1 for a new one, 0.006 after a minute.
 double HealthWeight(Seconds age);
 
 struct MergeOptions {
@@ -40,35 +39,50 @@
   Seconds slow_start_duration = 13;
 };
 
-// Why a belief was left out, or how much of it counted; printed in one log line.
+// Counts of what was merged, for a log line.
 struct MergeTally {
-  int retry_afters = 0, outages = 0, recoveries = 0, send_rates = 0, latencies = 0,
-      hedging_disabled = 0;  // taken
-  int stale = 0, out_of_range = 0, retry_afters_shortened = 0, contradicted = 0, too_many = 0;
+  // Routes for which each was applied.
+  int retry_afters = 0;
+  int outages = 0;
+  int recoveries = 0;
+  int send_rates = 0;
+  int latencies = 0;
+  int hedging_disabled = 0;
+  // What was left out or changed, and why.
+  int stale = 0;
+  int out_of_range = 0;
+  int retry_afters_shortened = 0;
+  int contradicted = 0;
+  int too_many = 0;
 };
 
 class SnapshotMerger {
  public:
-  // Keeps at most `most` lanes: what comes beyond is counted and left out.
-  SnapshotMerger(const MergeOptions& rules, std::size_t most) : options_(rules), max_routes_(most) {}
+  // Keeps at most `max_routes` routes; further ones are counted and left out.
+  SnapshotMerger(const MergeOptions& options, std::size_t max_routes)
+      : options_(options), max_routes_(max_routes) {}
 
-  // A belief as it was at the time `made`, by the caller's clock. `donor` tells the sources apart.
-  void Add(int donor, const NamedRouteState& heard, Seconds made);
+  // Adds a route's state as it was at `observed_at` of the caller's clock. A later one from the same `source`
+  // replaces it.
+  void Add(int source, const NamedRouteState& route, Seconds observed_at);
   void CountOutOfRange(int count) { tally_.out_of_range += count; }
 
-  // What of all this counts now. Every belief is weighed on its own lane.
+  // What is still valid at `now`, by destination and endpoint. Removes all that was added.
   std::vector<NamedRouteState> Merge(Seconds now);
   const MergeTally& tally() const { return tally_; }
   std::size_t route_count() const { return routes_.size(); }
 
  private:
   struct Observation {
-    int donor;
-    Seconds made;
-    RouteState belief;
+    int source = 0;
+    Seconds observed_at = 0;
+    RouteState state;
   };
   using RouteKey = std::pair<DestinationId, std::string>;
-  RouteState MergeRoute(const std::vector<Observation>& told, Seconds now);
+
+  RouteState Combine(const std::vector<Observation>& observations, Seconds now);
+  RouteState StillValid(RouteState combined);
+  void CountApplied(const RouteState& state);
 
   const MergeOptions options_;
   const std::size_t max_routes_;
--- a/src/state_transfer/snapshot_server.cpp
+++ b/src/state_transfer/snapshot_server.cpp
@@ -3,100 +3,112 @@
 #include <unistd.h>
 
 #include <algorithm>
+#include <iterator>
 #include <utility>
 
 #include "log/log.h"
+#include "net/timer.h"
+#include "state_transfer/frame_reader.h"
 
 namespace opalroute::state_transfer {
 
+namespace {
+
+constexpr std::size_t kReadBufferBytes = 4096;
+// Four frames, each with its length and checksum.
+constexpr std::size_t kWriteBufferBytes = 4 * (kMaxFrameBytes + 64);
+// A route takes at most 350 bytes, so that a chunk's frame stays below kMaxFrameBytes.
+constexpr std::size_t kRoutesPerChunk = 128;
+
+}  // namespace
+
+// The connection of one relay that asks.
 class SnapshotServer::Session : public net::Connection::Owner {
  public:
-  explicit Session(SnapshotServer& donor) : donor_(donor) {}
-  ~Session() override { donor_.loop_.Cancel(timer_); }
+  explicit Session(SnapshotServer& server) : server_(server), timer_(server.loop_) {}
 
   bool Open(int fd) {
-    connection_ = net::Connection::Adopt(donor_.loop_, fd, *this, 4096, 4 * (kMaxFrameBytes + 64));
-    timer_ = donor_.loop_.At(donor_.loop_.Now() + donor_.limits_.learn_session, [this] {
-      timer_ = 0;
-      donor_.Drop(*this);  // one that asks nothing, or takes nothing in
-    });
+    connection_ = net::Connection::Adopt(server_.loop_, fd, *this, kReadBufferBytes, kWriteBufferBytes);
+    // For a client that asks for nothing, or does not read.
+    timer_.Start(server_.loop_.Now() + server_.limits_.learn_session, [this] { server_.Drop(*this); });
     return connection_ != nullptr;
   }
 
-  void Shut() {
+  void Close() {
     slices_.reset();
-    donor_.loop_.Cancel(timer_);
+    timer_.Cancel();
     connection_->Close();
   }
 
   void OnData(net::Connection& connection) override {
-    if (slices_) return connection.in().Consume(connection.in().size());  // it has asked already
+    // A client asks once; what it sends after that is ignored.
+    if (slices_) return connection.in().Consume(connection.in().size());
     reader_.Append(connection.in());
     const auto message = reader_.Next();
-    if (reader_.broken() || (message && !std::holds_alternative<SnapshotRequest>(*message)))
-      return donor_.Drop(*this);
-    if (message) Tell();
+    const bool is_request = message && std::holds_alternative<SnapshotRequest>(*message);
+    if (reader_.broken() || (message && !is_request)) return server_.Drop(*this);
+    if (is_request) SendSnapshot();
   }
 
   void OnWritten(net::Connection&) override {
-    if (!waiting_.empty() && !Put(std::exchange(waiting_, {}))) return;
-    if (over_) return connection_->CloseWhenWritten();
+    if (!unsent_.empty() && !Send(std::exchange(unsent_, {}))) return;
+    if (finished_) return connection_->CloseWhenWritten();
     if (slices_) slices_->Resume();
   }
 
-  void OnEnd(net::Connection&, net::Connection::End) override { donor_.Drop(*this); }
+  void OnEnd(net::Connection&, net::Connection::End) override { server_.Drop(*this); }
 
  private:
-  void Tell() {
-    began_ = donor_.loop_.Now();
-    Put(EncodeFrame(SnapshotHeader{kVersion, donor_.name_, began_ - donor_.started_, 0}));
+  void SendSnapshot() {
+    started_at_ = server_.loop_.Now();
+    Send(EncodeFrame(SnapshotHeader{kVersion, server_.name_, started_at_ - server_.started_at_, 0}));
     slices_ = std::make_unique<SnapshotSlices>(
-        donor_.loop_, donor_.source_,
-        [this](std::vector<NamedRouteState> lanes) { return TellSome(std::move(lanes)); },
+        server_.loop_, server_.source_,
+        [this](std::vector<NamedRouteState> routes) { return SendSlice(std::move(routes)); },
         [this] { Finish(); });
   }
 
-  bool TellSome(std::vector<NamedRouteState> lanes) {
-    lanes_ += lanes.size();
+  bool SendSlice(std::vector<NamedRouteState> routes) {
+    route_count_ += routes.size();
     std::string bytes;
-    constexpr std::size_t kLanes = 128;  // of at most 350 bytes each: a frame is never too long
-    for (std::size_t at = 0; at < lanes.size(); at += kLanes) {
+    for (std::size_t begin = 0; begin < routes.size(); begin += kRoutesPerChunk) {
+      const std::size_t end = std::min(routes.size(), begin + kRoutesPerChunk);
       SnapshotChunk chunk;
-      chunk.since_begin = donor_.loop_.Now() - began_;
-      const std::size_t end = std::min(lanes.size(), at + kLanes);
-      std::move(lanes.begin() + static_cast<std::ptrdiff_t>(at),
-                lanes.begin() + static_cast<std::ptrdiff_t>(end), std::back_inserter(chunk.routes));
+      chunk.since_header = server_.loop_.Now() - started_at_;
+      std::move(routes.begin() + static_cast<std::ptrdiff_t>(begin),
+                routes.begin() + static_cast<std::ptrdiff_t>(end), std::back_inserter(chunk.routes));
       bytes += EncodeFrame(chunk);
     }
-    return Put(std::move(bytes));
+    return Send(std::move(bytes));
   }
 
   void Finish() {
-    over_ = true;
-    donor_.longest_pause_ = std::max(donor_.longest_pause_, slices_->longest());
-    if (Put(EncodeFrame(SnapshotEnd{lanes_}))) connection_->CloseWhenWritten();
-    log::Info("learn_told", {{"lanes", lanes_},
-                             {"ms", (donor_.loop_.Now() - began_) * 1000},
-                             {"longest_pause_us", static_cast<long>(slices_->longest() * 1e6)}});
+    finished_ = true;
+    server_.longest_pause_ = std::max(server_.longest_pause_, slices_->longest());
+    if (Send(EncodeFrame(SnapshotEnd{route_count_}))) connection_->CloseWhenWritten();
+    log::Info("snapshot_sent", {{"routes", route_count_},
+                                {"ms", (server_.loop_.Now() - started_at_) * 1000},
+                                {"longest_pause_us", static_cast<long>(slices_->longest() * 1e6)}});
   }
 
-  // Danger: a learner that reads slowly must not make this relay hold the whole. What finds no room waits,
-  // and nothing more is made meanwhile; its ages were those of its making, which its chunk states.
-  bool Put(std::string bytes) {
+  // False: the connection's buffer is full. The bytes wait, and no further slice is read until they are
+  // written, so that a client that reads slowly never makes this relay hold the whole snapshot. Their ages
+  // stay right: the chunk states when it was made.
+  bool Send(std::string bytes) {
     if (connection_->Write(bytes)) return true;
-    waiting_ = std::move(bytes);
+    unsent_ = std::move(bytes);
     return false;
   }
 
-  SnapshotServer& donor_;
+  SnapshotServer& server_;
   std::unique_ptr<net::Connection> connection_;
   FrameReader reader_;
   std::unique_ptr<SnapshotSlices> slices_;
-  std::string waiting_;
-  Seconds began_ = 0;
-  std::uint64_t lanes_ = 0;
-  bool over_ = false;
-  net::EventLoop::TimerId timer_ = 0;
+  std::string unsent_;
+  Seconds started_at_ = 0;
+  std::uint64_t route_count_ = 0;
+  bool finished_ = false;
+  net::Timer timer_;
 };
 
 SnapshotServer::SnapshotServer(net::EventLoop& loop, const sockaddr_in& listen, std::string name,
@@ -105,7 +117,7 @@
       name_(std::move(name)),
       source_(std::move(source)),
       limits_(limits),
-      started_(loop.Now()),
+      started_at_(loop.Now()),
       listener_(loop, listen, [this](int fd) { Accept(fd); }) {}
 
 SnapshotServer::~SnapshotServer() = default;
@@ -123,7 +135,7 @@
 void SnapshotServer::Drop(Session& session) {
   const auto it = sessions_.find(&session);
   if (it == sessions_.end()) return;
-  session.Shut();
+  session.Close();
   loop_.Retire(std::move(it->second));
   sessions_.erase(it);
 }
--- a/src/state_transfer/snapshot_server.h
+++ b/src/state_transfer/snapshot_server.h
@@ -1,5 +1,5 @@
-// The donor's side of learning: a TCP listener of its own. A learner asks; what this relay believes is
-// streamed to it in chunks, one bounded slice a turn of the event loop.
+// Serves snapshots over TCP, on a listener of its own: a relay that starts asks, and this relay's route
+// states are streamed to it in chunks, one slice a round of the event loop.
 #pragma once
 
 #include <map>
@@ -9,17 +9,20 @@
 #include "config/limits.h"
 #include "net/connection.h"
 #include "net/listener.h"
-#include "state_transfer/stream.h"
+#include "state_transfer/snapshot_slices.h"
 
 namespace opalroute::state_transfer {
 
 class SnapshotServer {
  public:
+  // `name`: of this relay. `loop` and `limits` must outlive the server. Throws std::system_error if it can't
+  // listen.
   SnapshotServer(net::EventLoop& loop, const sockaddr_in& listen, std::string name, RouteStateSource source,
                  const Limits& limits);
   ~SnapshotServer();
   sockaddr_in address() const { return listener_.address(); }
-  Seconds longest_pause() const { return longest_pause_; }  // of the loop, for one slice of any snapshot told
+  // The longest time that the loop has stood still for one slice of any snapshot sent.
+  Seconds longest_pause() const { return longest_pause_; }
 
  private:
   class Session;
@@ -30,7 +33,7 @@
   const std::string name_;
   const RouteStateSource source_;
   const Limits& limits_;
-  const Seconds started_;
+  const Seconds started_at_;
   Seconds longest_pause_ = 0;
   std::map<Session*, std::unique_ptr<Session>> sessions_;
   net::Listener listener_;
--- a/src/state_transfer/state_transfer.cpp
+++ b/src/state_transfer/state_transfer.cpp
@@ -8,6 +8,30 @@
 
 namespace opalroute::state_transfer {
 
+namespace {
+
+bool IsEmpty(const RouteState& state) {
+  return state.retry_after <= 0 && !state.failure_age && !state.recovery_age && !state.success_age &&
+         !state.rejection_age && !state.latency_age && !state.hedging_disabled_age;
+}
+
+void AppendMostUrgent(std::vector<NamedRouteState>& routes, std::vector<NamedRouteState> slice) {
+  for (NamedRouteState& route : MostUrgent(std::move(slice))) routes.push_back(std::move(route));
+}
+
+void LogReport(const SnapshotClient::Report& report) {
+  log::Info("snapshot_received", {{"carrier", "tcp"},
+                                  {"from", net::FormatAddress(report.address)},
+                                  {"name", report.name},
+                                  {"result", NameOf(report.result)},
+                                  {"routes", report.route_count},
+                                  {"bytes", report.bytes},
+                                  {"ms", report.duration * 1000},
+                                  {"server_uptime_s", report.uptime}});
+}
+
+}  // namespace
+
 StateTransfer::StateTransfer(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
                              const Operator::Learn& settings, Host& host)
     : loop_(loop),
@@ -15,30 +39,40 @@
       config_(config),
       settings_(settings),
       host_(host),
-      source_([this](std::optional<DestinationId>& from, int most) { return Export(from, most); }) {
-  const Limits& limits = config.limits;
-  if (settings.state) {
-    file_ = std::make_unique<SnapshotFile>(config.state_folder, limits.learn_file_bytes);
-    LoadState();
-    ArmSave();
-  }
-  if (settings.listen)
-    server_ = std::make_unique<SnapshotServer>(loop, *settings.listen, config.name, source_, limits);
-  if (settings.notes && config.peer_listen && config.may_tell_peers) {
-    const DatagramExchange::Bounds bounds{limits.learn_note_peers, limits.learn_note_answers,
-                                          limits.learn_note_time};
-    const auto nonce = static_cast<std::uint32_t>(config.settings.seed ^ config.settings.seed >> 32);
-    datagrams_ = std::make_unique<DatagramExchange>(
-        bounds, nonce, [this](int peer, const std::string& bytes) { host_.SendDatagram(peer, bytes); });
-    datagrams_->RequestSome(loop.Now(), static_cast<int>(config.peers.size()), config.own_peer);
+      source_([this](std::optional<DestinationId>& from, int most) { return Export(from, most); }),
+      save_timer_(loop) {
+  if (settings.state) StartFile();
+  if (settings.listen) {
+    server_ = std::make_unique<SnapshotServer>(loop, *settings.listen, config.name, source_, config.limits);
   }
-  if (settings.from.empty()) return;
-  merger_ = std::make_unique<SnapshotMerger>(MergeOptionsOf(), limits.learn_lanes);
-  SnapshotClient::Owner& owner = *this;
-  client_ = std::make_unique<SnapshotClient>(loop, settings.from, config.name, settings.time, limits, owner);
+  if (settings.notes && config.peer_listen && config.may_tell_peers) StartDatagrams();
+  if (!settings.from.empty()) StartClient();
 }
 
-StateTransfer::~StateTransfer() { loop_.Cancel(save_timer_); }
+StateTransfer::~StateTransfer() = default;
+
+void StateTransfer::StartFile() {
+  file_ = std::make_unique<SnapshotFile>(config_.state_folder, config_.limits.learn_file_bytes);
+  LoadState();
+  ScheduleSave();
+}
+
+void StateTransfer::StartDatagrams() {
+  const Limits& limits = config_.limits;
+  const DatagramExchange::Bounds bounds{limits.learn_note_peers, limits.learn_note_answers,
+                                        limits.learn_note_time};
+  const auto nonce = static_cast<std::uint32_t>(config_.settings.seed ^ config_.settings.seed >> 32);
+  datagrams_ = std::make_unique<DatagramExchange>(
+      bounds, nonce, [this](int peer, const std::string& bytes) { host_.SendDatagram(peer, bytes); });
+  datagrams_->RequestSome(loop_.Now(), static_cast<int>(config_.peers.size()), config_.own_peer);
+}
+
+void StateTransfer::StartClient() {
+  merger_ = std::make_unique<SnapshotMerger>(MergeOptionsOf(), config_.limits.learn_lanes);
+  SnapshotClient::Owner& owner = *this;
+  client_ = std::make_unique<SnapshotClient>(loop_, settings_.from, config_.name, settings_.time,
+                                             config_.limits, owner);
+}
 
 MergeOptions StateTransfer::MergeOptionsOf() const {
   return {settings_.longest_wait, config_.settings.slow_start_duration};
@@ -49,181 +83,196 @@
   return server_->address();
 }
 
-// ---- out -----------------------------------------------------------------------------------------------
+// ---- what this relay gives to others and to its file
+// -------------------------------------------------------
 
 std::vector<NamedRouteState> StateTransfer::Export(std::optional<DestinationId>& from, int most) const {
-  std::vector<NamedRouteState> out;
-  for (RouteState& b : host_.ExportRouteStates(from, most)) {
-    if (b.retry_after <= 0 && !b.failure_age && !b.recovery_age && !b.success_age && !b.rejection_age &&
-        !b.latency_age && !b.hedging_disabled_age)
-      continue;
-    NamedRouteState heard;
-    if (b.endpoint != 0) heard.endpoint = host_.NameOf(b.endpoint);
-    heard.state = std::move(b);
-    out.push_back(std::move(heard));
+  std::vector<NamedRouteState> routes;
+  for (const RouteState& state : host_.ExportRouteStates(from, most)) {
+    if (IsEmpty(state)) continue;
+    NamedRouteState route;
+    if (state.endpoint != 0) route.endpoint = host_.EndpointName(state.endpoint);
+    route.state = state;
+    routes.push_back(std::move(route));
   }
-  return out;
-}
-
-void StateTransfer::ArmSave() {
-  save_timer_ = loop_.At(loop_.Now() + config_.limits.learn_file_every, [this] {
-    save_timer_ = 0;
-    ArmSave();
-    if (exporting_) return;
-    exported_.clear();
-    exporting_ = std::make_unique<SnapshotSlices>(
-        loop_, source_,
-        [this](std::vector<NamedRouteState> lanes) {
-          for (NamedRouteState& heard : MostUrgent(std::move(lanes))) exported_.push_back(std::move(heard));
-          return exported_.size() < config_.limits.learn_lanes;
-        },
-        [this] {
-          Save();
-          loop_.Retire(std::exchange(exporting_, nullptr));
-        });
+  return routes;
+}
+
+void StateTransfer::ScheduleSave() {
+  save_timer_.Start(loop_.Now() + config_.limits.learn_file_every, [this] {
+    ScheduleSave();
+    if (!exporting_) ExportForSave();
   });
 }
 
-// Nothing urgent twice in a row is not written again: most of the time the disk is left alone.
+void StateTransfer::ExportForSave() {
+  exported_.clear();
+  exporting_ = std::make_unique<SnapshotSlices>(
+      loop_, source_,
+      [this](std::vector<NamedRouteState> slice) {
+        AppendMostUrgent(exported_, std::move(slice));
+        return exported_.size() < config_.limits.learn_lanes;
+      },
+      [this] {
+        Save();
+        loop_.Retire(std::exchange(exporting_, nullptr));
+      });
+}
+
+// Spares the disk: a file without routes is not replaced by another.
 void StateTransfer::Save() {
   exported_ = MostUrgent(std::move(exported_));
-  const bool some = !exported_.empty();
-  if (!some && !file_has_routes_) return;
+  const bool has_routes = !exported_.empty();
+  if (!has_routes && !file_has_routes_) return;
   if (file_->Save(config_.name, clock_.Micros(), exported_)) {
-    file_has_routes_ = some;
+    file_has_routes_ = has_routes;
   } else {
-    log::Warn("learn_not_saved", {{"path", file_->path()}});
+    log::Warn("snapshot_not_saved", {{"path", file_->path()}});
   }
 }
 
-// ---- in ------------------------------------------------------------------------------------------------
+bool StateTransfer::OnDatagram(int peer, std::string_view bytes) {
+  if (!datagrams_) return false;
+  const DatagramExchange::Received received = datagrams_->Receive(loop_.Now(), peer, bytes);
+  switch (received.kind) {
+    case DatagramExchange::Kind::kNotOurs:
+      return false;
+    case DatagramExchange::Kind::kAnswer:
+      OnAnswer(peer, received.datagram);
+      break;
+    case DatagramExchange::Kind::kRequest:
+      OnRequest({peer, received.datagram.nonce});
+      break;
+    case DatagramExchange::Kind::kIgnored:
+      break;
+  }
+  return true;
+}
+
+void StateTransfer::OnRequest(const Requester& requester) {
+  if (requesters_.size() >= config_.peers.size()) return;
+  requesters_.push_back(requester);
+  if (answering_) return;
+  answering_ = std::make_unique<SnapshotSlices>(
+      loop_, source_,
+      [this](std::vector<NamedRouteState> slice) {
+        AppendMostUrgent(urgent_, std::move(slice));
+        return true;
+      },
+      [this] { AnswerRequesters(); });
+}
+
+void StateTransfer::AnswerRequesters() {
+  urgent_ = MostUrgent(std::move(urgent_));
+  for (const Requester& requester : std::exchange(requesters_, {})) {
+    datagrams_->Answer(requester.peer, requester.nonce, urgent_);
+  }
+  urgent_.clear();
+  loop_.Retire(std::exchange(answering_, nullptr));
+}
+
+// ---- what this relay receives
+// ------------------------------------------------------------------------------
 
 void StateTransfer::LoadState() {
   const SnapshotFile::Saved saved = file_->Load();
-  // Time that this process did not run is age like any other. Where the machine has booted and its wall clock
-  // is behind it adds none.
-  const double down = std::max(0.0, static_cast<double>(clock_.Micros() - saved.written_at) / 1e6);
   file_has_routes_ = !saved.routes.empty();
-  if (saved.result == "none") return;
-  SnapshotMerger judge(MergeOptionsOf(), config_.limits.learn_lanes);
-  judge.CountOutOfRange(saved.out_of_range);
-  for (const NamedRouteState& heard : saved.routes) judge.Add(0, heard, loop_.Now() - down);
-  log::Info("learn_heard",
-            {{"carrier", "state"}, {"end", saved.result}, {"lanes", saved.routes.size()}, {"age_s", down}});
-  Apply(judge, "state");
+  if (saved.result == SnapshotResult::kNoFile) return;
+  // The time that no process ran counts as age. After a boot with a wall clock that is behind it counts as
+  // none.
+  const double age = std::max(0.0, static_cast<double>(clock_.Micros() - saved.written_at) / 1e6);
+  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  merger.CountOutOfRange(saved.out_of_range);
+  for (const NamedRouteState& route : saved.routes) merger.Add(0, route, loop_.Now() - age);
+  log::Info("snapshot_received", {{"carrier", "state"},
+                                  {"result", NameOf(saved.result)},
+                                  {"routes", saved.routes.size()},
+                                  {"age_s", age}});
+  Apply(merger, "state");
 }
 
-void StateTransfer::OnRouteState(int donor, const NamedRouteState& heard, Seconds made) {
-  merger_->Add(donor, heard, made);
+void StateTransfer::OnRouteState(int server, const NamedRouteState& route, Seconds observed_at) {
+  merger_->Add(server, route, observed_at);
 }
 
 void StateTransfer::OnSnapshotsEnded(const std::vector<SnapshotClient::Report>& reports) {
-  for (const SnapshotClient::Report& r : reports) {
-    merger_->CountOutOfRange(r.out_of_range);
-    log::Info("learn_heard", {{"carrier", "tcp"},
-                              {"from", net::FormatAddress(r.address)},
-                              {"name", r.name},
-                              {"end", r.result},
-                              {"lanes", r.route_count},
-                              {"bytes", r.bytes},
-                              {"ms", r.took * 1000},
-                              {"donor_runs_s", r.running}});
+  for (const SnapshotClient::Report& report : reports) {
+    merger_->CountOutOfRange(report.out_of_range);
+    LogReport(report);
   }
-  const auto judge = std::exchange(merger_, nullptr);
-  // Whoever asks sees that it is done before it is told; the learner itself is still on the stack.
+  const auto merger = std::exchange(merger_, nullptr);
+  // done() holds before the state is applied. The client is still on the stack, so it is retired.
   loop_.Retire(std::exchange(client_, nullptr));
-  Apply(*judge, "tcp");
+  Apply(*merger, "tcp");
 }
 
-bool StateTransfer::OnDatagram(int peer, std::string_view bytes) {
-  if (!datagrams_) return false;
-  const DatagramExchange::Received taken = datagrams_->Receive(loop_.Now(), peer, bytes);
-  if (taken.kind == DatagramExchange::Kind::kNotOurs) return false;
-  if (taken.kind == DatagramExchange::Kind::kAnswer) OnAnswer(peer, taken.note);
-  if (taken.kind != DatagramExchange::Kind::kRequest || requesters_.size() >= config_.peers.size())
-    return true;
-  requesters_.push_back({peer, taken.note.nonce});
-  if (answering_) return true;
-  answering_ = std::make_unique<SnapshotSlices>(
-      loop_, source_,
-      [this](std::vector<NamedRouteState> lanes) {
-        for (NamedRouteState& heard : MostUrgent(std::move(lanes))) urgent_.push_back(std::move(heard));
-        return true;
-      },
-      [this] {
-        urgent_ = MostUrgent(std::move(urgent_));
-        for (const Requester& asked : std::exchange(requesters_, {}))
-          datagrams_->Answer(asked.peer, asked.nonce, urgent_);
-        urgent_.clear();
-        loop_.Retire(std::exchange(answering_, nullptr));
-      });
-  return true;
-}
-
-void StateTransfer::OnAnswer(int peer, const Datagram& note) {
-  SnapshotMerger judge(MergeOptionsOf(), config_.limits.learn_lanes);
-  judge.CountOutOfRange(note.out_of_range);
-  for (const NamedRouteState& heard : note.routes) judge.Add(peer, heard, loop_.Now());
-  Apply(judge, "note");
+void StateTransfer::OnAnswer(int peer, const Datagram& answer) {
+  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  merger.CountOutOfRange(answer.out_of_range);
+  for (const NamedRouteState& route : answer.routes) merger.Add(peer, route, loop_.Now());
+  Apply(merger, "note");
 }
 
-bool StateTransfer::ApplyOne(const NamedRouteState& heard, TransferredState& learned) const {
-  RouteState belief = heard.state;
-  belief.endpoint = 0;
-  if (!heard.endpoint.empty()) {
-    const auto endpoint = host_.ListedEndpoint(heard.endpoint);
+// Appends the route's state under the number that its endpoint has in this process. False: the endpoint list
+// does not name the endpoint or the destination.
+bool StateTransfer::Resolve(const NamedRouteState& route, TransferredState& state) const {
+  RouteState resolved = route.state;
+  resolved.endpoint = 0;
+  if (!route.endpoint.empty()) {
+    const auto endpoint = host_.ListedEndpoint(route.endpoint);
     if (!endpoint) return false;
-    belief.endpoint = *endpoint;
-  } else if (!host_.ListedDestination(belief.destination)) {
+    resolved.endpoint = *endpoint;
+  } else if (!host_.ListedDestination(resolved.destination)) {
     return false;
   }
-  learned.routes.push_back(belief);
+  state.routes.push_back(resolved);
   return true;
 }
 
-void StateTransfer::Apply(SnapshotMerger& judge, const char* carrier) {
-  const std::size_t lanes = judge.route_count();
-  TransferredState learned;
-  std::size_t unknown = 0;
-  for (NamedRouteState& heard : judge.Merge(loop_.Now())) {
-    if (ApplyOne(heard, learned)) continue;
-    ++unknown;
-    if (pending_.size() < config_.limits.learn_lanes) pending_.push_back({std::move(heard), loop_.Now()});
+// Applies what is still valid; what the endpoint list does not name yet waits for OnEndpointList.
+void StateTransfer::Apply(SnapshotMerger& merger, const char* carrier) {
+  const std::size_t route_count = merger.route_count();
+  TransferredState state;
+  std::size_t not_listed = 0;
+  for (NamedRouteState& route : merger.Merge(loop_.Now())) {
+    if (Resolve(route, state)) continue;
+    ++not_listed;
+    if (pending_.size() < config_.limits.learn_lanes) pending_.push_back({std::move(route), loop_.Now()});
   }
   pending_until_ = loop_.Now() + config_.limits.learn_pending;
-  const MergeTally& t = judge.tally();
-  log::Info("learned", {{"carrier", carrier},
-                        {"lanes", lanes},
-                        {"believed", learned.routes.size()},
-                        {"waits", t.retry_afters},
-                        {"outages", t.outages},
-                        {"ramps", t.recoveries},
-                        {"paces", t.send_rates},
-                        {"latencies", t.latencies},
-                        {"barred", t.hedging_disabled},
-                        {"left_stale", t.stale},
-                        {"left_out_of_range", t.out_of_range},
-                        {"left_contradicted", t.contradicted},
-                        {"left_too_many", t.too_many},
-                        {"waits_cut", t.retry_afters_shortened},
-                        {"not_in_pool_yet", unknown}});
-  if (!learned.routes.empty()) host_.ApplyState(std::move(learned));
-}
-
-// The list that a relay starts with may be old: what it does not name yet may come within seconds.
+  const MergeTally& tally = merger.tally();
+  log::Info("state_merged", {{"carrier", carrier},
+                             {"routes", route_count},
+                             {"applied", state.routes.size()},
+                             {"retry_afters", tally.retry_afters},
+                             {"outages", tally.outages},
+                             {"slow_starts", tally.recoveries},
+                             {"send_rates", tally.send_rates},
+                             {"latencies", tally.latencies},
+                             {"hedging_disabled", tally.hedging_disabled},
+                             {"ignored_stale", tally.stale},
+                             {"ignored_out_of_range", tally.out_of_range},
+                             {"ignored_contradicted", tally.contradicted},
+                             {"ignored_too_many", tally.too_many},
+                             {"retry_afters_shortened", tally.retry_afters_shortened},
+                             {"not_listed_yet", not_listed}});
+  if (!state.routes.empty()) host_.ApplyState(std::move(state));
+}
+
+// The list that a relay starts with may be old; a newer one often arrives within seconds.
 void StateTransfer::OnEndpointList() {
   if (pending_.empty()) return;
   const Seconds now = loop_.Now();
   if (now > pending_until_) return pending_.clear();
-  TransferredState learned;
-  std::vector<Pending> rest;
+  TransferredState state;
+  std::vector<Pending> unresolved;
   for (Pending& pending : pending_) {
-    NamedRouteState older = pending.route;
-    AgeBy(older.state, now - pending.made);
-    if (!ApplyOne(older, learned)) rest.push_back(std::move(pending));
+    NamedRouteState aged = pending.route;
+    AgeBy(aged.state, now - pending.since);
+    if (!Resolve(aged, state)) unresolved.push_back(std::move(pending));
   }
-  pending_ = std::move(rest);
-  if (!learned.routes.empty()) host_.ApplyState(std::move(learned));
+  pending_ = std::move(unresolved);
+  if (!state.routes.empty()) host_.ApplyState(std::move(state));
 }
 
 }  // namespace opalroute::state_transfer
