--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -122,7 +122,7 @@
   zone_failover::ZoneGossip gossip;
   std::vector<Case> cases = {
       {"zone gossip, empty", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning}};
-  gossip.stages = {{0, zone_failover::EvacuationPhase::kInService, 0, 0},
+  gossip.states = {{0, zone_failover::EvacuationPhase::kInService, 0, 0},
                    {1, zone_failover::EvacuationPhase::kEvacuating, 0, 0.25},
                    {200, zone_failover::EvacuationPhase::kEvacuated, 3, 12.34},
                    {1ULL << 40, zone_failover::EvacuationPhase::kRecovering, 40, 1e7}};
@@ -160,7 +160,7 @@
 // ---- route gossip ----
 
 std::string RouteGossipMeaning(std::string_view bytes) {
-  const auto message = ReadLaneNote(bytes);
+  const auto message = decision::DecodeRouteGossip(bytes);
   if (!message) return kUnreadable;
   std::ostringstream text;
   text << "kind " << static_cast<char>(message->kind) << " destination " << message->destination << " route "
@@ -169,17 +169,20 @@
 }
 
 std::vector<Case> RouteGossipCases() {
-  using Kind = LaneNote::Kind;
-  return {{"route gossip, rejected", WriteLaneNote({Kind::kRefused, 7, 0}), RouteGossipMeaning},
-          {"route gossip, recovered, one endpoint",
-           WriteLaneNote({Kind::kBack, 70'000, HashName("s-5be2a07c")}), RouteGossipMeaning},
-          {"route gossip, out of connections, negative", WriteLaneNote({Kind::kCrowded, -70'000, 0xff}),
-           RouteGossipMeaning},
-          {"route gossip, greatest values", WriteLaneNote({Kind::kBack, INT64_MAX, 0xffffffffU}),
-           RouteGossipMeaning},
-          {"route gossip, least destination", WriteLaneNote({Kind::kBack, INT64_MIN, 0}), RouteGossipMeaning},
-          {"route gossip, unknown kind", "Lx\x02", RouteGossipMeaning},
-          {"route gossip, truncated", "Lr\x02zz", RouteGossipMeaning}};
+  using Kind = decision::RouteGossip::Kind;
+  return {
+      {"route gossip, rejected", decision::EncodeRouteGossip({Kind::kRejected, 7, 0}), RouteGossipMeaning},
+      {"route gossip, recovered, one endpoint",
+       decision::EncodeRouteGossip({Kind::kRecovered, 70'000, decision::HashName("s-5be2a07c")}),
+       RouteGossipMeaning},
+      {"route gossip, out of connections, negative",
+       decision::EncodeRouteGossip({Kind::kOutOfConnections, -70'000, 0xff}), RouteGossipMeaning},
+      {"route gossip, greatest values",
+       decision::EncodeRouteGossip({Kind::kRecovered, INT64_MAX, 0xffffffffU}), RouteGossipMeaning},
+      {"route gossip, least destination", decision::EncodeRouteGossip({Kind::kRecovered, INT64_MIN, 0}),
+       RouteGossipMeaning},
+      {"route gossip, unknown kind", "Lx\x02", RouteGossipMeaning},
+      {"route gossip, truncated", "Lr\x02zz", RouteGossipMeaning}};
 }
 
 // ---- state transfer ----
@@ -214,10 +217,10 @@
   if (const auto* request = std::get_if<state_transfer::SnapshotRequest>(&*message)) {
     text << "request version " << request->version << " name " << request->name;
   } else if (const auto* header = std::get_if<state_transfer::SnapshotHeader>(&*message)) {
-    text << "header version " << header->version << " name " << header->name << " running " << header->running
+    text << "header version " << header->version << " name " << header->name << " running " << header->uptime
          << " written " << header->written_at;
   } else if (const auto* chunk = std::get_if<state_transfer::SnapshotChunk>(&*message)) {
-    text << "chunk since " << chunk->since_begin << " out of range " << chunk->out_of_range
+    text << "chunk since " << chunk->since_header << " out of range " << chunk->out_of_range
          << RoutesMeaning(chunk->routes);
   } else {
     text << "end routes " << std::get<state_transfer::SnapshotEnd>(*message).route_count;
@@ -277,20 +280,19 @@
   cases.push_back({"state transfer, wrong checksum", damaged, FrameMeaning});
   cases.push_back({"state transfer, unknown field", net::Frame(std::string("\x22\x04\x08\x05\x10\x01", 6)),
                    FrameMeaning});
-  std::size_t written = 0;
   state_transfer::Datagram message;
   message.nonce = 0xfedcba98;
   message.is_request = true;
-  cases.push_back({"state transfer datagram, request", state_transfer::EncodeDatagram(message, written),
-                   DatagramMeaning});
+  cases.push_back(
+      {"state transfer datagram, request", state_transfer::EncodeDatagram(message).bytes, DatagramMeaning});
   message.is_request = false;
   message.routes = Routes();
-  cases.push_back({"state transfer datagram, response", state_transfer::EncodeDatagram(message, written),
-                   DatagramMeaning});
-  for (int i = 0; i < 5; ++i) message.routes.push_back(message.routes[1]);
   cases.push_back(
-      {"state transfer datagram, full", state_transfer::EncodeDatagram(message, written), DatagramMeaning});
-  cases.back().name += " with " + std::to_string(written);
+      {"state transfer datagram, response", state_transfer::EncodeDatagram(message).bytes, DatagramMeaning});
+  for (int i = 0; i < 5; ++i) message.routes.push_back(message.routes[1]);
+  const state_transfer::EncodedDatagram full = state_transfer::EncodeDatagram(message);
+  cases.push_back({"state transfer datagram, full with " + std::to_string(full.route_count), full.bytes,
+                   DatagramMeaning});
   cases.push_back({"state transfer datagram, unknown magic", "OLN2\x08\x01", DatagramMeaning});
   return cases;
 }
--- a/tests/upstream/upstream_call_test.cpp
+++ b/tests/upstream/upstream_call_test.cpp
@@ -1,5 +1,4 @@
 // A server-side flow whose message may not leave any more when its connection has come up.
-#include "upstream/health_check_call.h"
 #include "upstream/upstream_call.h"
 
 #include <arpa/inet.h>
@@ -9,6 +8,7 @@
 
 #include "net/address.h"
 #include "net/listener.h"
+#include "upstream/health_check_call.h"
 
 namespace opalroute {
 namespace {
