--- a/src/zone_failover/report_scheduler.cpp
+++ b/src/zone_failover/report_scheduler.cpp
@@ -58,7 +58,7 @@
 
 bool ReportScheduler::TakeDueReport(Seconds now) {
   if (next_report_at_ == kNever) {
-    if (!HasNews(now)) return false;
+    if (!HasUnreported(now)) return false;
     next_report_at_ = now + options_.report_delay * random_.Unit();
   }
   if (now < next_report_at_ || !HasBudget(now)) return false;
@@ -82,7 +82,7 @@
                      [](const Zone& zone) { return zone.confirmations.has_value(); });
 }
 
-bool ReportScheduler::HasNews(Seconds now) const {
+bool ReportScheduler::HasUnreported(Seconds now) const {
   if (HasStateToSpread()) return true;
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (HasUnreportedCalls(now, zone)) return true;
--- a/src/zone_failover/report_scheduler.h
+++ b/src/zone_failover/report_scheduler.h
@@ -1,6 +1,6 @@
 // Decides when a relay sends a report of its zones on its own account, besides those in membership messages.
-// A report is due when the relay has news, after a random delay, unless other relays have reported enough by
-// then (as in the Trickle algorithm) or the rate limit holds it back. Without I/O.
+// A report is due when the relay has something new to report, after a random delay, unless other relays have
+// reported enough by then (as in the Trickle algorithm) or the rate limit holds it back. Without I/O.
 #pragma once
 
 #include <cstdint>
@@ -49,7 +49,7 @@
   const Zone& At(int zone) const { return zones_[static_cast<std::size_t>(zone)]; }
   Zone& At(int zone) { return zones_[static_cast<std::size_t>(zone)]; }
   bool HasStateToSpread() const;
-  bool HasNews(Seconds now) const;
+  bool HasUnreported(Seconds now) const;
   bool HasUnreportedCalls(Seconds now, int zone) const;
   bool IsRedundant(Seconds now) const;
   bool IsUrgent(Seconds now) const;
--- a/src/zone_failover/zone_gossip.cpp
+++ b/src/zone_failover/zone_gossip.cpp
@@ -21,11 +21,11 @@
 constexpr std::uint64_t kPhaseMask = 3;
 constexpr std::size_t kDestinationSetBytes = 4;
 
-// Bits of the parts after the states.
+// Bits of the sections after the states.
 constexpr std::uint64_t kHasReport = 1;
 constexpr std::uint64_t kHasOverrides = 2;
-constexpr int kKnownParts = 2;
-constexpr int kMaxParts = 7;
+constexpr int kKnownSections = 2;
+constexpr int kMaxSections = 7;
 
 // Rounds down, so that no age grows by being passed on.
 void AppendAge(std::string& bytes, Seconds age, Seconds max) {
@@ -132,9 +132,9 @@
   return true;
 }
 
-bool SkipLaterParts(std::string_view& bytes, std::uint64_t parts) {
-  for (int part = kKnownParts; part < kMaxParts; ++part) {
-    if ((parts >> part & 1) == 0) continue;
+bool SkipUnknownSections(std::string_view& bytes, std::uint64_t sections) {
+  for (int section = kKnownSections; section < kMaxSections; ++section) {
+    if ((sections >> section & 1) == 0) continue;
     const auto length = ReadVarint(bytes);
     if (!length || *length > bytes.size()) return false;
     bytes.remove_prefix(*length);
@@ -159,15 +159,15 @@
   const auto zones = ReadVarint(bytes);
   if (!zones || *zones > kMaxZones) return std::nullopt;
   if (!ReadAll(bytes, *zones, ReadState, gossip.states)) return std::nullopt;
-  const auto parts = ReadVarint(bytes);
-  if (!parts || *parts >> kMaxParts != 0) return std::nullopt;
-  if ((*parts & kHasReport) != 0 && !ReadAll(bytes, *zones, ReadZoneReport, gossip.report.emplace())) {
+  const auto sections = ReadVarint(bytes);
+  if (!sections || *sections >> kMaxSections != 0) return std::nullopt;
+  if ((*sections & kHasReport) != 0 && !ReadAll(bytes, *zones, ReadZoneReport, gossip.report.emplace())) {
     return std::nullopt;
   }
-  if ((*parts & kHasOverrides) != 0 && !ReadAll(bytes, *zones, ReadOverride, gossip.overrides)) {
+  if ((*sections & kHasOverrides) != 0 && !ReadAll(bytes, *zones, ReadOverride, gossip.overrides)) {
     return std::nullopt;
   }
-  if (!SkipLaterParts(bytes, *parts) || !bytes.empty()) return std::nullopt;
+  if (!SkipUnknownSections(bytes, *sections) || !bytes.empty()) return std::nullopt;
   return gossip;
 }
 
--- a/src/zone_failover/zone_gossip.h
+++ b/src/zone_failover/zone_gossip.h
@@ -3,8 +3,8 @@
 // remaining times are in tenths of a second.
 //
 //   count of zones; for each: round, phase | relapses << 2, age of the phase
-//   bits of the parts that follow: 1 a report, 2 overrides. 4 to 64 are for later versions, which write the
-//   length of each such part before it; a version that does not know a part skips it
+//   bits of the sections that follow: 1 a report, 2 overrides. 4 to 64 are for later versions, which write
+//   the length of each such section before it; a version that does not know a section skips it
 //
 //   report, for each zone: bits of succeeded, failed and observed destinations (four bytes each), ages of
 //   success and of failure, FaultKind
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -198,9 +198,9 @@
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     std::ofstream(file.path(), std::ios::binary | std::ios::trunc) << bytes.substr(0, size);
     CHECK(file.Load("n1", names, kNow, 120).load_result == "broken");
-    std::string wrong = bytes;
-    wrong[size] = static_cast<char>(wrong[size] ^ 1);
-    std::ofstream(file.path(), std::ios::binary | std::ios::trunc) << wrong;
+    std::string damaged = bytes;
+    damaged[size] = static_cast<char>(damaged[size] ^ 1);
+    std::ofstream(file.path(), std::ios::binary | std::ios::trunc) << damaged;
     CHECK(file.Load("n1", names, kNow, 120).zones.states.empty());
   }
   fs::permissions(folder, fs::perms::owner_read | fs::perms::owner_exec);
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -148,12 +148,12 @@
                                                              {1ULL << 60, 0, OverrideKind::kEvacuate, 50}};
   std::vector<int> order(sent.size());
   std::iota(order.begin(), order.end(), 0);
-  for (unsigned came = 1; came < 128; ++came) {
+  for (unsigned arrived = 1; arrived < 128; ++arrived) {
     std::optional<zone_failover::OperatorOverride> expected;
     do {
       zone_failover::OperatorOverrides orders(1);
       for (const int i : order)
-        if ((came >> i & 1U) != 0) orders.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
+        if ((arrived >> i & 1U) != 0) orders.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
       const zone_failover::OperatorOverride& now = orders.Get(0);
       if (!expected) expected = now;
       REQUIRE(now.sequence == expected->sequence);
@@ -196,7 +196,7 @@
   return bytes + '\x03' + "new";
 }
 
-TEST_CASE("zone failover: parts that a later version adds to gossip are skipped, and the rest is read") {
+TEST_CASE("zone failover: sections that a later version adds to gossip are skipped, and the rest is read") {
   zone_failover::ZoneGossip gossip;
   gossip.states = {{7, EvacuationPhase::kEvacuated, 1, 2}, {}};
   gossip.report = zone_failover::Report(2);
--- /dev/null
+++ b/tests/zone_failover/zone_evacuation_test.cpp
@@ -0,0 +1,39 @@
+// The order of evacuation states.
+#include "zone_failover/zone_evacuation.h"
+
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <numeric>
+#include <optional>
+#include <vector>
+
+namespace opalroute {
+namespace {
+
+using zone_failover::EvacuationPhase;
+
+TEST_CASE("zone failover: states merge alike in every order and with every loss") {
+  const std::vector<zone_failover::EvacuationState> sent = {
+      {1, EvacuationPhase::kEvacuating, 0, 3},  {1, EvacuationPhase::kEvacuated, 0, 4},
+      {1, EvacuationPhase::kRecovering, 0, 5},  {2, EvacuationPhase::kEvacuated, 1, 6},
+      {1, EvacuationPhase::kInService, 0, 5.5}, {2, EvacuationPhase::kEvacuated, 1, 6.1}};
+  std::vector<int> order(sent.size());
+  std::iota(order.begin(), order.end(), 0);
+  for (unsigned arrived = 1; arrived < 64; ++arrived) {
+    std::optional<zone_failover::EvacuationState> expected;
+    do {
+      zone_failover::ZoneEvacuation evacuation({}, 1, 0);
+      for (const int i : order)
+        if ((arrived >> i & 1U) != 0) evacuation.Merge(10, 0, sent[static_cast<std::size_t>(i)]);
+      const zone_failover::EvacuationState& now = evacuation.StateOf(0);
+      if (!expected) expected = now;
+      REQUIRE(now.round == expected->round);
+      REQUIRE(now.phase == expected->phase);
+      REQUIRE(now.since == expected->since);
+    } while (std::next_permutation(order.begin(), order.end()));
+  }
+}
+
+}  // namespace
+}  // namespace opalroute
