--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -63,71 +63,71 @@
     "shares") {
   for (const int size : {3, 12, 60, 300}) {
     CAPTURE(size);
-    SimulatedFleet s(OptionsFor(size), {}, 1);
-    s.StartAll();
-    s.RunUntil(s.now + 2);
-    CHECK(s.TotalShare() == doctest::Approx(1));
+    SimulatedFleet fleet(OptionsFor(size), {}, 1);
+    fleet.StartAll();
+    fleet.RunUntil(fleet.now + 2);
+    CHECK(fleet.TotalShare() == doctest::Approx(1));
     const int left = std::max(2, size * 3 / 10);
-    for (int relay = left; relay < size; ++relay) s.Kill(relay);
-    s.RunUntil(s.now + 25);
-    CHECK(s[0].membership().StateOf(s.now, size - 1) == MemberState::kDead);
-    CHECK(s.TotalShare() > 0.9);
-    CHECK(s.max_total_share < 1 + 1e-9);
+    for (int relay = left; relay < size; ++relay) fleet.Kill(relay);
+    fleet.RunUntil(fleet.now + 25);
+    CHECK(fleet[0].membership().StateOf(fleet.now, size - 1) == MemberState::kDead);
+    CHECK(fleet.TotalShare() > 0.9);
+    CHECK(fleet.max_total_share < 1 + 1e-9);
     // They restart at once: the others give up their shares before they use them.
-    for (int relay = left; relay < size; ++relay) s.Start(relay);
-    s.RunUntil(s.now + 3);
-    CHECK(s.TotalShare() == doctest::Approx(1));
-    CHECK(s.max_total_share < 1 + 1.0 / size + 1e-9);
+    for (int relay = left; relay < size; ++relay) fleet.Start(relay);
+    fleet.RunUntil(fleet.now + 3);
+    CHECK(fleet.TotalShare() == doctest::Approx(1));
+    CHECK(fleet.max_total_share < 1 + 1.0 / size + 1e-9);
   }
 }
 
 TEST_CASE("membership: a relay behind a partition is never dead, however long it lasts") {
-  SimulatedFleet s(OptionsFor(10), {}, 2);
-  s.StartAll();
-  s.RunUntil(s.now + 2);
-  s.cut = [](int from, int to) { return (from < 4) != (to < 4); };
-  s.RunUntil(s.now + 120);
-  for (int relay = 0; relay < 10; ++relay) CHECK(s[relay].membership().ShareCount(s.now) == 10);
-  CHECK(s[0].membership().StateOf(s.now, 9) == MemberState::kUnknown);
-  CHECK(s[0].membership().AliveMembers(s.now).size() == 4);
+  SimulatedFleet fleet(OptionsFor(10), {}, 2);
+  fleet.StartAll();
+  fleet.RunUntil(fleet.now + 2);
+  fleet.cut = [](int from, int to) { return (from < 4) != (to < 4); };
+  fleet.RunUntil(fleet.now + 120);
+  for (int relay = 0; relay < 10; ++relay) CHECK(fleet[relay].membership().ShareCount(fleet.now) == 10);
+  CHECK(fleet[0].membership().StateOf(fleet.now, 9) == MemberState::kUnknown);
+  CHECK(fleet[0].membership().AliveMembers(fleet.now).size() == 4);
 }
 
 TEST_CASE(
     "membership: proofs of death expire in a partition before a relay restarted behind it takes its share") {
-  SimulatedFleet s(OptionsFor(10), {}, 3);
-  s.StartAll();
-  s.RunUntil(s.now + 2);
-  for (int relay = 5; relay < 10; ++relay) s.Kill(relay);
-  s.RunUntil(s.now + 20);
-  CHECK(s[0].membership().ShareCount(s.now) == 5);
-  s.cut = [](int from, int to) { return (from < 5) != (to < 5); };
-  for (int relay = 5; relay < 10; ++relay) s.Start(relay);
-  s.RunUntil(s.now + 1);
-  CHECK(s[0].membership().ShareCount(s.now) == 5);    // it cannot know
-  CHECK(s[9].membership().ShareCount(s.now) == 100);  // so they hold their shares back
-  s.RunUntil(s.now + 20);
-  CHECK(s[0].membership().ShareCount(s.now) == 10);
-  CHECK(s[9].membership().ShareCount(s.now) == 10);
-  CHECK(s.max_total_share < 1.1 + 1e-9);
+  SimulatedFleet fleet(OptionsFor(10), {}, 3);
+  fleet.StartAll();
+  fleet.RunUntil(fleet.now + 2);
+  for (int relay = 5; relay < 10; ++relay) fleet.Kill(relay);
+  fleet.RunUntil(fleet.now + 20);
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 5);
+  fleet.cut = [](int from, int to) { return (from < 5) != (to < 5); };
+  for (int relay = 5; relay < 10; ++relay) fleet.Start(relay);
+  fleet.RunUntil(fleet.now + 1);
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 5);    // it cannot know
+  CHECK(fleet[9].membership().ShareCount(fleet.now) == 100);  // so they hold their shares back
+  fleet.RunUntil(fleet.now + 20);
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 10);
+  CHECK(fleet[9].membership().ShareCount(fleet.now) == 10);
+  CHECK(fleet.max_total_share < 1.1 + 1e-9);
 }
 
 TEST_CASE("membership: a one-way partition, a frozen relay, an announced leave") {
-  SimulatedFleet s(OptionsFor(8), {}, 4);
-  s.StartAll();
-  s.RunUntil(s.now + 2);
-  s.cut = [](int from, int) { return from == 7; };  // it receives, and is not received
-  s.RunUntil(s.now + 30);
-  CHECK(s[0].membership().ShareCount(s.now) == 8);
-  CHECK(s[7].membership().ShareCount(s.now) == 8);
-  s.cut = nullptr;
-  s.Freeze(3, s.now + 10);
-  s.RunUntil(s.now + 9);
-  CHECK(s[0].membership().ShareCount(s.now) == 8);  // silent is not dead
-  s.RunUntil(s.now + 5);
-  s.Leave(2);
-  s.RunUntil(s.now + 10);
-  CHECK(s[0].membership().StateOf(s.now, 2) == MemberState::kDead);
-  CHECK(s.max_total_share < 1 + 1e-9);
+  SimulatedFleet fleet(OptionsFor(8), {}, 4);
+  fleet.StartAll();
+  fleet.RunUntil(fleet.now + 2);
+  fleet.cut = [](int from, int) { return from == 7; };  // it receives, and is not received
+  fleet.RunUntil(fleet.now + 30);
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 8);
+  CHECK(fleet[7].membership().ShareCount(fleet.now) == 8);
+  fleet.cut = nullptr;
+  fleet.Freeze(3, fleet.now + 10);
+  fleet.RunUntil(fleet.now + 9);
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 8);  // silent is not dead
+  fleet.RunUntil(fleet.now + 5);
+  fleet.Leave(2);
+  fleet.RunUntil(fleet.now + 10);
+  CHECK(fleet[0].membership().StateOf(fleet.now, 2) == MemberState::kDead);
+  CHECK(fleet.max_total_share < 1 + 1e-9);
 }
 
 TEST_CASE(
@@ -232,41 +232,41 @@
       if (random(3) == 0) cut.on = 0.5 + random(3), cut.off = 0.5 + random(3);
       links.cuts.push_back(cut);
     }
-    SimulatedFleet s(OptionsFor(size), links, seed);
-    s.StartAll();
-    s.RunUntil(s.now + 40, [&] {
-      if (s.Below(20) != 0) return;
-      const int relay = s.Below(size);
-      if (!s.IsUp(relay)) return s.Start(relay);
-      const int action = s.Below(6);
-      if (action == 0) s.Freeze(relay, s.now + 1 + s.Below(10));
-      if (action == 1) s.Leave(relay);
-      if (action >= 2) s.Kill(relay, s.Below(2) == 0);
+    SimulatedFleet fleet(OptionsFor(size), links, seed);
+    fleet.StartAll();
+    fleet.RunUntil(fleet.now + 40, [&] {
+      if (fleet.Below(20) != 0) return;
+      const int relay = fleet.Below(size);
+      if (!fleet.IsUp(relay)) return fleet.Start(relay);
+      const int action = fleet.Below(6);
+      if (action == 0) fleet.Freeze(relay, fleet.now + 1 + fleet.Below(10));
+      if (action == 1) fleet.Leave(relay);
+      if (action >= 2) fleet.Kill(relay, fleet.Below(2) == 0);
     });
     for (int relay = 0; relay < size; ++relay)
-      grown += s.IsUp(relay) && s[relay].membership().IsSettled(s.now) &&
-               s[relay].membership().ShareCount(s.now) < size;
-    REQUIRE_MESSAGE(s.max_total_share < 1 + 1.0 / size + 1e-9, "seed ", seed, " has shares of ",
-                    s.max_total_share);
+      grown += fleet.IsUp(relay) && fleet[relay].membership().IsSettled(fleet.now) &&
+               fleet[relay].membership().ShareCount(fleet.now) < size;
+    REQUIRE_MESSAGE(fleet.max_total_share < 1 + 1.0 / size + 1e-9, "seed ", seed, " has shares of ",
+                    fleet.max_total_share);
   }
   CHECK(grown > 300);  // shares do grow
 }
 
 TEST_CASE("membership: message rate and size stay within the stated limits at 3, 30 and 300 relays") {
   for (const int size : {3, 30, 300}) {
-    SimulatedFleet s(OptionsFor(size), {}, 6);
-    s.StartAll();
-    s.RunUntil(s.now + 3);
-    const long datagrams = s.datagrams_sent;
-    const long bytes = s.bytes_sent;
-    s.RunUntil(s.now + 10);
-    const double rate = static_cast<double>(s.datagrams_sent - datagrams) / 10 / size;
+    SimulatedFleet fleet(OptionsFor(size), {}, 6);
+    fleet.StartAll();
+    fleet.RunUntil(fleet.now + 3);
+    const long datagrams = fleet.datagrams_sent;
+    const long bytes = fleet.bytes_sent;
+    fleet.RunUntil(fleet.now + 10);
+    const double rate = static_cast<double>(fleet.datagrams_sent - datagrams) / 10 / size;
     MESSAGE(size << " relays: " << rate << " messages a second and relay, "
-                 << static_cast<double>(s.bytes_sent - bytes) /
-                        static_cast<double>(s.datagrams_sent - datagrams)
-                 << " bytes each, the longest " << s.longest_datagram);
+                 << static_cast<double>(fleet.bytes_sent - bytes) /
+                        static_cast<double>(fleet.datagrams_sent - datagrams)
+                 << " bytes each, the longest " << fleet.longest_datagram);
     CHECK(rate < 4.5);
-    CHECK(s.longest_datagram <= 256);
+    CHECK(fleet.longest_datagram <= 256);
   }
 }
 
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -81,26 +81,26 @@
     "build") {
   lab::LinkPlan links;
   links.loss = 0.2;
-  SimulatedFleet s(OptionsFor(12), links, 31);
+  SimulatedFleet fleet(OptionsFor(12), links, 31);
   Digest digest;
-  s.rewrite = [&](int from, const std::string& bytes) {
-    digest.Add(std::to_string(std::lround(s.now * 1000)) + ' ' + std::to_string(from) + ' ' + bytes);
+  fleet.rewrite = [&](int from, const std::string& bytes) {
+    digest.Add(std::to_string(std::lround(fleet.now * 1000)) + ' ' + std::to_string(from) + ' ' + bytes);
     return bytes;
   };
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 104 && s.now < 109 ? Failing(Outcome::kReset) : CallResult{};
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 104 && fleet.now < 109 ? Failing(Outcome::kReset) : CallResult{};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(105);
-  s.Kill(3);
+  fleet.Kill(3);
   calls.RunUntil(107);
-  s.Start(3);
-  s.Leave(9);
+  fleet.Start(3);
+  fleet.Leave(9);
   calls.RunUntil(110);
-  s.IssueOverride(5, 2, zone_failover::OverrideKind::kEvacuate, 3);
+  fleet.IssueOverride(5, 2, zone_failover::OverrideKind::kEvacuate, 3);
   calls.RunUntil(118);
   CHECK(digest.value() == 3513755929172168152ULL);
-  CHECK(s.datagrams_sent == 1748);
+  CHECK(fleet.datagrams_sent == 1748);
 }
 
 }  // namespace
--- a/tests/relay/zones_page_test.cpp
+++ b/tests/relay/zones_page_test.cpp
@@ -9,17 +9,17 @@
 namespace {
 
 TEST_CASE("zone failover: the page of /zones has the documented keys, in their order") {
-  SimulatedFleet s(OptionsFor(6), {}, 41);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 103 ? Failing(Outcome::kReset) : CallResult{};
+  SimulatedFleet fleet(OptionsFor(6), {}, 41);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 103 ? Failing(Outcome::kReset) : CallResult{};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(106);
-  s.IssueOverride(2, 2, zone_failover::OverrideKind::kEvacuate, 30);
+  fleet.IssueOverride(2, 2, zone_failover::OverrideKind::kEvacuate, 30);
   calls.RunUntil(108);
-  s.Kill(4);
+  fleet.Kill(4);
   calls.RunUntil(128);
-  const std::string page = ZonesPage(128.5, "r0", {"ground", "first", "second"}, s[0], {12, 345}).dump();
+  const std::string page = ZonesPage(128.5, "r0", {"ground", "first", "second"}, fleet[0], {12, 345}).dump();
   CHECK(
       page ==
       R"({"relay":"r0","tier":{"relays":6,"live":5,"suspected":0,"unheard":0,"gone":1,"parts":5.0,"settled":true,"restarts_seen":0,"notes_sent":12,"note_bytes_sent":345},)"
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -13,10 +13,10 @@
 using zone_failover::EvacuationPhase;
 using zone_failover::OverrideKind;
 
-int CountWithOverride(SimulatedFleet& s, int zone, OverrideKind kind) {
+int CountWithOverride(SimulatedFleet& fleet, int zone, OverrideKind kind) {
   int count = 0;
-  for (int relay = 0; relay < s.size(); ++relay)
-    count += s.IsUp(relay) && s[relay].ActiveOverride(s.now, zone) == kind;
+  for (int relay = 0; relay < fleet.size(); ++relay)
+    count += fleet.IsUp(relay) && fleet[relay].ActiveOverride(fleet.now, zone) == kind;
   return count;
 }
 
@@ -26,45 +26,45 @@
     CAPTURE(loss);
     lab::LinkPlan links;
     links.loss = loss;
-    SimulatedFleet s(OptionsFor(40), links, 3);
-    SimulatedCalls calls(s, 4, [](int, int, int) { return CallResult{}; });
-    s.StartAll();
+    SimulatedFleet fleet(OptionsFor(40), links, 3);
+    SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
+    fleet.StartAll();
     calls.RunUntil(104);
-    s.IssueOverride(7, 1, OverrideKind::kEvacuate, 10);
-    CHECK(s[7].ActiveOverride(s.now, 1) == OverrideKind::kEvacuate);
+    fleet.IssueOverride(7, 1, OverrideKind::kEvacuate, 10);
+    CHECK(fleet[7].ActiveOverride(fleet.now, 1) == OverrideKind::kEvacuate);
     calls.RunUntil(loss > 0.5 ? 109 : 106);
-    CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 40);
+    CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 40);
     calls.calls_by_zone.clear();
     calls.RunUntil(113.9);
     CHECK(calls.calls_by_zone[1] == 0);
     CHECK(calls.calls_by_zone[0] > 100);
     calls.RunUntil(114.6);  // each hop adds a tenth of a second at most
-    CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 0);
-    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 0);
+    CHECK(CountWithOverride(fleet, 1, OverrideKind::kEvacuate) == 0);
+    CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 0);
     calls.RunUntil(124);  // health checks succeed
-    CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
+    CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 0);
     calls.RunUntil(130);
-    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 40);
+    CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 40);
   }
 }
 
 TEST_CASE("zone failover: keep-in-service holds a failing zone, and lets an evacuated one recover") {
-  SimulatedFleet s(OptionsFor(24), {}, 4);
+  SimulatedFleet fleet(OptionsFor(24), {}, 4);
   const Seconds fails_at = 104;
-  SimulatedCalls calls(s, 4, [&](int, int, int zone) {
-    return zone == 1 && s.now >= fails_at ? Failing(Outcome::kConnectFailed) : CallResult{};
+  SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= fails_at ? Failing(Outcome::kConnectFailed) : CallResult{};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(103);
-  s.IssueOverride(0, 1, OverrideKind::kKeepInService, 7);
+  fleet.IssueOverride(0, 1, OverrideKind::kKeepInService, 7);
   calls.RunUntil(109.9);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 24);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 24);
   calls.RunUntil(114);  // it has expired, and the health of the zone counts again
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 24);
-  s.IssueOverride(23, 1, OverrideKind::kKeepInService, 30);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 24);
+  fleet.IssueOverride(23, 1, OverrideKind::kKeepInService, 30);
   calls.RunUntil(120);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 24);
-  for (const auto& change : s.changes) CHECK(change.zone == 1);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 24);
+  for (const auto& change : fleet.changes) CHECK(change.zone == 1);
 }
 
 TEST_CASE(
@@ -77,44 +77,45 @@
   cut.from = 106;
   cut.lasts = 8;
   links.cuts.push_back(cut);
-  SimulatedFleet s(OptionsFor(20), links, 5);
-  SimulatedCalls calls(s, 4, [](int, int, int) { return CallResult{}; });
-  s.StartAll();
+  SimulatedFleet fleet(OptionsFor(20), links, 5);
+  SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
+  fleet.StartAll();
   calls.RunUntil(103);
-  s.IssueOverride(3, 0, OverrideKind::kEvacuate, 600);
+  fleet.IssueOverride(3, 0, OverrideKind::kEvacuate, 600);
   calls.RunUntil(105);
-  CHECK(CountInPhase(s, 0, EvacuationPhase::kEvacuated) == 20);
-  s.Freeze(12, 118);
+  CHECK(CountInPhase(fleet, 0, EvacuationPhase::kEvacuated) == 20);
+  fleet.Freeze(12, 118);
   calls.RunUntil(107);
-  s.IssueOverride(15, 0, OverrideKind::kNone, 0);             // reaches one half
-  s.IssueOverride(2, 2, OverrideKind::kEvacuate, 600);        // of another zone: one half gets this one,
-  s.IssueOverride(16, 2, OverrideKind::kKeepInService, 600);  // the other half this one
+  fleet.IssueOverride(15, 0, OverrideKind::kNone, 0);             // reaches one half
+  fleet.IssueOverride(2, 2, OverrideKind::kEvacuate, 600);        // of another zone: one half gets this one,
+  fleet.IssueOverride(16, 2, OverrideKind::kKeepInService, 600);  // the other half this one
   calls.RunUntil(112);
-  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 11);  // the other half, and the frozen relay
-  CHECK(CountWithOverride(s, 2, OverrideKind::kEvacuate) == 10);
+  CHECK(CountWithOverride(fleet, 0, OverrideKind::kEvacuate) == 11);  // the other half, and the frozen relay
+  CHECK(CountWithOverride(fleet, 2, OverrideKind::kEvacuate) == 10);
   calls.RunUntil(117);
-  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 1);
+  CHECK(CountWithOverride(fleet, 0, OverrideKind::kEvacuate) == 1);
   calls.RunUntil(121);
-  CHECK(CountWithOverride(s, 0, OverrideKind::kEvacuate) == 0);
-  CHECK(CountWithOverride(s, 2, OverrideKind::kKeepInService) ==
+  CHECK(CountWithOverride(fleet, 0, OverrideKind::kEvacuate) == 0);
+  CHECK(CountWithOverride(fleet, 2, OverrideKind::kKeepInService) ==
         20);  // of the same sequence the greater issuer wins
   calls.RunUntil(145);
-  for (int zone = 0; zone < kZones; ++zone) CHECK(CountInPhase(s, zone, EvacuationPhase::kInService) == 20);
+  for (int zone = 0; zone < kZones; ++zone)
+    CHECK(CountInPhase(fleet, zone, EvacuationPhase::kInService) == 20);
 }
 
 TEST_CASE("zone failover: an override survives the restart of all relays if one state folder is left") {
-  SimulatedFleet s(OptionsFor(9), {}, 6);
-  s.StartAll();
-  s.RunUntil(103);
-  s.IssueOverride(1, 1, OverrideKind::kEvacuate, 30);
-  s.RunUntil(105);
-  for (int relay = 0; relay < 9; ++relay) s.Kill(relay, relay != 4);  // one state folder of nine is left
-  s.StartAll();
-  s.RunUntil(109);
-  CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 9);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 9);
-  s.RunUntil(133.6);
-  CHECK(CountWithOverride(s, 1, OverrideKind::kEvacuate) == 0);
+  SimulatedFleet fleet(OptionsFor(9), {}, 6);
+  fleet.StartAll();
+  fleet.RunUntil(103);
+  fleet.IssueOverride(1, 1, OverrideKind::kEvacuate, 30);
+  fleet.RunUntil(105);
+  for (int relay = 0; relay < 9; ++relay) fleet.Kill(relay, relay != 4);  // one state folder of nine is left
+  fleet.StartAll();
+  fleet.RunUntil(109);
+  CHECK(CountWithOverride(fleet, 1, OverrideKind::kEvacuate) == 9);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 9);
+  fleet.RunUntil(133.6);
+  CHECK(CountWithOverride(fleet, 1, OverrideKind::kEvacuate) == 0);
 }
 
 TEST_CASE("zone failover: the remaining time of an override neither grows nor shrinks by gossip") {
@@ -214,8 +215,8 @@
 
 // Relays 0 to 3 run an earlier version without overrides; 4 to 7 a later one.
 TEST_CASE("zone failover: a fleet of three versions evacuates a zone together, and it recovers") {
-  SimulatedFleet s(OptionsFor(12), {}, 23);
-  s.rewrite = [](int from, const std::string& bytes) {
+  SimulatedFleet fleet(OptionsFor(12), {}, 23);
+  fleet.rewrite = [](int from, const std::string& bytes) {
     auto message = membership::DecodeMessage(bytes);
     const auto gossip = message ? zone_failover::DecodeZoneGossip(message->zone_payload) : std::nullopt;
     if (!gossip || from > 7) return bytes;
@@ -225,15 +226,15 @@
         from < 4 ? zone_failover::EncodeZoneGossip(earlier) : WithUnknownPart(message->zone_payload, *gossip);
     return membership::EncodeMessage(*message, 256);
   };
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kReset) : CallResult{};
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? Failing(Outcome::kReset) : CallResult{};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(108);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
   calls.RunUntil(125);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 12);
-  for (const auto& change : s.changes) CHECK(change.zone == 1);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 12);
+  for (const auto& change : fleet.changes) CHECK(change.zone == 1);
 }
 
 TEST_CASE(
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -18,27 +18,28 @@
     for (const int size : {3, 12, 60}) {
       CAPTURE(size);
       CAPTURE(static_cast<int>(outcome));
-      SimulatedFleet s(OptionsFor(size), {}, 5);
+      SimulatedFleet fleet(OptionsFor(size), {}, 5);
       const Seconds fails_at = 105;
       const Seconds recovers_at = 115;
-      SimulatedCalls calls(s, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
-        return zone == 1 && s.now >= fails_at && s.now < recovers_at ? Failing(outcome) : CallResult{};
+      SimulatedCalls calls(fleet, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
+        return zone == 1 && fleet.now >= fails_at && fleet.now < recovers_at ? Failing(outcome)
+                                                                             : CallResult{};
       });
-      s.StartAll();
+      fleet.StartAll();
       calls.RunUntil(fails_at);
-      CHECK(s.changes.empty());
+      CHECK(fleet.changes.empty());
       calls.RunUntil(fails_at + (outcome == Outcome::kTimeout ? 2.6 : 2.2));
-      CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == size);
+      CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == size);
       calls.calls_by_zone.clear();
       calls.RunUntil(recovers_at);
       CHECK(calls.calls_by_zone[1] * 10 <= (calls.calls_by_zone[0] + calls.calls_by_zone[2]) *
                                                3);  // in a small fleet all are health-check relays
       if (size == 60) CHECK(calls.calls_by_zone[1] * 12 < calls.calls_by_zone[0]);
       calls.RunUntil(recovers_at + 8);
-      CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
+      CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 0);
       calls.RunUntil(recovers_at + 14);
-      CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == size);
-      for (const auto& change : s.changes) {
+      CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == size);
+      for (const auto& change : fleet.changes) {
         CHECK(change.zone == 1);
         CHECK(change.after.round == (change.after.phase == EvacuationPhase::kEvacuating ? 1 : 2));
       }
@@ -50,27 +51,27 @@
     lab::LinkPlan links;
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
-    SimulatedFleet s(OptionsFor(40), links, 6);
-    SimulatedCalls calls(s, 4, [&](int, int, int zone) {
-      return zone == 0 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+    SimulatedFleet fleet(OptionsFor(40), links, 6);
+    SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
+      return zone == 0 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
     });
-    s.StartAll();
+    fleet.StartAll();
     calls.RunUntil(105);
     calls.RunUntil(108);
-    CHECK(CountInPhase(s, 0, EvacuationPhase::kEvacuated) == 40);
+    CHECK(CountInPhase(fleet, 0, EvacuationPhase::kEvacuated) == 40);
   }
 }
 
 TEST_CASE("zone failover: all relays name the same three health-check relays, and others in the next round") {
-  SimulatedFleet s(OptionsFor(30), {}, 7);
-  SimulatedCalls calls(s, 4, [&](int, int, int zone) {
-    return zone == 2 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+  SimulatedFleet fleet(OptionsFor(30), {}, 7);
+  SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
+    return zone == 2 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(110);
   std::set<int> health_check_relays;
   for (int relay = 0; relay < 30; ++relay)
-    if (s.TrafficShareOf(relay, 2).is_health_check_relay) health_check_relays.insert(relay);
+    if (fleet.TrafficShareOf(relay, 2).is_health_check_relay) health_check_relays.insert(relay);
   CHECK(health_check_relays.size() >= 3);
   CHECK(health_check_relays.size() <= 6);  // relays may know different members
   std::vector<int> live(30);
@@ -87,36 +88,36 @@
 }
 
 TEST_CASE("zone failover: a zone that serves for 300 ms every 3 s does not recover") {
-  SimulatedFleet s(OptionsFor(12), {}, 8);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    const bool flash = std::fmod(s.now - 105, 3) >= 2.7;
-    return zone == 1 && s.now >= 105 && !flash ? Failing(Outcome::kConnectFailed)
-                                               : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(12), {}, 8);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    const bool flash = std::fmod(fleet.now - 105, 3) >= 2.7;
+    return zone == 1 && fleet.now >= 105 && !flash ? Failing(Outcome::kConnectFailed)
+                                                   : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(108);
-  const std::size_t left = s.changes.size();
+  const std::size_t left = fleet.changes.size();
   calls.RunUntil(150);
-  CHECK(s.changes.size() == left);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
+  CHECK(fleet.changes.size() == left);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
 TEST_CASE("zone failover: a relapse evacuates it again, each time for longer up to a bound") {
-  SimulatedFleet s(OptionsFor(12), {}, 9);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
+  SimulatedFleet fleet(OptionsFor(12), {}, 9);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     // Serves health-check relays, and fails_at under the load of all.
-    const bool out = CountInPhase(s, 1, EvacuationPhase::kEvacuated) > 6;
-    return zone == 1 && s.now >= 105 && (!out || s.now < 107) ? Failing(Outcome::kReset)
-                                                              : CallResult{Outcome::kServed, 0.05};
+    const bool out = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) > 6;
+    return zone == 1 && fleet.now >= 105 && (!out || fleet.now < 107) ? Failing(Outcome::kReset)
+                                                                      : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(200);
   struct Round {
     Seconds evacuated_at = 0;
     Seconds recovering_at = 0;
   };
   std::map<std::uint64_t, Round> rounds;
-  for (const auto& change : s.changes) {
+  for (const auto& change : fleet.changes) {
     if (change.after.phase == EvacuationPhase::kEvacuated)
       rounds[change.after.round].evacuated_at = change.after.since;
     if (change.after.phase == EvacuationPhase::kRecovering)
@@ -134,67 +135,70 @@
 
 TEST_CASE(
     "zone failover: a relay that starts, restarts or thaws learns the phase before its first send there") {
-  SimulatedFleet s(OptionsFor(12), {}, 10);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+  SimulatedFleet fleet(OptionsFor(12), {}, 10);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
   });
-  s.StartAll();
-  s.RunUntil(104);
-  s.Kill(11);
+  fleet.StartAll();
+  fleet.RunUntil(104);
+  fleet.Kill(11);
   calls.RunUntil(106.9);
-  s.Freeze(5, 120);  // it keeps its state
-  s.Kill(3);         // with its state folder
-  s.Kill(4, true);   // and without
+  fleet.Freeze(5, 120);  // it keeps its state
+  fleet.Kill(3);         // with its state folder
+  fleet.Kill(4, true);   // and without
   calls.RunUntil(112);
-  for (const int relay : {3, 4, 11}) s.Start(relay);
-  CHECK(s[3].StateOf(1).phase == EvacuationPhase::kEvacuated);  // from the state folder, before any gossip
-  CHECK(!s[4].HasJoined(s.now));
-  s.RunUntil(s.now + 0.15);
+  for (const int relay : {3, 4, 11}) fleet.Start(relay);
+  CHECK(fleet[3].StateOf(1).phase ==
+        EvacuationPhase::kEvacuated);  // from the state folder, before any gossip
+  CHECK(!fleet[4].HasJoined(fleet.now));
+  fleet.RunUntil(fleet.now + 0.15);
   for (const int relay : {3, 4, 11}) {
-    CHECK(s[relay].HasJoined(s.now));
-    CHECK(s[relay].StateOf(1).phase == EvacuationPhase::kEvacuated);
-    CHECK(s.TrafficShareOf(relay, 1).traffic_share == 0);
+    CHECK(fleet[relay].HasJoined(fleet.now));
+    CHECK(fleet[relay].StateOf(1).phase == EvacuationPhase::kEvacuated);
+    CHECK(fleet.TrafficShareOf(relay, 1).traffic_share == 0);
   }
   calls.RunUntil(125);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
 TEST_CASE("zone failover: the outdated state of a relay that thaws changes nothing") {
-  SimulatedFleet s(OptionsFor(12), {}, 11);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 108 ? Failing(Outcome::kReset)
-                                                    : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(12), {}, 11);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 && fleet.now < 108 ? Failing(Outcome::kReset)
+                                                            : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(107);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
-  s.Freeze(2, 125);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
+  fleet.Freeze(2, 125);
   calls.RunUntil(124);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 11);
-  const std::size_t before = s.changes.size();
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 11);
+  const std::size_t before = fleet.changes.size();
   calls.RunUntil(130);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 12);
-  CHECK(s.changes.size() <= before + 2);  // its own only
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 12);
+  CHECK(fleet.changes.size() <= before + 2);  // its own only
 }
 
 TEST_CASE(
     "zone failover: a relay that was frozen and cut off while others agreed does not cancel the evacuation") {
-  SimulatedFleet s(OptionsFor(12), {}, 17);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 ? Failing(Outcome::kConnectFailed) : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(12), {}, 17);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kConnectFailed)
+                                         : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
-  while (s.now < 110 && s[2].StateOf(1).phase != EvacuationPhase::kEvacuating) calls.RunUntil(s.now + 0.01);
-  REQUIRE(s[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
-  const Seconds thaws_at = s.now + 4;
-  s.Freeze(2, thaws_at);
-  s.cut = [&](int, int to) { return s.now < thaws_at + 0.1 && to == 2; };
-  calls.RunUntil(s.now + 2);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 11);
-  calls.RunUntil(s.now + 6);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 12);
+  fleet.StartAll();
+  while (fleet.now < 110 && fleet[2].StateOf(1).phase != EvacuationPhase::kEvacuating)
+    calls.RunUntil(fleet.now + 0.01);
+  REQUIRE(fleet[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
+  const Seconds thaws_at = fleet.now + 4;
+  fleet.Freeze(2, thaws_at);
+  fleet.cut = [&](int, int to) { return fleet.now < thaws_at + 0.1 && to == 2; };
+  calls.RunUntil(fleet.now + 2);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 11);
+  calls.RunUntil(fleet.now + 6);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
   int withdrawn = 0;
-  for (const auto& change : s.changes) {
+  for (const auto& change : fleet.changes) {
     CHECK(change.after.round < 3);
     withdrawn += change.after.phase == EvacuationPhase::kInService;
   }
@@ -202,36 +206,36 @@
 }
 
 TEST_CASE("zone failover: both sides of a partition decide alike, and agree once it heals") {
-  SimulatedFleet s(OptionsFor(16), {}, 12);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 112 ? Failing(Outcome::kTimeout)
-                                                    : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(16), {}, 12);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? Failing(Outcome::kTimeout)
+                                                            : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
-  s.cut = [&](int from, int to) { return s.now >= 104 && s.now < 110 && (from < 8) != (to < 8); };
+  fleet.StartAll();
+  fleet.cut = [&](int from, int to) { return fleet.now >= 104 && fleet.now < 110 && (from < 8) != (to < 8); };
   calls.RunUntil(108);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 16);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 16);
   calls.RunUntil(116);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kEvacuated) == 0);
-  CHECK(s[0].StateOf(1).round == s[15].StateOf(1).round);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 0);
+  CHECK(fleet[0].StateOf(1).round == fleet[15].StateOf(1).round);
   calls.RunUntil(124);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 16);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 16);
 }
 
 TEST_CASE("zone failover: seven in ten relays are killed during the outage; the rest recovers without them") {
-  SimulatedFleet s(OptionsFor(20), {}, 13);
-  SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-    return zone == 1 && s.now >= 105 && s.now < 114 ? Failing(Outcome::kReset)
-                                                    : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(20), {}, 13);
+  SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+    return zone == 1 && fleet.now >= 105 && fleet.now < 114 ? Failing(Outcome::kReset)
+                                                            : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(108);
-  for (int relay = 6; relay < 20; ++relay) s.Kill(relay, relay % 2 == 0);
+  for (int relay = 6; relay < 20; ++relay) fleet.Kill(relay, relay % 2 == 0);
   calls.RunUntil(130);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 6);
-  for (int relay = 6; relay < 20; ++relay) s.Start(relay);
-  calls.RunUntil(s.now + 2);
-  CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 20);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 6);
+  for (int relay = 6; relay < 20; ++relay) fleet.Start(relay);
+  calls.RunUntil(fleet.now + 2);
+  CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 20);
 }
 
 // SIGKILL at every moment of evacuation and recovery, with the state folder and without: the relay never
@@ -239,23 +243,23 @@
 TEST_CASE("zone failover: a relay that is killed at any moment restarts in the phase of the others") {
   for (int moment = 0; moment < 60; ++moment) {
     CAPTURE(moment);
-    SimulatedFleet s(OptionsFor(8), {}, 16);
-    SimulatedCalls calls(s, 8, [&](int, int, int zone) {
-      return zone == 1 && s.now >= 105 && s.now < 110 ? Failing(Outcome::kReset)
-                                                      : CallResult{Outcome::kServed, 0.05};
+    SimulatedFleet fleet(OptionsFor(8), {}, 16);
+    SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
+      return zone == 1 && fleet.now >= 105 && fleet.now < 110 ? Failing(Outcome::kReset)
+                                                              : CallResult{Outcome::kServed, 0.05};
     });
-    s.StartAll();
+    fleet.StartAll();
     const Seconds kill = 104.9 + 0.2 * moment;
     calls.RunUntil(kill);
-    s.Kill(3, moment % 2 == 0);
+    fleet.Kill(3, moment % 2 == 0);
     calls.RunUntil(kill + 0.6);
-    const bool all_out = CountInPhase(s, 1, EvacuationPhase::kEvacuated) >= 7;
-    s.Start(3);
-    s.RunUntil(s.now + 0.15);
-    CHECK(s[3].HasJoined(s.now));
-    if (all_out) CHECK(s.TrafficShareOf(3, 1).traffic_share == 0);
+    const bool all_out = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) >= 7;
+    fleet.Start(3);
+    fleet.RunUntil(fleet.now + 0.15);
+    CHECK(fleet[3].HasJoined(fleet.now));
+    if (all_out) CHECK(fleet.TrafficShareOf(3, 1).traffic_share == 0);
     calls.RunUntil(125);
-    CHECK(CountInPhase(s, 1, EvacuationPhase::kInService) == 8);
+    CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 8);
   }
 }
 
@@ -269,11 +273,11 @@
                                                  Outcome::kError}[draw(4)];
     lab::LinkPlan links;
     links.loss = draw(3) * 0.3;
-    SimulatedFleet s(OptionsFor(size), links, seed);
+    SimulatedFleet fleet(OptionsFor(size), links, seed);
     pcg32 chance(seed, 33);
     const auto one_in = [&](std::uint32_t n) { return chance(n) == 0; };
-    SimulatedCalls calls(s, 2 + draw(8), [&](int relay, int destination, int zone) -> CallResult {
-      if (s.now < 102) return {};
+    SimulatedCalls calls(fleet, 2 + draw(8), [&](int relay, int destination, int zone) -> CallResult {
+      if (fleet.now < 102) return {};
       switch (kind) {
         case 0:  // one destination in one zone
           return zone == 1 && destination == bad ? Failing(outcome) : CallResult{};
@@ -286,7 +290,7 @@
         case 3:  // all at once
           return Failing(outcome);
         case 4:  // everything is slow at once
-          return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, s.now - 102)};
+          return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, fleet.now - 102)};
         case 5:  // discovery is wrong about a third of a zone's endpoints
           return zone == 2 && destination % 3 == 0 ? Failing(Outcome::kConnectFailed) : CallResult{};
         case 6:  // half of the destinations of a zone are above their limits: two calls in three are rejected
@@ -296,34 +300,34 @@
           return one_in(4) ? Failing(outcome) : CallResult{};
       }
     });
-    s.StartAll();
+    fleet.StartAll();
     calls.RunUntil(110);
     for (int zone = 0; zone < kZones; ++zone)
-      REQUIRE_MESSAGE(CountInPhase(s, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ", kind,
-                      ", zone ", zone);
-    for (const auto& change : s.changes)
+      REQUIRE_MESSAGE(CountInPhase(fleet, zone, EvacuationPhase::kEvacuated) == 0, "seed ", seed, ", kind ",
+                      kind, ", zone ", zone);
+    for (const auto& change : fleet.changes)
       REQUIRE_MESSAGE(change.after.phase != EvacuationPhase::kEvacuated, "seed ", seed, ", kind ", kind);
   }
 }
 
 TEST_CASE("zone failover: a zone that serves half of the fleet is not evacuated") {
-  SimulatedFleet s(OptionsFor(20), {}, 14);
-  SimulatedCalls calls(s, 8, [&](int relay, int, int zone) {
-    return zone == 1 && relay < 10 && s.now >= 103 ? Failing(Outcome::kReset)
-                                                   : CallResult{Outcome::kServed, 0.05};
+  SimulatedFleet fleet(OptionsFor(20), {}, 14);
+  SimulatedCalls calls(fleet, 8, [&](int relay, int, int zone) {
+    return zone == 1 && relay < 10 && fleet.now >= 103 ? Failing(Outcome::kReset)
+                                                       : CallResult{Outcome::kServed, 0.05};
   });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(125);
-  for (const auto& change : s.changes) CHECK(change.after.phase != EvacuationPhase::kEvacuated);
+  for (const auto& change : fleet.changes) CHECK(change.after.phase != EvacuationPhase::kEvacuated);
 }
 
 TEST_CASE("zone failover: one relay with false failure reports changes nothing") {
-  SimulatedFleet s(OptionsFor(8), {}, 15);
+  SimulatedFleet fleet(OptionsFor(8), {}, 15);
   SimulatedCalls calls(
       s, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
-  s.StartAll();
+  fleet.StartAll();
   calls.RunUntil(120);
-  CHECK(s.changes.empty());
+  CHECK(fleet.changes.empty());
 }
 
 }  // namespace
