--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -324,7 +324,7 @@
 TEST_CASE("zone failover: one relay with false failure reports changes nothing") {
   SimulatedFleet fleet(OptionsFor(8), {}, 15);
   SimulatedCalls calls(
-      s, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
+      fleet, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
   fleet.StartAll();
   calls.RunUntil(120);
   CHECK(fleet.changes.empty());
