--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -101,7 +101,7 @@
   const auto gossip = zone_failover::DecodeZoneGossip(bytes);
   if (!gossip) return kUnreadable;
   std::ostringstream text;
-  for (const zone_failover::EvacuationState& s : gossip->stages) {
+  for (const zone_failover::EvacuationState& s : gossip->states) {
     text << "evacuation " << s.round << '/' << static_cast<int>(s.phase) << " relapses " << s.relapses
          << " age " << s.since << "; ";
   }
@@ -164,7 +164,7 @@
   if (!message) return kUnreadable;
   std::ostringstream text;
   text << "kind " << static_cast<char>(message->kind) << " destination " << message->destination << " route "
-       << message->route;
+       << message->name_hash;
   return text.str();
 }
 
