--- a/src/decision/attempt_outcome_handler.cpp
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -65,24 +65,21 @@
                                      const AttemptOutcome& outcome, int batch_size) {
   Destination& destination = table_.DestinationOf(endpoint);
   const RequestClass& request_class = context_.settings.classes[request.request_class];
-  endpoint.untried = false;
-  endpoint.latest_in_objective = outcome.duration <= request_class.latency_objective;
+  endpoint.SetLatestInObjective(outcome.duration <= request_class.latency_objective);
   latency_.AddServed(endpoint, destination, outcome.duration / BatchStretch(batch_size));
   destination.hedging.Enable();
   health_.OnServed(endpoint, context_.now - outcome.duration);
 }
 
 void AttemptOutcomeHandler::OnRejected(Endpoint& endpoint, const AttemptOutcome& outcome) {
-  endpoint.untried = false;
-  endpoint.latest_in_objective = false;
+  endpoint.SetLatestInObjective(false);
   table_.DestinationOf(endpoint).hedging.Disable(context_.now);
   health_.OnRejected(endpoint, outcome.retry_after, context_.now - outcome.duration);
 }
 
 // Neither a limit nor an outage: the send rate and the suspicion stay as they are.
 void AttemptOutcomeHandler::OnOutOfConnections(Endpoint& endpoint) {
-  endpoint.untried = false;
-  endpoint.latest_in_objective = false;
+  endpoint.SetLatestInObjective(false);
   const bool is_new = idle_connections_.MarkOutOfConnections(endpoint);
   if (is_new && context_.settings.relay_count > kLargeFleet)
     gossip_.Notify(endpoint, RouteGossip::Kind::kOutOfConnections);
--- a/src/decision/endpoint_health.cpp
+++ b/src/decision/endpoint_health.cpp
@@ -15,8 +15,8 @@
 
 bool EndpointHealth::IsInRecovery(Endpoint& endpoint) {
   UpstreamRoute& route = *endpoint.route;
-  const double capacity = budget_.EstimateCapacity(route.rate_limiter.limit(), endpoint.kind);
-  const bool slow_start_is_over = route.health.Update(capacity, context_, budget_);
+  const bool slow_start_is_over =
+      route.health.Update(route.rate_limiter.limit(), endpoint.kind, context_, budget_);
   if (slow_start_is_over) endpoint.circuit.CloseIfHalfOpen();
   return route.health.in_recovery() || !endpoint.circuit.IsClosed();
 }
@@ -86,8 +86,7 @@
 
 void EndpointHealth::OnFailed(Endpoint& endpoint, bool never_ran, Seconds sent) {
   endpoint.route->health.CountFault(sent, context_.now);
-  endpoint.untried = false;
-  endpoint.latest_in_objective = false;
+  endpoint.SetLatestInObjective(false);
   const Seconds lately = context_.now - kServedLately * context_.settings.overload_window;
   if (!endpoint.circuit.CountFailure(never_ran, endpoint.last_served > lately)) return;
   OpenCircuit(endpoint, true);
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -46,14 +46,13 @@
   std::vector<Endpoint*>& endpoints = destination.endpoints;
   endpoints.erase(std::find(endpoints.begin(), endpoints.end(), &endpoint));
   destination.load_balancer.Clear();
-  RemoveIfUnused(endpoint.destination);
+  RemoveIfUnused(destination);
   endpoints_.erase(EndpointId{endpoint.endpoint});
 }
 
-void EndpointTable::RemoveIfUnused(DestinationId id) {
-  const auto it = destinations_.find(id);
-  if (it != destinations_.end() && it->second.endpoints.empty() && it->second.requests_held == 0)
-    destinations_.erase(it);
+void EndpointTable::RemoveIfUnused(const Destination& destination) {
+  if (!destination.endpoints.empty() || destination.requests_held > 0) return;
+  destinations_.erase(DestinationId{destination.id});
 }
 
 Endpoint* EndpointTable::FindEndpoint(EndpointId id) {
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -21,7 +21,7 @@
   // Removes an endpoint without calls in flight.
   void Remove(Endpoint& endpoint);
   // Removes the destination if it has neither endpoints nor requests.
-  void RemoveIfUnused(DestinationId id);
+  void RemoveIfUnused(const Destination& destination);
   // Marks an endpoint that needs maintenance: it is removed, or its circuit is open.
   void AddToMaintenance(EndpointId id) { under_maintenance_.insert(id); }
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -152,9 +152,10 @@
 void RequestLifecycle::Release(Request& request) {
   timers_.ClearExpiry(request);
   request.phase = RequestPhase::kInFlight;
-  admission_.Release(request, table_.FindOrAddDestination(request.destination));
+  Destination& destination = table_.FindOrAddDestination(request.destination);
+  admission_.Release(request, destination);
   if (request.in_flight > 0) return;
-  table_.RemoveIfUnused(request.destination);
+  table_.RemoveIfUnused(destination);
   const std::string key = request.key;
   requests_.Remove(request.request_id);
   if (!key.empty()) AdvanceKey(key);
--- a/src/decision/route_health.cpp
+++ b/src/decision/route_health.cpp
@@ -22,11 +22,11 @@
 
 // A relay counts as informed of an outage after one fault, which may as well be a full limit: docs/design.md,
 // 'Doubt'.
-bool RouteHealth::Update(double capacity, DecisionContext& context, RecoveryBudget& budget) {
+bool RouteHealth::Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget) {
   const Settings& settings = context.settings;
   const bool may_be_out =
       faults_ >= kMinFaultsToSuspect && last_served_ <= context.now - settings.overload_window;
-  if (may_be_out && faults_ >= FaultsToSuspect(capacity, context, budget)) {
+  if (may_be_out && faults_ >= FaultsToSuspect(limit, kind, context, budget)) {
     if (!std::exchange(in_recovery_, true)) ScheduleFirstTrial(context.now, budget);
     slow_start_at_ = kNever;
   }
@@ -35,10 +35,11 @@
   return true;
 }
 
-int RouteHealth::FaultsToSuspect(double capacity, const DecisionContext& context,
+int RouteHealth::FaultsToSuspect(double limit, int kind, const DecisionContext& context,
                                  const RecoveryBudget& budget) const {
   const Settings& settings = context.settings;
   if (last_served_ > context.now - settings.slow_start_duration) return kMaxFaultsToSuspect;
+  const double capacity = budget.EstimateCapacity(limit, kind);
   const double own_calls = budget.FleetRate(capacity, settings.slow_start_initial_share) *
                            settings.overload_window / context.share_count;
   return std::min(kMaxFaultsToSuspect, kMinFaultsToSuspect + static_cast<int>(std::lround(own_calls)));
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -15,8 +15,9 @@
   // A long Retry-After weighs as much as the faults that make a route suspected.
   void CountLongRetryAfter();
   // Suspects an outage after faults without a success, and ends a slow start that has lasted its time. True
-  // if no slow start is in progress any more.
-  bool Update(double capacity, DecisionContext& context, RecoveryBudget& budget);
+  // if a slow start has ended. `limit` is the route's, in calls a second (0: not known), `kind` that of its
+  // endpoints.
+  bool Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget);
   // A call was served that speaks for the route.
   void OnServed(Seconds now);
   // Draws the moment of the first recovery trial.
@@ -46,7 +47,8 @@
   Seconds next_trial_at() const { return next_trial_at_; }
 
  private:
-  int FaultsToSuspect(double capacity, const DecisionContext& context, const RecoveryBudget& budget) const;
+  int FaultsToSuspect(double limit, int kind, const DecisionContext& context,
+                      const RecoveryBudget& budget) const;
 
   bool in_recovery_ = false;
   int faults_ = 0;  // since the last served call
--- a/src/decision/upstream.cpp
+++ b/src/decision/upstream.cpp
@@ -2,10 +2,9 @@
 
 namespace opalroute {
 
-bool Endpoint::NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
-
-bool Endpoint::IsOutlier() const { return !circuit.IsClosed() || !latest_in_objective; }
-
-bool Endpoint::LooksIdle() const { return in_flight.empty() && (untried || latest_in_objective); }
+void Endpoint::SetLatestInObjective(bool in_objective) {
+  untried = false;
+  latest_in_objective = in_objective;
+}
 
 }  // namespace opalroute
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -41,9 +41,11 @@
   EndpointId RouteEndpoint() const { return HasOwnRoute() ? endpoint : 0; }
   bool IsInService() const { return status == EndpointStatus::kInService; }
   // Whether a call there is a recovery trial.
-  bool NeedsTrial() const;
-  bool IsOutlier() const;
-  bool LooksIdle() const;
+  bool NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
+  bool IsOutlier() const { return !circuit.IsClosed() || !latest_in_objective; }
+  bool LooksIdle() const { return in_flight.empty() && (untried || latest_in_objective); }
+  // The latest outcome of a call; false: late, rejected or failed.
+  void SetLatestInObjective(bool in_objective);
 };
 
 struct Destination {
