--- a/src/decision/health_check.cpp
+++ b/src/decision/health_check.cpp
@@ -1,12 +1,20 @@
 #include "decision/health_check.h"
 
 #include <algorithm>
-#include <iterator>
 #include <set>
 
 #include "decision/outcome.h"
 
 namespace opalroute {
+namespace {
+
+// A removed endpoint stays until its last call has ended, another one until its circuit is no longer open.
+bool NeedsMaintenance(const Endpoint& endpoint) {
+  if (endpoint.status != EndpointStatus::kRemoved) return endpoint.circuit.IsOpen();
+  return !endpoint.in_flight.empty() || endpoint.health_check_in_flight;
+}
+
+}  // namespace
 
 bool IsHealthChecked(const Endpoint& endpoint, const Settings& settings) {
   return settings.may_health_check && !endpoint.health_check_in_flight &&
@@ -22,18 +30,19 @@
   std::set<EndpointId>& under_maintenance = table_.under_maintenance();
   for (auto it = under_maintenance.begin(); it != under_maintenance.end();) {
     Endpoint& endpoint = table_.EndpointAt(*it);
-    const bool is_removed = endpoint.status == EndpointStatus::kRemoved;
-    const bool is_done = is_removed ? endpoint.in_flight.empty() && !endpoint.health_check_in_flight
-                                    : !endpoint.circuit.IsOpen();
-    if (!is_done && !is_removed) next_due = std::min(next_due, CheckIfDue(endpoint));
-    if (is_done && is_removed) table_.Remove(endpoint);
-    it = is_done ? under_maintenance.erase(it) : std::next(it);
+    if (NeedsMaintenance(endpoint)) {
+      if (IsHealthChecked(endpoint, context_.settings) && endpoint.IsInService())
+        next_due = std::min(next_due, CheckIfDue(endpoint));
+      ++it;
+    } else {
+      if (endpoint.status == EndpointStatus::kRemoved) table_.Remove(endpoint);
+      it = under_maintenance.erase(it);
+    }
   }
   return next_due;
 }
 
 Seconds HealthChecker::CheckIfDue(Endpoint& endpoint) {
-  if (!IsHealthChecked(endpoint, context_.settings) || !endpoint.IsInService()) return kNever;
   if (zones_.IsDiverted(table_.DestinationOf(endpoint), endpoint)) return kNever;
   const Seconds wait = pacer_.TimeUntilCall(endpoint);
   if (wait > 0) return context_.now + wait;
--- a/src/decision/recovery_budget.h
+++ b/src/decision/recovery_budget.h
@@ -1,5 +1,5 @@
 // What a recovering upstream route may get from all relays together, and this relay's part of it.
-// docs/design.md, 'Doubt and return', derives the formulas.
+// docs/design.md, 'Suspected outages and recovery', derives the formulas.
 #pragma once
 
 #include <vector>
--- a/src/decision/route_health.cpp
+++ b/src/decision/route_health.cpp
@@ -21,7 +21,7 @@
 void RouteHealth::CountLongRetryAfter() { faults_ += kMaxFaultsToSuspect; }
 
 // A relay counts as informed of an outage after one fault, which may as well be a full limit: docs/design.md,
-// 'Doubt'.
+// 'Suspected outages and recovery'.
 bool RouteHealth::Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget) {
   const Settings& settings = context.settings;
   const bool may_be_out =
