--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -11,6 +11,7 @@
 
 namespace opalroute {
 
+// Owns the count of held requests and the token buckets of the tenants.
 class Admission {
  public:
   explicit Admission(const DecisionContext& context);
--- a/src/decision/attempt_outcome_handler.h
+++ b/src/decision/attempt_outcome_handler.h
@@ -13,6 +13,7 @@
 
 namespace opalroute {
 
+// Has no state of its own: it notifies the parts that an outcome concerns, in a fixed order.
 class AttemptOutcomeHandler {
  public:
   AttemptOutcomeHandler(DecisionContext& context, EndpointTable& table, RequestTable& requests,
--- a/src/decision/call_pacer.h
+++ b/src/decision/call_pacer.h
@@ -9,6 +9,7 @@
 
 namespace opalroute {
 
+// Has no state of its own: it combines the limits that a route and an endpoint hold.
 class CallPacer {
  public:
   CallPacer(DecisionContext& context, EndpointHealth& health, const RecoveryBudget& budget,
--- a/src/decision/call_sender.h
+++ b/src/decision/call_sender.h
@@ -14,6 +14,7 @@
 
 namespace opalroute {
 
+// Has no state of its own.
 class CallSender {
  public:
   CallSender(DecisionContext& context, RequestTable& requests, RequestQueue& queue,
--- a/src/decision/call_table.h
+++ b/src/decision/call_table.h
@@ -12,6 +12,7 @@
 
 namespace opalroute {
 
+// An attempt of a request.
 struct AttemptId {
   RequestId request_id = 0;
   int index = 0;  // into the request's attempts
@@ -27,6 +28,7 @@
   std::vector<AttemptId> attempts;
 };
 
+// Owns the calls in flight, and the counts of them in Endpoint and Destination.
 class CallTable {
  public:
   CallTable(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
--- a/src/decision/circuit_breaker.h
+++ b/src/decision/circuit_breaker.h
@@ -5,6 +5,7 @@
 
 namespace opalroute {
 
+// Owns the circuit's state and the failures that open it.
 class CircuitBreaker {
  public:
   enum class State {
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -11,6 +11,7 @@
 
 namespace opalroute {
 
+// One for each router; the parts keep a reference to it.
 struct DecisionContext {
   explicit DecisionContext(const Settings& settings);
 
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -14,6 +14,7 @@
 
 namespace opalroute {
 
+// Owns the time of the shutdown.
 class Dispatcher {
  public:
   Dispatcher(DecisionContext& context, const RequestQueue& queue, const LatencyEstimator& latency,
--- a/src/decision/endpoint_health.h
+++ b/src/decision/endpoint_health.h
@@ -10,6 +10,7 @@
 
 namespace opalroute {
 
+// Has no state of its own: it moves RouteHealth and CircuitBreaker together.
 class EndpointHealth {
  public:
   EndpointHealth(DecisionContext& context, EndpointTable& table, RecoveryBudget& budget,
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -57,7 +57,9 @@
 
 // The spacing counts from the attempt before, so one that fails at once does not bring the next one forward.
 void EndpointListLease::OnWatchFailed(Seconds now) {
-  next_renewal_ = std::min(next_renewal_, std::max(now + DrawDelay(), latest_renewal_ + DrawSpacing()));
+  const Seconds spaced = latest_renewal_ + DrawSpacing();
+  const Seconds delayed = now + DrawDelay();
+  next_renewal_ = std::min(next_renewal_, std::max(delayed, spaced));
   expires_at_ = std::min(expires_at_, now + term_);
 }
 
--- a/src/decision/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -16,6 +16,7 @@
 
 namespace opalroute {
 
+// Owns the term of the list and the times of renewals; draws from a generator of its own.
 class EndpointListLease {
  public:
   // Takes the terms, the grace of drains, the size of the fleet and the seed from the settings.
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -11,6 +11,7 @@
 
 namespace opalroute {
 
+// Owns endpoints and destinations. The parts of these that other modules own are changed by them only.
 class EndpointTable {
  public:
   EndpointTable(DecisionContext& context, RecoveryBudget& budget);
--- a/src/decision/gossip_receiver.h
+++ b/src/decision/gossip_receiver.h
@@ -9,6 +9,7 @@
 
 namespace opalroute {
 
+// Has no state of its own.
 class GossipReceiver {
  public:
   GossipReceiver(DecisionContext& context, EndpointTable& table, EndpointHealth& health,
--- a/src/decision/gossip_sender.h
+++ b/src/decision/gossip_sender.h
@@ -8,6 +8,7 @@
 
 namespace opalroute {
 
+// Owns the budget of datagrams.
 class GossipSender {
  public:
   GossipSender(DecisionContext& context, EndpointTable& table);
--- a/src/decision/health_check.h
+++ b/src/decision/health_check.h
@@ -13,6 +13,7 @@
 // proved that the call had not run: there a request risks nothing.
 bool IsHealthChecked(const Endpoint& endpoint, const Settings& settings);
 
+// Owns which endpoints have a health check in flight.
 class HealthChecker {
  public:
   HealthChecker(DecisionContext& context, EndpointTable& table, EndpointHealth& health, CallPacer& pacer,
--- a/src/decision/hedging.h
+++ b/src/decision/hedging.h
@@ -9,6 +9,7 @@
 
 struct Endpoint;
 
+// Counts first sends and hedged requests of one destination; hedging is disabled after a rejection.
 class HedgingBudget {
  public:
   void CountFirstSend() { ++first_sends_; }
--- a/src/decision/idle_connections.h
+++ b/src/decision/idle_connections.h
@@ -9,6 +9,7 @@
 
 namespace opalroute {
 
+// Owns the endpoints whose idle connections are to be closed.
 class IdleConnections {
  public:
   IdleConnections(DecisionContext& context, EndpointTable& table, const ZoneTraffic& zones);
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -13,6 +13,7 @@
 
 namespace opalroute {
 
+// Owns the queues and the pauses of ordering keys.
 class KeyOrder {
  public:
   KeyOrder(const DecisionContext& context, const RequestTable& requests);
--- a/src/decision/latency_average.h
+++ b/src/decision/latency_average.h
@@ -5,6 +5,7 @@
 
 namespace opalroute {
 
+// Exponentially smoothed; the first value counts in full.
 struct LatencyAverage {
   Seconds mean = 0;  // 0: nothing is known
   Seconds measured_at = -kNever;
--- a/src/decision/latency_estimator.h
+++ b/src/decision/latency_estimator.h
@@ -10,6 +10,7 @@
 // How much longer a call with `requests` takes than one with a single request, as a factor.
 double BatchStretch(int requests);
 
+// Owns the average over all destinations; the others stand in Endpoint and Destination.
 class LatencyEstimator {
  public:
   LatencyEstimator(const DecisionContext& context, const EndpointTable& table);
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -9,11 +9,13 @@
 
 struct Endpoint;
 
+// The endpoints of one call.
 struct EndpointPair {
   Endpoint* first = nullptr;
   Endpoint* second = nullptr;  // for a hedged request; null: there is none
 };
 
+// Owns the table of pairs, made anew when the set of ready endpoints has changed.
 class LoadBalancer {
  public:
   // Draws from the pairs of endpoints that are ready and in `zone` (kAnyZone: in any); at least one is.
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -12,6 +12,7 @@
 // span count as one.
 constexpr double kRateControlSpan = 0.2;
 
+// Owns the limit, the send rate and the waits of one route.
 class RateLimiter {
  public:
   // The route takes `limit` calls a second from all relays; 0 or less: not known, which changes nothing.
--- a/src/decision/recovery_budget.h
+++ b/src/decision/recovery_budget.h
@@ -11,6 +11,7 @@
 // Relays from which on gossip and idle connections are handled for a large fleet.
 constexpr int kLargeFleet = 8;
 
+// Owns the least known limit of each endpoint kind; all else follows from the settings and the fleet size.
 class RecoveryBudget {
  public:
   explicit RecoveryBudget(DecisionContext& context);
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -13,6 +13,7 @@
 
 constexpr int kAnyZone = -1;
 
+// One attempt of a request.
 struct Attempt {
   EndpointId endpoint = 0;
   int zone = 0;
@@ -46,6 +47,7 @@
 
 using RequestLine = std::set<QueueEntry>;
 
+// Where a request is between its receipt and its end.
 enum class RequestPhase {
   kWaiting,      // for an endpoint
   kDelayed,      // by a backoff
@@ -53,6 +55,7 @@
   kInFlight,     // or ended
 };
 
+// A request, until it has ended and all its attempts have come to their outcomes.
 struct Request : NewRequest {
   bool over_quota = false;
   bool ended = false;
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -15,6 +15,7 @@
 
 namespace opalroute {
 
+// Owns timers, key order and admission, which only it changes.
 class RequestLifecycle {
  public:
   RequestLifecycle(DecisionContext& context, EndpointTable& table, RequestTable& requests,
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -12,6 +12,7 @@
 
 namespace opalroute {
 
+// Owns the set of destinations with waiting requests, and the queue in each Destination.
 class RequestQueue {
  public:
   RequestQueue(const DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -7,6 +7,7 @@
 
 namespace opalroute {
 
+// Owns the requests, by their ids.
 class RequestTable {
  public:
   // Null: not known.
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -7,6 +7,7 @@
 
 namespace opalroute {
 
+// Owns both orders by time.
 class RequestTimers {
  public:
   // The request waits for the end of a backoff.
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -16,6 +16,7 @@
   Seconds until = kNever;
 };
 
+// Has no state of its own: it reads a request, its class and expected latencies.
 class RetryPolicy {
  public:
   RetryPolicy(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
--- a/src/decision/route_gossip.h
+++ b/src/decision/route_gossip.h
@@ -16,6 +16,7 @@
 
 namespace opalroute {
 
+// An event on an upstream route.
 struct RouteGossip {
   enum class Kind : char {
     kRejected = 'r',         // over its rate limit
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -8,6 +8,7 @@
 
 namespace opalroute {
 
+// Owns the faults, the suspicion, the slow start and the time of the next recovery trial of one route.
 class RouteHealth {
  public:
   // A call sent at `sent` failed or was rejected. Calls in flight together count as one fault.
--- a/src/decision/state_transfer.h
+++ b/src/decision/state_transfer.h
@@ -16,6 +16,7 @@
 std::vector<RouteState> ExportRouteStates(const EndpointTable& table, Seconds now,
                                           std::optional<DestinationId>& from, int most);
 
+// Has no state of its own.
 class StateMerger {
  public:
   StateMerger(DecisionContext& context, EndpointTable& table, EndpointHealth& health, RecoveryBudget& budget,
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -5,6 +5,7 @@
 
 namespace opalroute {
 
+// The caller gives the rate and the capacity with each refill, as both may change.
 struct TokenBucket {
   double tokens = 0;  // negative after more was charged than the bucket held
   Seconds filled_at = 0;
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -24,6 +24,7 @@
   RouteHealth health;
 };
 
+// One endpoint of the list, with what this relay has learnt of it.
 struct Endpoint : ListedEndpoint {
   UpstreamRoute* route = nullptr;  // the destination's or its own
   UpstreamRoute own_route;
@@ -48,6 +49,7 @@
   void SetLatestInObjective(bool in_objective);
 };
 
+// The endpoints that serve the same requests, and what waits for them.
 struct Destination {
   DestinationId id = 0;
   std::vector<Endpoint*> endpoints;  // ordered by id
--- a/src/decision/wake_timer.h
+++ b/src/decision/wake_timer.h
@@ -9,6 +9,7 @@
 
 namespace opalroute {
 
+// Owns the time for which a timer is set, and the id of the latest one.
 class WakeTimer {
  public:
   // Sets a timer for `due`, unless one is set that fires no later; kNever: none is needed.
--- a/src/decision/zone_traffic.h
+++ b/src/decision/zone_traffic.h
@@ -9,6 +9,7 @@
 
 namespace opalroute {
 
+// Owns the shares, by zone.
 class ZoneTraffic {
  public:
   explicit ZoneTraffic(DecisionContext& context);
