--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -11,6 +11,7 @@
 
 namespace opalroute::decision {
 
+// Owns endpoints and destinations. The parts of these that other modules own are changed by them only.
 class EndpointTable {
  public:
   EndpointTable(DecisionContext& context, RecoveryBudget& budget);
@@ -21,7 +22,7 @@
   // Removes an endpoint without calls in flight.
   void Remove(Endpoint& endpoint);
   // Removes the destination if it has neither endpoints nor requests.
-  void RemoveIfUnused(DestinationId id);
+  void RemoveIfUnused(const Destination& destination);
   // Marks an endpoint that needs maintenance: it is removed, or its circuit is open.
   void AddToMaintenance(EndpointId id) { under_maintenance_.insert(id); }
 
--- a/src/decision/recovery_budget.h
+++ b/src/decision/recovery_budget.h
@@ -1,5 +1,5 @@
 // What a recovering upstream route may get from all relays together, and this relay's part of it.
-// docs/design.md, 'Doubt and return', derives the formulas.
+// docs/design.md, 'Suspected outages and recovery', derives the formulas.
 #pragma once
 
 #include <vector>
@@ -11,6 +11,7 @@
 // Relays from which on gossip and idle connections are handled for a large fleet.
 constexpr int kLargeFleet = 8;
 
+// Owns the least known limit of each endpoint kind; all else follows from the settings and the fleet size.
 class RecoveryBudget {
  public:
   explicit RecoveryBudget(DecisionContext& context);
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -24,6 +24,7 @@
   RouteHealth health;
 };
 
+// One endpoint of the list, with what this relay has learnt of it.
 struct Endpoint : ListedEndpoint {
   UpstreamRoute* route = nullptr;  // the destination's or its own
   UpstreamRoute own_route;
@@ -41,11 +42,14 @@
   EndpointId RouteEndpoint() const { return HasOwnRoute() ? endpoint : 0; }
   bool IsInService() const { return status == EndpointStatus::kInService; }
   // Whether a call there is a recovery trial.
-  bool NeedsTrial() const;
-  bool IsOutlier() const;
-  bool LooksIdle() const;
+  bool NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
+  bool IsOutlier() const { return !circuit.IsClosed() || !latest_in_objective; }
+  bool LooksIdle() const { return in_flight.empty() && (untried || latest_in_objective); }
+  // The latest outcome of a call; false: late, rejected or failed.
+  void SetLatestInObjective(bool in_objective);
 };
 
+// The endpoints that serve the same requests, and what waits for them.
 struct Destination {
   DestinationId id = 0;
   std::vector<Endpoint*> endpoints;  // ordered by id
--- a/src/decision/zone_traffic.h
+++ b/src/decision/zone_traffic.h
@@ -9,6 +9,7 @@
 
 namespace opalroute::decision {
 
+// Owns the shares, by zone.
 class ZoneTraffic {
  public:
   explicit ZoneTraffic(DecisionContext& context);
