--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kQuotaBurst = 4;           // seconds of a quota that may come at once
@@ -50,4 +50,4 @@
   return rate > 0 ? std::min(longest, destination.waiting_count / rate) : longest;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -9,7 +9,7 @@
 #include "decision/token_bucket.h"
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the count of held requests and the token buckets of the tenants.
 class Admission {
@@ -32,4 +32,4 @@
   int requests_held_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/attempt_outcome_handler.cpp
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -5,7 +5,7 @@
 #include "decision/outcome.h"
 #include "decision/recovery_budget.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 AttemptOutcomeHandler::AttemptOutcomeHandler(DecisionContext& context, EndpointTable& table,
                                              RequestTable& requests, CallTable& calls,
@@ -92,4 +92,4 @@
   health_.OnFailed(endpoint, never_ran, context_.now - outcome.duration);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/attempt_outcome_handler.h
+++ b/src/decision/attempt_outcome_handler.h
@@ -11,7 +11,7 @@
 #include "decision/request_lifecycle.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Has no state of its own: it notifies the parts that an outcome concerns, in a fixed order.
 class AttemptOutcomeHandler {
@@ -41,4 +41,4 @@
   RequestLifecycle& lifecycle_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_pacer.cpp
+++ b/src/decision/call_pacer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 CallPacer::CallPacer(DecisionContext& context, EndpointHealth& health, const RecoveryBudget& budget,
                      const ZoneTraffic& zones)
@@ -48,4 +48,4 @@
   route.health.Charge(1);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_pacer.h
+++ b/src/decision/call_pacer.h
@@ -7,7 +7,7 @@
 #include "decision/recovery_budget.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Has no state of its own: it combines the limits that a route and an endpoint hold.
 class CallPacer {
@@ -31,4 +31,4 @@
   const ZoneTraffic& zones_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_sender.cpp
+++ b/src/decision/call_sender.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 CallSender::CallSender(DecisionContext& context, RequestTable& requests, RequestQueue& queue,
                        RequestLifecycle& lifecycle, CallTable& calls, CallPacer& pacer,
@@ -73,4 +73,4 @@
   }
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_sender.h
+++ b/src/decision/call_sender.h
@@ -12,7 +12,7 @@
 #include "decision/request_queue.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Has no state of its own.
 class CallSender {
@@ -39,4 +39,4 @@
   EndpointHealth& health_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_table.cpp
+++ b/src/decision/call_table.cpp
@@ -5,7 +5,7 @@
 #include <set>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kLostCallTimeouts = 1.5;  // call timeouts after which a call counts as lost
@@ -76,4 +76,4 @@
   return true;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/call_table.h
+++ b/src/decision/call_table.h
@@ -10,7 +10,7 @@
 #include "decision/endpoint_table.h"
 #include "decision/latency_estimator.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // An attempt of a request.
 struct AttemptId {
@@ -57,4 +57,4 @@
   std::uint64_t latest_call_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -1,6 +1,6 @@
 #include "decision/circuit_breaker.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr int kFailuresToOpen = 3;  // in a row
@@ -27,4 +27,4 @@
   return !(++failures_in_row_ < kFailuresToOpen && state_ == State::kClosed && served_lately);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/circuit_breaker.h
+++ b/src/decision/circuit_breaker.h
@@ -3,7 +3,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the circuit's state and the failures that open it.
 class CircuitBreaker {
@@ -39,4 +39,4 @@
   bool latest_never_ran_ = false;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -9,7 +9,7 @@
 #include "opalroute/settings.h"
 #include "opalroute/types.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // One for each router; the parts keep a reference to it.
 struct DecisionContext {
@@ -28,4 +28,4 @@
   double share_count;                      // relays that limits and budgets are divided by; 1 or more
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -8,7 +8,7 @@
 
 #include "decision/health_check.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kShutdownLatencies = 2;           // expected latencies that a call needs before the shutdown
@@ -94,4 +94,4 @@
   return calls_.MayHoldAnotherCall(endpoint) && queue_.BestBucket(destination, {&endpoint}, true);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -12,7 +12,7 @@
 #include "decision/request_queue.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the time of the shutdown.
 class Dispatcher {
@@ -41,4 +41,4 @@
   Seconds shutdown_at_ = kNever;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_health.cpp
+++ b/src/decision/endpoint_health.cpp
@@ -2,7 +2,7 @@
 
 #include <string>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kServedLately = 2;  // overload windows
@@ -100,4 +100,4 @@
                     std::to_string(endpoint.endpoint) + ": " + state});
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_health.h
+++ b/src/decision/endpoint_health.h
@@ -8,7 +8,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/recovery_budget.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Has no state of its own: it moves RouteHealth and CircuitBreaker together.
 class EndpointHealth {
@@ -41,4 +41,4 @@
   GossipSender& gossip_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kRenewalsPerTerm = 4;       // in the shortest term, if the spread leaves time for them
@@ -88,4 +88,4 @@
   return spacing * (1 + kSpacingJitter * random_.Unit());
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -14,7 +14,7 @@
 #include "opalroute/events.h"
 #include "opalroute/settings.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the term of the list and the times of renewals; draws from a generator of its own.
 class EndpointListLease {
@@ -57,4 +57,4 @@
   bool was_expired_ = false;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 EndpointTable::EndpointTable(DecisionContext& context, RecoveryBudget& budget)
     : context_(context), budget_(budget) {}
@@ -70,4 +70,4 @@
   return it == destinations_.end() ? nullptr : &it->second;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/endpoint_table.h
+++ b/src/decision/endpoint_table.h
@@ -9,7 +9,7 @@
 #include "decision/upstream.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns endpoints and destinations. The parts of these that other modules own are changed by them only.
 class EndpointTable {
@@ -48,4 +48,4 @@
   std::set<EndpointId> under_maintenance_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_receiver.cpp
+++ b/src/decision/gossip_receiver.cpp
@@ -1,6 +1,6 @@
 #include "decision/gossip_receiver.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 GossipReceiver::GossipReceiver(DecisionContext& context, EndpointTable& table, EndpointHealth& health,
                                IdleConnections& idle_connections)
@@ -37,4 +37,4 @@
   endpoint.circuit.HalfOpenIfOpen();
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_receiver.h
+++ b/src/decision/gossip_receiver.h
@@ -7,7 +7,7 @@
 #include "decision/idle_connections.h"
 #include "decision/route_gossip.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Has no state of its own.
 class GossipReceiver {
@@ -27,4 +27,4 @@
   IdleConnections& idle_connections_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_sender.cpp
+++ b/src/decision/gossip_sender.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/rate_limiter.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kBurst = 2;  // datagrams
@@ -25,4 +25,4 @@
   context_.Emit(SendGossip{{}, EncodeRouteGossip(gossip)});
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/gossip_sender.h
+++ b/src/decision/gossip_sender.h
@@ -6,7 +6,7 @@
 #include "decision/route_gossip.h"
 #include "decision/token_bucket.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the budget of datagrams.
 class GossipSender {
@@ -22,4 +22,4 @@
   TokenBucket budget_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/health_check.cpp
+++ b/src/decision/health_check.cpp
@@ -5,7 +5,7 @@
 
 #include "decision/outcome.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 // A removed endpoint stays until its last call has ended, another one until its circuit is no longer open.
@@ -69,4 +69,4 @@
   }
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/health_check.h
+++ b/src/decision/health_check.h
@@ -7,7 +7,7 @@
 #include "decision/endpoint_table.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Whether a health check takes the place of recovery trials with requests. Not where the latest failure
 // proved that the call had not run: there a request risks nothing.
@@ -34,4 +34,4 @@
   ZoneTraffic& zones_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/hedging.cpp
+++ b/src/decision/hedging.cpp
@@ -4,7 +4,7 @@
 
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kHedgedShare = 0.1;  // hedged requests per first send of a destination
@@ -34,4 +34,4 @@
   return !bound_to_zone || second.zone == first.zone;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/hedging.h
+++ b/src/decision/hedging.h
@@ -5,7 +5,7 @@
 #include "decision/request.h"
 #include "opalroute/settings.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct Endpoint;
 
@@ -36,4 +36,4 @@
 bool MayHedge(const Request& request, const Endpoint& first, const Endpoint& second,
               const Settings& settings);
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/idle_connections.cpp
+++ b/src/decision/idle_connections.cpp
@@ -4,7 +4,7 @@
 
 #include "decision/recovery_budget.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kShortageTime = 4;  // slow start durations for which a shortage of connections lasts
@@ -37,4 +37,4 @@
   }
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/idle_connections.h
+++ b/src/decision/idle_connections.h
@@ -7,7 +7,7 @@
 #include "decision/endpoint_table.h"
 #include "decision/zone_traffic.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the endpoints whose idle connections are to be closed.
 class IdleConnections {
@@ -30,4 +30,4 @@
   std::set<EndpointId> to_close_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <tuple>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 bool KeyOrder::KeyPause::operator<(const KeyPause& other) const {
   return std::tie(until, key) < std::tie(other.until, other.key);
@@ -53,4 +53,4 @@
 
 Seconds KeyOrder::NextDue() const { return pauses_.empty() ? kNever : pauses_.begin()->until; }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -11,7 +11,7 @@
 #include "decision/context.h"
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the queues and the pauses of ordering keys.
 class KeyOrder {
@@ -47,4 +47,4 @@
   std::set<KeyPause> pauses_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/latency_average.cpp
+++ b/src/decision/latency_average.cpp
@@ -1,6 +1,6 @@
 #include "decision/latency_average.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kLatencyGain = 0.2;  // weight of the newest latency
@@ -12,4 +12,4 @@
   measured_at = now;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/latency_average.h
+++ b/src/decision/latency_average.h
@@ -3,7 +3,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Exponentially smoothed; the first value counts in full.
 struct LatencyAverage {
@@ -13,4 +13,4 @@
   void Add(Seconds latency, Seconds now);
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/latency_estimator.cpp
+++ b/src/decision/latency_estimator.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kBatchedRequestWork = 0.2;  // of a call: what each further request of a batch may add
@@ -39,4 +39,4 @@
   return expected > 0 ? kTimeoutFactor * expected : longest_objective_;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/latency_estimator.h
+++ b/src/decision/latency_estimator.h
@@ -5,7 +5,7 @@
 #include "decision/endpoint_table.h"
 #include "decision/latency_average.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // How much longer a call with `requests` takes than one with a single request, as a factor.
 double BatchStretch(int requests);
@@ -31,4 +31,4 @@
   LatencyAverage overall_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -5,7 +5,7 @@
 #include "decision/request.h"
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Differs from NetClone: a repeat that is bound to a zone has no second endpoint.
 EndpointPair LoadBalancer::Draw(std::vector<Endpoint*> ready, int zone, Random& random) {
@@ -26,4 +26,4 @@
   return pairs_[random.Below(pairs_.size())];
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -5,7 +5,7 @@
 
 #include "decision/random.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 struct Endpoint;
 
@@ -28,4 +28,4 @@
   std::vector<EndpointPair> pairs_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/rate_limiter.cpp
+++ b/src/decision/rate_limiter.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kFirstBackoff = 0.01;        // of the overload window, for each relay
@@ -93,4 +93,4 @@
   reduced_at_ = std::max(reduced_at_, reduced_at);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -6,7 +6,7 @@
 #include "decision/never.h"
 #include "decision/token_bucket.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Part of Settings::overload_window. As much of the send rate may leave at once, and rejections inside the
 // span count as one.
@@ -50,4 +50,4 @@
   int rejections_in_row_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/recovery_budget.cpp
+++ b/src/decision/recovery_budget.cpp
@@ -5,7 +5,7 @@
 
 #include "decision/never.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kInformedPart = 2.0 / 3;    // of the budget: for relays that know of the outage
@@ -76,4 +76,4 @@
 
 Seconds RecoveryBudget::TrialLapse() const { return kTrialLapse * context_.settings.overload_window; }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/recovery_budget.h
+++ b/src/decision/recovery_budget.h
@@ -6,7 +6,7 @@
 
 #include "decision/context.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Relays from which on gossip and idle connections are handled for a large fleet.
 constexpr int kLargeFleet = 8;
@@ -41,4 +41,4 @@
   std::vector<double> least_limit_by_kind_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -9,7 +9,7 @@
 #include "decision/never.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 constexpr int kAnyZone = -1;
 
@@ -75,4 +75,4 @@
   int AttemptsUsed() const { return static_cast<int>(attempts.size()) - local_shortages; }
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -5,7 +5,7 @@
 
 #include "decision/outcome.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 RequestLifecycle::RequestLifecycle(DecisionContext& context, EndpointTable& table, RequestTable& requests,
                                    RequestQueue& queue, RetryPolicy& retry_policy)
@@ -161,4 +161,4 @@
   if (!key.empty()) AdvanceKey(key);
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -13,7 +13,7 @@
 #include "decision/request_timers.h"
 #include "decision/retry_policy.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns timers, key order and admission, which only it changes.
 class RequestLifecycle {
@@ -55,4 +55,4 @@
   Admission admission_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <tuple>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 // How much a bucket's best request is preferred.
@@ -116,4 +116,4 @@
   return least.request_id;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -10,7 +10,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the set of destinations with waiting requests, and the queue in each Destination.
 class RequestQueue {
@@ -43,4 +43,4 @@
   std::map<DestinationId, Destination*> active_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -28,6 +28,8 @@
 
 namespace opalroute {
 
+using namespace decision;
+
 class RequestRouter::Impl {
  public:
   explicit Impl(const Settings& settings) : context_(settings), list_lease_(settings) {}
@@ -156,7 +158,7 @@
 
 std::vector<RouteState> RequestRouter::ExportRouteStates(Seconds now, std::optional<DestinationId>& from,
                                                          int most) const {
-  return opalroute::ExportRouteStates(impl_->table(), now, from, most);
+  return decision::ExportRouteStates(impl_->table(), now, from, most);
 }
 
 }  // namespace opalroute
--- a/src/decision/request_table.cpp
+++ b/src/decision/request_table.cpp
@@ -1,6 +1,6 @@
 #include "decision/request_table.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 Request* RequestTable::Find(RequestId id) {
   const auto it = requests_.find(id);
@@ -18,4 +18,4 @@
   return entry;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -5,7 +5,7 @@
 
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the requests, by their ids.
 class RequestTable {
@@ -21,4 +21,4 @@
   std::map<RequestId, Request> requests_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_timers.cpp
+++ b/src/decision/request_timers.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 void RequestTimers::Delay(Request& request, Seconds until) {
   request.phase = RequestPhase::kDelayed;
@@ -45,4 +45,4 @@
   return due;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -5,7 +5,7 @@
 
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns both orders by time.
 class RequestTimers {
@@ -27,4 +27,4 @@
   RequestLine expiries_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kMaxTransitShare = 0.1;      // of a deduplication window: kept for the way of a repeat
@@ -87,4 +87,4 @@
   return until < request.deadline ? until : 0;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -8,7 +8,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/request.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Where the next attempt may go, and before when its first byte has to leave.
 struct AttemptBounds {
@@ -43,4 +43,4 @@
   const LatencyEstimator& latency_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/route_health.cpp
+++ b/src/decision/route_health.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr int kMinFaultsToSuspect = 2;
@@ -83,4 +83,4 @@
 
 bool RouteHealth::IsFailing() const { return IsSuspectedOut() || faults_ >= kMinFaultsToSuspect; }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -6,7 +6,7 @@
 #include "decision/recovery_budget.h"
 #include "decision/token_bucket.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the faults, the suspicion, the slow start and the time of the next recovery trial of one route.
 class RouteHealth {
@@ -60,4 +60,4 @@
   TokenBucket slow_start_bucket_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/state_transfer.cpp
+++ b/src/decision/state_transfer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 std::optional<Seconds> AgeOf(Seconds event, Seconds now) {
@@ -106,4 +106,4 @@
   }
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/state_transfer.h
+++ b/src/decision/state_transfer.h
@@ -10,7 +10,7 @@
 #include "decision/latency_estimator.h"
 #include "decision/recovery_budget.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // As RequestRouter::ExportRouteStates.
 std::vector<RouteState> ExportRouteStates(const EndpointTable& table, Seconds now,
@@ -35,4 +35,4 @@
   const LatencyEstimator& latency_;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/upstream.cpp
+++ b/src/decision/upstream.cpp
@@ -1,10 +1,10 @@
 #include "decision/upstream.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 void Endpoint::SetLatestInObjective(bool in_objective) {
   untried = false;
   latest_in_objective = in_objective;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -15,7 +15,7 @@
 #include "decision/route_health.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // What one rate limit, one Retry-After and one outage apply to: a destination, or one endpoint where the
 // settings say so.
@@ -64,4 +64,4 @@
   std::uint64_t latest_call = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/wake_timer.cpp
+++ b/src/decision/wake_timer.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace opalroute {
+namespace opalroute::decision {
 
 void WakeTimer::Arm(Seconds due, DecisionContext& context) {
   if (due == kNever) return;
@@ -16,4 +16,4 @@
   if (fired.timer_id == latest_id_) armed_for_ = -kNever;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/wake_timer.h
+++ b/src/decision/wake_timer.h
@@ -7,7 +7,7 @@
 #include "decision/never.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the time for which a timer is set, and the id of the latest one.
 class WakeTimer {
@@ -21,4 +21,4 @@
   std::uint64_t latest_id_ = 0;
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/zone_traffic.cpp
+++ b/src/decision/zone_traffic.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace opalroute {
+namespace opalroute::decision {
 namespace {
 
 constexpr double kHealthCheckRelays = 3;  // relays that try an evacuated zone
@@ -36,4 +36,4 @@
   return Share(zone).is_health_check_relay ? std::min(kHealthCheckRelays, relays) : relays;
 }
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/src/decision/zone_traffic.h
+++ b/src/decision/zone_traffic.h
@@ -7,7 +7,7 @@
 #include "decision/upstream.h"
 #include "opalroute/events.h"
 
-namespace opalroute {
+namespace opalroute::decision {
 
 // Owns the shares, by zone.
 class ZoneTraffic {
@@ -30,4 +30,4 @@
   std::map<int, ZoneTrafficShare> shares_;  // none: all of it
 };
 
-}  // namespace opalroute
+}  // namespace opalroute::decision
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -11,6 +11,8 @@
 namespace opalroute {
 namespace {
 
+using decision::EndpointListLease;
+
 constexpr Seconds kStep = 0.005;  // of the test's clock
 constexpr int kSeeds = 200;
 constexpr Seconds kLongestSpacing = 2.5;  // between two renewals, in a fleet of any size: 2 s and its jitter
