--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Printable ASCII without spaces: it passes on in headers and in JSON as it is.
-bool IsName(const std::string& text, std::size_t most) {
-  return !text.empty() && text.size() <= most &&
+// Printable ASCII without spaces: it can be forwarded in headers and in JSON as it is.
+bool IsName(const std::string& text, std::size_t max_bytes) {
+  return !text.empty() && text.size() <= max_bytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
@@ -23,7 +23,7 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// One "dest=7", perhaps among other fields, apart by ',' ';' or spaces.
+// Reads the one "dest=7" among fields that are separated by ',', ';' or spaces.
 bool ParseDestination(std::string_view text, DestinationId& destination) {
   int found = 0;
   while (!text.empty()) {
@@ -39,19 +39,19 @@
 }  // namespace
 
 RequestListener::RequestListener(net::EventLoop& loop, const Config& config, Counters& counters,
-                                 RequestHandler& transactions)
+                                 RequestHandler& requests)
     : config_(config),
       counters_(counters),
-      transactions_(transactions),
+      requests_(requests),
       http_(loop,
             config.inherited_fd >= 0 ? net::InheritListener(config.inherited_fd)
                                      : net::OpenListener(config.listen),
             ServerBoundsOf(config.limits), *this) {}
 
 void RequestListener::OnReject(net::HttpMessage& request) {
-  ClientRequest turned_away;
-  if (request.method == "POST" && Read(request, turned_away).empty())
-    ++counters_.Of(turned_away.request_class).dropped;
+  ClientRequest rejected;
+  const bool sound = request.method == "POST" && Read(request, rejected).empty();
+  if (sound) ++counters_.Of(rejected.request_class).dropped;
 }
 
 net::HttpAnswer RequestListener::OnRequest(net::HttpMessage& request) {
@@ -60,40 +60,40 @@
     return request.method == "POST" ? OnRequestPosted(request) : net::PlainAnswer(405, "POST only");
   if (request.method != "GET") return net::PlainAnswer(404, "nothing here");
   if (path == "/health/ready")
-    return transactions_.Ready() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
+    return requests_.Ready() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
   if (path == "/health/live") return net::PlainAnswer(200, "alive");
   if (path == "/counters") return {200, {{"Content-Type", "application/json"}}, counters_.Print() + "\n", 0};
   return net::PlainAnswer(404, "nothing here");
 }
 
-void RequestListener::OnAnswerLost(std::uint64_t ticket) { transactions_.Abort(ticket); }
+void RequestListener::OnAnswerLost(std::uint64_t ticket) { requests_.Abort(ticket); }
 
 net::HttpAnswer RequestListener::OnRequestPosted(net::HttpMessage& request) {
   ++counters_.requests;
-  ClientRequest taken;
-  const std::string wrong = Read(request, taken);
-  if (!wrong.empty()) {
+  ClientRequest client_request;
+  const std::string fault = Read(request, client_request);
+  if (!fault.empty()) {
     ++counters_.bad_requests;
-    log::Debug("bad_request", {{"why", wrong}});  // counted; bad clients must not fill the log
-    return net::PlainAnswer(400, wrong);
+    log::Debug("bad_request", {{"why", fault}});  // counted; bad clients must not fill the log
+    return net::PlainAnswer(400, fault);
   }
   std::uint64_t ticket = 0;
-  const int message_class = taken.request_class;
-  switch (transactions_.Accept(std::move(taken), ticket)) {
+  const int request_class = client_request.request_class;
+  switch (requests_.Accept(std::move(client_request), ticket)) {
     case AcceptResult::kAccepted:
       return {202, {}, {}, ticket};
     case AcceptResult::kAtCapacity:
       ++counters_.rejects_full;
-      return Reject(message_class, "full");
+      return Reject(request_class, "full");
     case AcceptResult::kNotRecorded:
       ++counters_.rejects_disk;
-      return Reject(message_class, "no room to record it");
+      return Reject(request_class, "no room to record it");
     case AcceptResult::kStopping:
       ++counters_.rejects_stopping;
-      return Reject(message_class, "stopping");
+      return Reject(request_class, "stopping");
     case AcceptResult::kListNotYetCurrent:
       ++counters_.rejects_full;
-      return Reject(message_class, "destination not known yet");
+      return Reject(request_class, "destination not known yet");
     case AcceptResult::kIdInUse:
       ++counters_.bad_requests;
       return net::PlainAnswer(409, "X-Txn: this id is another message's");
@@ -103,10 +103,10 @@
   }
 }
 
-net::HttpAnswer RequestListener::Reject(int message_class, const char* why) {
-  ++counters_.Of(message_class).dropped;
+net::HttpAnswer RequestListener::Reject(int request_class, const char* why) {
+  ++counters_.Of(request_class).dropped;
   if (log::Writes(log::Level::debug))
-    log::Debug("client_rejected", {{"class", config_.classes[message_class]}, {"why", why}});
+    log::Debug("client_rejected", {{"class", config_.classes[request_class]}, {"why", why}});
   net::HttpAnswer answer = net::PlainAnswer(503, why);
   answer.headers.emplace_back("Retry-After", net::WriteSeconds(config_.limits.reject_wait));
   return answer;
@@ -118,7 +118,7 @@
     const std::string* value = request.Header(name);
     return value == nullptr ? std::string() : *value;
   };
-  // Two readers could each take another one of them.
+  // A header that stands twice could be read differently by the endpoint.
   for (const char* name :
        {"Host", "X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Addressing", "Idempotency-Key"})
     if (request.Count(name) > 1) return std::string(name) + ": stated more than once";
--- a/src/ingress/request_listener.h
+++ b/src/ingress/request_listener.h
@@ -1,4 +1,5 @@
-// The virtual server: what clients see. Checks each request and passes sound ones on to be taken on.
+// The clients' HTTP side: reads and checks each request, and hands sound ones to the request handler. The
+// headers of clients' requests are named in request_listener.cpp and nowhere else in the relay.
 #pragma once
 
 #include <functional>
@@ -12,36 +13,42 @@
 
 namespace opalroute {
 
+// A request as a client has sent it.
 struct ClientRequest {
-  std::string id, key, body;
-  int request_class = 0;
-  std::optional<int> tenant;
+  std::string id;   // the client's own
+  std::string key;  // idempotency key; empty: none
+  std::string body;
+  int request_class = 0;      // index into the settings' classes
+  std::optional<int> tenant;  // index into the settings' tenants
   Seconds remaining_time = 0;
   DestinationId destination = 0;
 };
 
 enum class AcceptResult {
-  kAccepted,
-  kAtCapacity,
-  kNotRecorded,
-  kStopping,
-  kUnknownDestination,
-  kListNotYetCurrent,
-  kIdInUse
+  kAccepted,            // now or before: the id, key, body and destination are those of an accepted request
+  kAtCapacity,          // too many requests are open
+  kNotRecorded,         // no disk space, or the journal can't be written
+  kStopping,            // the relay is shutting down
+  kUnknownDestination,  // the current endpoint list does not name it
+  kListNotYetCurrent,   // it is not known, and the list may be out of date
+  kIdInUse              // the id is another request's
 };
 
+// Accepts clients' requests.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
+  // Sets `ticket` for a request that is accepted now; it stays 0 for a repeat.
   virtual AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) = 0;
-  virtual void Abort(std::uint64_t ticket) = 0;  // the client left before it had its answer
-  virtual bool Ready() const = 0;                // to be put to use
+  // The client has left before it had its answer.
+  virtual void Abort(std::uint64_t ticket) = 0;
+  // Whether the relay may be put to use.
+  virtual bool Ready() const = 0;
 };
 
 class RequestListener : private net::HttpServer::Handler {
  public:
-  RequestListener(net::EventLoop& loop, const Config& config, Counters& counters,
-                  RequestHandler& transactions);
+  RequestListener(net::EventLoop& loop, const Config& config, Counters& counters, RequestHandler& requests);
 
   net::HttpServer& http() { return http_; }
 
@@ -50,13 +57,13 @@
   void OnAnswerLost(std::uint64_t ticket) override;
   void OnReject(net::HttpMessage& request) override;
   net::HttpAnswer OnRequestPosted(net::HttpMessage& request);
-  // Fills `out`; returns what is wrong with the request, or nothing.
+  // Fills `out`; returns what is wrong with the request, or an empty text.
   std::string Read(net::HttpMessage& request, ClientRequest& out) const;
-  net::HttpAnswer Reject(int message_class, const char* why);
+  net::HttpAnswer Reject(int request_class, const char* why);
 
   const Config& config_;
   Counters& counters_;
-  RequestHandler& transactions_;
+  RequestHandler& requests_;
   net::HttpServer http_;
 };
 
--- a/src/relay/clock_persister.h
+++ b/src/relay/clock_persister.h
@@ -4,6 +4,7 @@
 #include "config/config.h"
 #include "journal/persistent_clock.h"
 #include "net/event_loop.h"
+#include "net/timer.h"
 
 namespace opalroute {
 
@@ -11,9 +12,6 @@
  public:
   // Makes the first attempt.
   ClockPersister(net::EventLoop& loop, const Config& config, PersistentClock& clock);
-  ~ClockPersister();
-  ClockPersister(const ClockPersister&) = delete;
-  ClockPersister& operator=(const ClockPersister&) = delete;
 
  private:
   void Persist();
@@ -21,7 +19,8 @@
   net::EventLoop& loop_;
   const Config& config_;
   PersistentClock& clock_;
-  net::EventLoop::TimerId timer_ = 0;
+  net::Timer timer_;
+  bool failure_logged_ = false;
 };
 
 }  // namespace opalroute
--- a/src/relay/decision_loop.cpp
+++ b/src/relay/decision_loop.cpp
@@ -7,16 +7,15 @@
 namespace opalroute {
 
 DecisionLoop::DecisionLoop(net::EventLoop& loop, const Settings& settings, Owner& owner)
-    : loop_(loop), tick_(settings.tick), owner_(owner), router_(settings) {}
+    : loop_(loop), tick_(settings.tick), owner_(owner), router_(settings), batch_timer_(loop) {}
 
 DecisionLoop::~DecisionLoop() {
-  loop_.Cancel(batch_timer_);
-  for (net::EventLoop::TimerId wake : timers_) loop_.Cancel(wake);
+  for (net::EventLoop::TimerId timer : timers_) loop_.Cancel(timer);
 }
 
 void DecisionLoop::Post(Event event) {
   events_.push_back(std::move(event));
-  if (std::exchange(pumping_, true)) return;
+  if (std::exchange(handling_, true)) return;
   while (!events_.empty()) {
     const Event next = std::move(events_.front());
     events_.pop_front();
@@ -26,27 +25,27 @@
     if (!std::holds_alternative<BatchEnd>(next)) ArmBatchTimer();
     owner_.Apply(actions);
   }
-  pumping_ = false;
+  handling_ = false;
 }
 
-// What comes within one tick leaves together.
+// The events of one tick form a batch.
 void DecisionLoop::ArmBatchTimer() {
-  if (batch_timer_ != 0) return;
-  batch_timer_ = loop_.At((std::floor(loop_.Now() / tick_) + 1) * tick_, [this] {
-    batch_timer_ = 0;
+  if (batch_timer_.pending()) return;
+  const Seconds batch_end = (std::floor(loop_.Now() / tick_) + 1) * tick_;
+  batch_timer_.Start(batch_end, [this] {
     owner_.BeforeBatchEnds();
     Post(BatchEnd{});
     owner_.AfterBatchEnded();
   });
 }
 
-void DecisionLoop::ArmTimer(const SetTimer& wake) {
-  const auto timer = std::make_shared<net::EventLoop::TimerId>(0);
-  *timer = loop_.At(wake.due, [this, timer, label = wake.timer_id] {
-    timers_.erase(*timer);
-    Post(TimerFired{label});
+void DecisionLoop::ArmTimer(const SetTimer& timer) {
+  const auto loop_timer = std::make_shared<net::EventLoop::TimerId>(0);
+  *loop_timer = loop_.At(timer.due, [this, loop_timer, id = timer.timer_id] {
+    timers_.erase(*loop_timer);
+    Post(TimerFired{id});
   });
-  timers_.insert(*timer);
+  timers_.insert(*loop_timer);
 }
 
 }  // namespace opalroute
--- a/src/relay/decision_loop.h
+++ b/src/relay/decision_loop.h
@@ -1,4 +1,4 @@
-// Drives the decision module: its events wait in a line, its turns end on a grid of ticks, its wakes are
+// Drives the router on the event loop: queues events, ends batches on a grid of ticks, and arms the router's
 // timers.
 #pragma once
 
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "net/event_loop.h"
+#include "net/timer.h"
 #include "opalroute/request_router.h"
 
 namespace opalroute {
@@ -16,18 +17,19 @@
   class Owner {
    public:
     virtual ~Owner() = default;
+    // Called before the router handles the event.
+    virtual void OnEvent(const Event& event) = 0;
+    // Carries out what the router asks for. May post further events; they wait until this returns.
     virtual void Apply(const std::vector<Action>& actions) = 0;
     virtual void BeforeBatchEnds() = 0;
     virtual void AfterBatchEnded() = 0;
-    virtual void OnEvent(const Event& event) = 0;  // before the module takes it
   };
 
   DecisionLoop(net::EventLoop& loop, const Settings& settings, Owner& owner);
   ~DecisionLoop();
 
-  // An action may bring about the next event before it is done: that one waits until then.
   void Post(Event event);
-  void ArmTimer(const SetTimer& wake);
+  void ArmTimer(const SetTimer& timer);
   const RequestRouter& router() const { return router_; }
 
  private:
@@ -38,8 +40,8 @@
   Owner& owner_;
   RequestRouter router_;
   std::deque<Event> events_;
-  bool pumping_ = false;
-  net::EventLoop::TimerId batch_timer_ = 0;
+  bool handling_ = false;
+  net::Timer batch_timer_;
   std::set<net::EventLoop::TimerId> timers_;
 };
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -53,6 +53,8 @@
       transfer_host_(loop, endpoints_, decisions_,
                      [this](int peer, const std::string& payload) { peers_.SendTo(peer, payload); }),
       discovery_address_(config.discovery),
+      stop_timer_(loop),
+      poll_timer_(loop),
       server_(loop, config, counters_, intake_) {
   counters_.classes.resize(config.classes.size());
   log::Info("clock", {{"resumed", clock_.resumed()}, {"wall_step_ms", clock_.WallStep() / 1000}});
@@ -75,11 +77,6 @@
   if (config.ops) StartUnlessUnsupported("operations server", [this] { StartOperationsServer(); });
 }
 
-Relay::~Relay() {
-  loop_.Cancel(stop_timer_);
-  loop_.Cancel(poll_timer_);
-}
-
 // ---- parts that may be off -----------------------------------------------------------------------
 
 void Relay::StartAdminServer() {
@@ -307,7 +304,7 @@
 
 // Another process of this relay may write there, or end.
 void Relay::PollStateFolder() {
-  poll_timer_ = loop_.At(loop_.Now() + config_.limits.state_poll, [this] { PollStateFolder(); });
+  poll_timer_.Start(loop_.Now() + config_.limits.state_poll, [this] { PollStateFolder(); });
   suspension_.Refresh();
   if (stopping_) return;
   recovery_.RecoverFromOtherProcess();
@@ -327,7 +324,7 @@
   // The next process goes on with what waits here as soon as this one has ended, so nothing more is sent.
   const Seconds time_left = IsHotRestart() ? 0 : config_.limits.stop_time;
   decisions_.Post(ShutdownStarted{time_left});
-  stop_timer_ = loop_.At(loop_.Now() + config_.limits.stop_take_on, [this] { EndAcceptance(); });
+  stop_timer_.Start(loop_.Now() + config_.limits.stop_take_on, [this] { EndAcceptance(); });
 }
 
 void Relay::EndAcceptance() {
@@ -337,10 +334,7 @@
   if (!IsHotRestart()) intake_.StopAccepting();
   server_.http().CloseIdle();
   const Seconds rest = config_.limits.stop_time - config_.limits.stop_take_on;
-  stop_timer_ = loop_.At(loop_.Now() + rest, [this] {
-    stop_timer_ = 0;
-    Shutdown();
-  });
+  stop_timer_.Start(loop_.Now() + rest, [this] { Shutdown(); });
   CheckStopped();
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -24,6 +24,7 @@
 #include "metrics/counters.h"
 #include "net/event_loop.h"
 #include "net/http_client.h"
+#include "net/timer.h"
 #include "notification/failure_notifier.h"
 #include "relay/clock_persister.h"
 #include "relay/decision_loop.h"
@@ -52,7 +53,6 @@
   // must outlive the relay. Throws std::system_error if an address or the state folder can't be used, and
   // std::runtime_error if no process slot is free.
   Relay(net::EventLoop& loop, const Config& config, const Operator& settings = {});
-  ~Relay() override;
 
   // Begins the graceful shutdown: finishes what is in flight; calls `stopped` when that is done or time is
   // up.
@@ -155,8 +155,8 @@
   bool stopping_ = false;
   bool may_end_ = false;  // the time in which requests are still accepted after Stop is over
   std::function<void()> stopped_;
-  net::EventLoop::TimerId stop_timer_ = 0;
-  net::EventLoop::TimerId poll_timer_ = 0;
+  net::Timer stop_timer_;
+  net::Timer poll_timer_;
 
   RequestListener server_;  // after the parts that its requests reach
   std::unique_ptr<admin::OperationsServer> operations_server_;
--- a/src/upstream/health_check_call.cpp
+++ b/src/upstream/health_check_call.cpp
@@ -29,16 +29,15 @@
       timeout_(timeout),
       started_(loop.Now()),
       may_send_(std::move(may_send)),
-      done_(std::move(done)) {}
+      done_(std::move(done)),
+      timer_(loop) {}
 
 HealthCheckCall::~HealthCheckCall() {
-  loop_.Cancel(timer_);
   if (!ended_) client_.Abandon(*this);
 }
 
 void HealthCheckCall::Start() {
-  timer_ = loop_.At(started_ + timeout_, [this] {
-    timer_ = 0;
+  timer_.Start(started_ + timeout_, [this] {
     client_.Abandon(*this);
     Finish(Outcome::kTimeout);
   });
@@ -62,7 +61,7 @@
 void HealthCheckCall::OnBroken(net::HttpClient::Broken how, int) { Finish(OutcomeOf(how)); }
 
 void HealthCheckCall::Finish(Outcome outcome, const LoadReport& report) {
-  loop_.Cancel(timer_);
+  timer_.Cancel();
   ended_ = true;
   done_(*this, {endpoint_, outcome, loop_.Now() - started_, report});
 }
--- a/src/upstream/health_check_call.h
+++ b/src/upstream/health_check_call.h
@@ -8,6 +8,7 @@
 
 #include "net/event_loop.h"
 #include "net/http_client.h"
+#include "net/timer.h"
 #include "opalroute/events.h"
 
 namespace opalroute {
@@ -37,7 +38,7 @@
   const Seconds started_;
   const MaySend may_send_;
   const Done done_;
-  net::EventLoop::TimerId timer_ = 0;
+  net::Timer timer_;
   bool ended_ = false;
 };
 
