--- a/src/relay/client_bounds.cpp
+++ b/src/relay/client_bounds.cpp
@@ -8,17 +8,18 @@
 
 constexpr std::size_t kPlatformConnections = 4;
 
-// Base64 makes four bytes of three; the JSON around a request holds a few names.
+// The size of a request in a batch: Base64 turns three bytes into four, and the JSON around the body holds a
+// few names.
 std::size_t EncodedRequestBytes(const Limits& limits) {
   return limits.body_bytes * 4 / 3 + 4 * limits.name_bytes;
 }
 
 std::size_t MaxBatch(const Config& config) {
-  std::size_t most = 1;
+  std::size_t max_batch = 1;
   for (const EndpointKind& kind : config.settings.kinds) {
-    most = std::max(most, static_cast<std::size_t>(std::max(1, kind.max_batch)));
+    max_batch = std::max(max_batch, static_cast<std::size_t>(std::max(1, kind.max_batch)));
   }
-  return most;
+  return max_batch;
 }
 
 }  // namespace
--- a/src/relay/client_bounds.h
+++ b/src/relay/client_bounds.h
@@ -1,4 +1,4 @@
-// The bounds of the relay's two HTTP clients.
+// The limits of the relay's two HTTP clients.
 #pragma once
 
 #include "config/config.h"
@@ -6,10 +6,10 @@
 
 namespace opalroute {
 
-// Of the client that calls endpoints.
+// For the client that calls endpoints.
 net::ClientBounds EndpointClientBounds(const Config& config);
 
-// Of the client that sends notifications to the platform.
+// For the client that sends notifications to the platform.
 net::ClientBounds PlatformClientBounds(const Limits& limits);
 
 }  // namespace opalroute
--- a/src/relay/clock_persister.cpp
+++ b/src/relay/clock_persister.cpp
@@ -13,8 +13,8 @@
   Persist();
 }
 
-// A later process of this boot that does not find the offset counts by the wall clock, which may have been
-// stepped.
+// Without the stored offset, a later process of the same boot would take its time from the wall clock, which
+// may have been stepped in between.
 void ClockPersister::Persist() {
   if (clock_.Persist()) return;
   if (!std::exchange(failure_logged_, true)) {
--- a/src/relay/clock_persister.h
+++ b/src/relay/clock_persister.h
@@ -1,4 +1,4 @@
-// Writes the persistent clock's offset to the state folder, again and again until the folder takes it.
+// Writes the persistent clock's offset to the state folder, and retries until that succeeds.
 #pragma once
 
 #include "config/config.h"
--- a/src/relay/decision_loop.cpp
+++ b/src/relay/decision_loop.cpp
@@ -28,7 +28,7 @@
   handling_ = false;
 }
 
-// The events of one tick form a batch.
+// The events between two multiples of the tick interval form a batch.
 void DecisionLoop::ArmBatchTimer() {
   if (batch_timer_.pending()) return;
   const Seconds batch_end = (std::floor(loop_.Now() / tick_) + 1) * tick_;
--- a/src/relay/decision_loop.h
+++ b/src/relay/decision_loop.h
@@ -1,5 +1,5 @@
-// Drives the router on the event loop: queues events, ends batches on a grid of ticks, and arms the router's
-// timers.
+// Drives the request router on the event loop: queues events, ends each batch of events at the next multiple
+// of the tick interval, and arms the router's timers.
 #pragma once
 
 #include <deque>
@@ -19,7 +19,7 @@
     virtual ~Owner() = default;
     // Called before the router handles the event.
     virtual void OnEvent(const Event& event) = 0;
-    // Carries out what the router asks for. May post further events; they wait until this returns.
+    // Carries out the router's actions. May post further events, which are handled after this returns.
     virtual void Apply(const std::vector<Action>& actions) = 0;
     virtual void BeforeBatchEnds() = 0;
     virtual void AfterBatchEnded() = 0;
@@ -28,6 +28,7 @@
   DecisionLoop(net::EventLoop& loop, const Settings& settings, Owner& owner);
   ~DecisionLoop();
 
+  // Handles the event and everything that it causes before it returns. A nested call only queues its event.
   void Post(Event event);
   void ArmTimer(const SetTimer& timer);
   const RequestRouter& router() const { return router_; }
--- a/src/relay/endpoint_suspension.cpp
+++ b/src/relay/endpoint_suspension.cpp
@@ -29,12 +29,12 @@
   const ListUpdate update = endpoints_.SetSuspended(suspended_.ids());
   if (update.entries.empty()) return;
   decisions_.Post(update);
-  TransferredState slow_start = SlowStartOf(update);
+  TransferredState slow_start = SlowStartFor(update);
   if (!slow_start.routes.empty()) decisions_.Post(std::move(slow_start));
 }
 
-// An endpoint that operators had suspended has mostly been restarted: it starts slowly.
-TransferredState EndpointSuspension::SlowStartOf(const ListUpdate& update) const {
+// Operators usually suspend an endpoint to restart it, so a resumed endpoint gets a slow start.
+TransferredState EndpointSuspension::SlowStartFor(const ListUpdate& update) const {
   TransferredState transferred;
   for (const ListedEndpoint& endpoint : update.entries) {
     if (endpoint.status != EndpointStatus::kInService) continue;
--- a/src/relay/endpoint_suspension.h
+++ b/src/relay/endpoint_suspension.h
@@ -1,5 +1,5 @@
-// Operators' suspensions in force: to the decisions a suspended endpoint is draining, whatever the list says
-// of it.
+// Applies operators' suspensions of endpoints: the decision module sees a suspended endpoint as draining,
+// whatever its status in the endpoint list.
 #pragma once
 
 #include <string>
@@ -14,18 +14,18 @@
 
 class EndpointSuspension {
  public:
-  // Reads the suspensions of the state folder and marks them in `endpoints`; to be made before the first list
-  // is handed to the decisions. Throws std::system_error if they can't be read.
+  // Reads the suspensions from the state folder and applies them to `endpoints`. Must be constructed before
+  // the first list is posted to the decision module. Throws std::system_error if they can't be read.
   EndpointSuspension(const Config& config, EndpointTable& endpoints, DecisionLoop& decisions);
 
-  // An operator's command.
+  // Executes an operator's command to suspend or resume an endpoint.
   admin::CommandResult Set(const std::string& endpoint, bool suspended);
-  // Takes over what another process of this relay has been told.
+  // Applies the suspensions that another process of this relay has stored.
   void Refresh();
 
  private:
   void Apply();
-  TransferredState SlowStartOf(const ListUpdate& update) const;
+  TransferredState SlowStartFor(const ListUpdate& update) const;
 
   const Config& config_;
   EndpointTable& endpoints_;
--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -35,9 +35,9 @@
   }
 }
 
-// Whether the endpoint that is listed under this id serves something else than the entry says. The entry then
-// stands for another endpoint, whatever its id.
-bool HasMoved(const EndpointTable::Endpoint& endpoint, const ListedEndpoint& entry) {
+// Whether the entry gives a listed endpoint another destination, zone or kind. The entry is then treated as a
+// different endpoint with the same id.
+bool IsReassigned(const EndpointTable::Endpoint& endpoint, const ListedEndpoint& entry) {
   return endpoint.listed && (endpoint.destination != entry.destination || endpoint.zone != entry.zone ||
                              endpoint.kind != entry.kind);
 }
@@ -49,10 +49,10 @@
     : loop_(loop), client_(client), config_(config), counters_(counters) {}
 
 EndpointId EndpointTable::Intern(const std::string& id) {
-  const auto [it, is_new] = ids_.emplace(id, last_ + 1);
+  const auto [it, is_new] = ids_.emplace(id, last_id_ + 1);
   if (is_new) {
-    endpoints_[++last_].id = id;
-    unlisted_.insert(last_);
+    endpoints_[++last_id_].id = id;
+    unlisted_.insert(last_id_);
     ++counters_.endpoints;
   }
   return it->second;
@@ -87,21 +87,21 @@
   unlisted_.insert(id);
   client_.CloseIdle({endpoint.address, id});
   DestinationState& destination = destinations_[endpoint.destination];
-  --destination.endpoints;
-  destination.left_at = loop_.Now();
+  --destination.listed_endpoints;
+  destination.last_removal = loop_.Now();
 }
 
 std::vector<EndpointId> EndpointTable::Unused() const {
   std::vector<EndpointId> unused;
   for (const EndpointId id : unlisted_)
-    if (endpoints_.at(id).users == 0) unused.push_back(id);
+    if (endpoints_.at(id).calls_in_flight == 0) unused.push_back(id);
   return unused;
 }
 
 void EndpointTable::Forget(const std::vector<EndpointId>& unused) {
   for (const EndpointId id : unused) {
     const Endpoint& endpoint = endpoints_.at(id);
-    if (endpoint.listed || endpoint.users > 0) continue;
+    if (endpoint.listed || endpoint.calls_in_flight > 0) continue;
     client_.CloseIdle({endpoint.address, id});
     const auto number = ids_.find(endpoint.id);
     if (number != ids_.end() && number->second == id) ids_.erase(number);
@@ -118,8 +118,8 @@
   return listed && endpoints_.at(*listed).listed_endpoint.status == EndpointStatus::kDraining;
 }
 
-// Nothing if the record is skipped. Invariant: a stale list takes back no drain and no removal that came
-// after it; the grace period of those has begun, and the endpoint may be gone before it ends anew.
+// Returns nullopt if the record is skipped. Invariant: a stale list does not undo a later drain or removal.
+// Their grace period has already started, and the endpoint may be gone before a second one ends.
 std::optional<ListedEndpoint> EndpointTable::ToListedEndpoint(const EndpointRecord& record,
                                                               bool stale) const {
   if (stale && IsRemoved(record.id)) return std::nullopt;
@@ -146,13 +146,13 @@
   std::optional<ListedEndpoint> entry = ToListedEndpoint(record, stale);
   if (!entry) return std::nullopt;
   entry->endpoint = Intern(record.id);
-  if (HasMoved(endpoints_.at(entry->endpoint), *entry)) {
-    RemoveMoved(record.id, entry->endpoint, update);
+  if (IsReassigned(endpoints_.at(entry->endpoint), *entry)) {
+    RemoveReassigned(record.id, entry->endpoint, update);
     if (entry->status == EndpointStatus::kRemoved) return std::nullopt;
     entry->endpoint = Intern(record.id);
   }
   Endpoint& endpoint = endpoints_.at(entry->endpoint);
-  Place(endpoint, *entry, record.address);
+  UpdateEndpoint(endpoint, *entry, record.address);
   if (ever_listed_.size() < config_.limits.ids_remembered) ever_listed_.insert(record.id);
   const EndpointStatus before = std::exchange(endpoint.listed_endpoint, *entry).status;
   if (before != entry->status) LogState(endpoint, before);
@@ -160,15 +160,16 @@
   return entry->endpoint;
 }
 
-// The old endpoint is removed; its id is free for the new one.
-void EndpointTable::RemoveMoved(const std::string& id, EndpointId number, ListUpdate& update) {
+// Removes the old endpoint, so that the new one can have its id.
+void EndpointTable::RemoveReassigned(const std::string& id, EndpointId number, ListUpdate& update) {
   const Endpoint& old = endpoints_.at(number);
   update.entries.push_back({number, old.zone, old.kind, old.destination, EndpointStatus::kRemoved, 0});
   Unlist(number);
   ids_.erase(id);
 }
 
-void EndpointTable::Place(Endpoint& endpoint, const ListedEndpoint& entry, const sockaddr_in& address) {
+void EndpointTable::UpdateEndpoint(Endpoint& endpoint, const ListedEndpoint& entry,
+                                   const sockaddr_in& address) {
   if (net::FormatAddress(endpoint.address) != net::FormatAddress(address))
     client_.CloseIdle({endpoint.address, entry.endpoint});
   endpoint.zone = entry.zone;
@@ -178,7 +179,7 @@
   if (entry.status == EndpointStatus::kRemoved) return Unlist(entry.endpoint);
   if (std::exchange(endpoint.listed, true)) return;
   unlisted_.erase(entry.endpoint);
-  ++destinations_[entry.destination].endpoints;
+  ++destinations_[entry.destination].listed_endpoints;
 }
 
 void EndpointTable::LogState(const Endpoint& endpoint, EndpointStatus before) const {
@@ -205,7 +206,7 @@
     const bool suspended = ids.count(endpoint.id) > 0;
     if (!endpoint.listed || suspended == (before.count(endpoint.id) > 0)) continue;
     update.entries.push_back(WithSuspension(endpoint));
-    if (suspended) client_.CloseIdle({endpoint.address, id});  // it is about to be restarted
+    if (suspended) client_.CloseIdle({endpoint.address, id});  // operators usually restart it next
   }
   return update;
 }
@@ -222,27 +223,28 @@
   update.scope = scope;
   update.from_discovery = list.from_list;
   if (list.from_list) version_ = {list.generation, loop_.Now()};
-  std::set<EndpointId> named;
+  std::set<EndpointId> ids_in_update;
   for (const EndpointRecord& record : list.endpoints) {
     const auto id = ApplyRecord(record, list.stale, update);
-    if (id) named.insert(*id);
+    if (id) ids_in_update.insert(*id);
   }
-  if (scope != ListScope::kChanges) UnlistOthers(named);
+  if (scope != ListScope::kChanges) UnlistOthers(ids_in_update);
   ForgetEmptyDestinations();
   return update;
 }
 
-void EndpointTable::UnlistOthers(const std::set<EndpointId>& named) {
+void EndpointTable::UnlistOthers(const std::set<EndpointId>& ids_in_update) {
   for (const EndpointId id : Listed())
-    if (named.count(id) == 0) Unlist(id);
+    if (ids_in_update.count(id) == 0) Unlist(id);
 }
 
-// A destination that has just lost its last endpoint usually gets another soon, and is served until then.
+// A destination that has lost its last endpoint usually gets another one soon, so its requests are still
+// accepted for Limits::destination_rest.
 void EndpointTable::ForgetEmptyDestinations() {
   for (auto it = destinations_.begin(); it != destinations_.end();) {
     const DestinationState& destination = it->second;
-    const bool expired =
-        destination.endpoints == 0 && destination.left_at + config_.limits.destination_rest < loop_.Now();
+    const bool expired = destination.listed_endpoints == 0 &&
+                         destination.last_removal + config_.limits.destination_rest < loop_.Now();
     it = expired ? destinations_.erase(it) : std::next(it);
   }
 }
--- a/src/relay/endpoint_table.h
+++ b/src/relay/endpoint_table.h
@@ -1,4 +1,4 @@
-// The endpoints that the endpoint lists have named, and the destinations that they serve.
+// The endpoints named by the endpoint lists so far, and the destinations that they serve.
 #pragma once
 
 #include <netinet/in.h>
@@ -22,37 +22,39 @@
 
 class EndpointTable {
  public:
-  // The endpoint list in force.
+  // The version of the endpoint list in force.
   struct ListVersion {
     long long generation = 0;
-    Seconds at = 0;  // when its latest update was read, by the loop's clock
+    Seconds updated_at = 0;  // when its latest update was read, by the loop's clock
   };
 
   struct Endpoint {
     std::string id;
-    int zone = 0;  // index in the settings
-    int kind = 0;  // index in the settings
+    int zone = 0;  // index into the settings' zones
+    int kind = 0;  // index into the settings' endpoint kinds
     sockaddr_in address{};
     DestinationId destination = 0;
     bool listed = false;
-    ListedEndpoint listed_endpoint;  // as the list has it, suspended or not
-    int users = 0;                   // calls and health checks
+    ListedEndpoint listed_endpoint;  // the list's entry, regardless of a suspension
+    int calls_in_flight = 0;         // calls and health checks
   };
 
-  // Closes idle connections of `client` to endpoints that are removed or change their address.
+  // `client` is the client that calls the endpoints: its idle connections to an endpoint are closed when that
+  // is removed or suspended, or changes its address.
   EndpointTable(net::EventLoop& loop, net::HttpClient& client, const Config& config, Counters& counters);
 
-  // Applies an update of the endpoint list; returns it as the decision module gets it.
+  // Applies an update of the endpoint list; returns the update to post to the decision module.
   ListUpdate Apply(const EndpointListUpdate& list, ListScope scope);
 
-  // Suspends these endpoints, and resumes all others. A suspended endpoint is draining for the decision
-  // module, whatever the list says of it; returns the entries that this changes.
+  // Suspends these endpoints and resumes all others. The decision module sees a suspended endpoint as
+  // draining, whatever its status in the list. Returns the entries that change.
   ListUpdate SetSuspended(const std::set<std::string>& ids);
-  // Whether an update has named the endpoint since the process started. Bounded by Limits::ids_remembered.
+  // Whether an update has named the endpoint since the process started. At most Limits::ids_remembered ids
+  // are kept.
   bool WasListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
   std::vector<EndpointId> Listed() const;
 
-  // The number of an endpoint id; a new one if no update has named it yet.
+  // Returns the number of an endpoint id, and assigns one if the id is new.
   EndpointId Intern(const std::string& id);
   std::optional<EndpointId> FindListed(const std::string& id) const;
   Endpoint& At(EndpointId id) { return endpoints_.at(id); }
@@ -61,33 +63,35 @@
   bool Serves(DestinationId destination) const { return destinations_.count(destination) > 0; }
   const ListVersion& version() const { return version_; }
   bool empty() const { return destinations_.empty(); }
-  // The listed endpoints, in the form of MergedEndpointSource::Print, where the list is the only source.
+  // The listed endpoints in the format of MergedEndpointSource::Print, for relays without other endpoint
+  // sources.
   nlohmann::ordered_json Print() const;
 
-  // Lists name new endpoints all day, and the table would grow without bound. The decision module has dropped
-  // a removed endpoint when a batch ends with no call or health check there: Forget removes those that were
-  // unused before the batch and still are after it.
+  // Lists keep naming new endpoints, so unlisted ones are removed to bound the table. The decision module
+  // drops a removed endpoint at the end of a batch if no call or health check to it is in flight: Forget
+  // removes those of `unused`, the result of Unused before the batch ended, that are still unused after it.
   std::vector<EndpointId> Unused() const;
   void Forget(const std::vector<EndpointId>& unused);
 
  private:
   struct DestinationState {
-    int endpoints = 0;    // listed ones
-    Seconds left_at = 0;  // when the last of them was removed
+    int listed_endpoints = 0;
+    Seconds last_removal = 0;  // when an endpoint was last removed
   };
 
-  // Applies one record. Returns the endpoint's number, nothing if the record is skipped. `stale`: the list is
-  // older than what is known.
+  // Applies one record. Returns the endpoint's number, or nullopt if the record is skipped. `stale` means
+  // that the list is older than one published before.
   std::optional<EndpointId> ApplyRecord(const EndpointRecord& record, bool stale, ListUpdate& update);
   std::optional<ListedEndpoint> ToListedEndpoint(const EndpointRecord& record, bool stale) const;
-  void RemoveMoved(const std::string& id, EndpointId number, ListUpdate& update);
-  void Place(Endpoint& endpoint, const ListedEndpoint& entry, const sockaddr_in& address);
-  void UnlistOthers(const std::set<EndpointId>& named);
+  void RemoveReassigned(const std::string& id, EndpointId number, ListUpdate& update);
+  void UpdateEndpoint(Endpoint& endpoint, const ListedEndpoint& entry, const sockaddr_in& address);
+  void UnlistOthers(const std::set<EndpointId>& ids_in_update);
   void ForgetEmptyDestinations();
 
   bool IsRemoved(const std::string& id) const;
   bool IsDraining(const std::string& id) const;
-  ListedEndpoint WithSuspension(const Endpoint& endpoint) const;  // as the decision module gets it
+  // The endpoint's entry as the decision module sees it: draining while it is suspended.
+  ListedEndpoint WithSuspension(const Endpoint& endpoint) const;
   void Unlist(EndpointId id);
   void LogState(const Endpoint& endpoint, EndpointStatus before) const;
 
@@ -97,9 +101,10 @@
   Counters& counters_;
   std::unordered_map<std::string, EndpointId> ids_;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
-  EndpointId last_ = 0;
+  EndpointId last_id_ = 0;
   ListVersion version_;
-  std::set<EndpointId> unlisted_;  // not forgotten yet: calls may be in flight, and the module may know them
+  // Not forgotten yet: calls may be in flight, and the decision module may still know them.
+  std::set<EndpointId> unlisted_;
   std::map<DestinationId, DestinationState> destinations_;
   std::set<std::string> suspended_;
   std::set<std::string> ever_listed_;
--- a/src/relay/membership_file.cpp
+++ b/src/relay/membership_file.cpp
@@ -19,18 +19,18 @@
 using zone_failover::OperatorOverride;
 
 constexpr int kVersion = 1;
-constexpr std::size_t kMaxRecordBytes = MembershipFile::kMostBytes / 2 - kDiskBlockBytes;
+constexpr std::size_t kMaxRecordBytes = MembershipFile::kMaxDiskBytes / 2 - kDiskBlockBytes;
 constexpr int kMaxRelapses = 31;
 constexpr double kMicrosPerSecond = 1e6;
 
-// The phase of a zone's row; nothing if there is no such phase.
+// Returns nullopt if the phase is unknown.
 std::optional<EvacuationPhase> ReadPhase(const json& row) {
   const int phase = row.at("step").get<int>();
   if (phase < 0 || phase > static_cast<int>(EvacuationPhase::kInService)) return std::nullopt;
   return static_cast<EvacuationPhase>(phase);
 }
 
-// `age`: seconds since the file was written.
+// `age` is the number of seconds since the file was written.
 EvacuationState ReadState(const json& row, EvacuationPhase phase, double age) {
   EvacuationState state;
   state.round = row.at("round").get<std::uint64_t>();
@@ -40,7 +40,8 @@
   return state;
 }
 
-// Nothing if there is no such kind of override.
+// Returns nullopt if the kind of override is unknown. `age` as for ReadState; a file dated in the future
+// counts as just written.
 std::optional<OperatorOverride> ReadOverride(const json& order, double age) {
   const auto kind = zone_failover::OverrideKindOf(order.at("what").get<std::string>());
   if (!kind) return std::nullopt;
@@ -52,8 +53,8 @@
   return result;
 }
 
-// Reads the zones that have a row; the others are new. `with_states`: else overrides alone. Nothing if a row
-// has a value that this version doesn't know.
+// Reads the rows of `zones`; a zone without a row is new. Without `with_states` only the overrides are read.
+// Returns nullopt if a row holds a value that this version does not know.
 std::optional<zone_failover::ZoneFailover::SavedState> ReadZones(const json& rows,
                                                                  const std::vector<std::string>& zones,
                                                                  double age, bool with_states) {
@@ -75,7 +76,7 @@
   return saved;
 }
 
-// At most `max_bytes` of the file; nothing if it can't be opened.
+// Reads at most `max_bytes` of the file. Returns nullopt if it can't be opened.
 std::optional<std::string> ReadUpTo(const std::string& path, std::size_t max_bytes) {
   std::ifstream file(path, std::ios::binary);
   if (!file) return std::nullopt;
@@ -104,7 +105,7 @@
 MembershipFile::Saved MembershipFile::Load(const std::string& relay, const std::vector<std::string>& zones,
                                            std::int64_t now, double max_age) const {
   Saved saved;
-  const std::optional<std::string> bytes = ReadUpTo(path_, kMostBytes);
+  const std::optional<std::string> bytes = ReadUpTo(path_, kMaxDiskBytes);
   if (!bytes) return saved;
   saved.load_result = "broken";
   const net::FrameRead frame = net::ReadFrame(*bytes, kMaxRecordBytes);
--- a/src/relay/membership_host.cpp
+++ b/src/relay/membership_host.cpp
@@ -11,8 +11,8 @@
 
 using zone_failover::ZoneFailover;
 
-// Greater than the saved one even if the clock was set back: else the peers would ignore the new process's
-// messages as replays.
+// Greater than the saved incarnation even if the clock was set back: otherwise the peers would ignore the
+// messages of the new process as replays.
 std::uint64_t NewIncarnation(std::int64_t now_micros, std::uint64_t saved) {
   const auto by_clock = static_cast<std::uint64_t>(std::max<std::int64_t>(1, now_micros));
   return std::max(by_clock, saved + 1);
@@ -50,7 +50,7 @@
       "membership_joining",
       {{"relays", config.peers.size()}, {"own_peer", config.own_peer}, {"saved_state", saved_.load_result}});
   Save();
-  // The first tick posts events, which need the relay to be constructed.
+  // Deferred to the event loop: the first tick posts events, and the relay is not fully constructed yet.
   timer_ = loop_.At(loop_.Now(), [this] { Tick(); });
 }
 
@@ -91,7 +91,8 @@
 
 void MembershipHost::Apply(ZoneFailover::Actions& actions) {
   for (Event& event : actions.events) PostEvent(event);
-  // Saved before it is sent: a process that ends in between restarts with what the others know of it.
+  // Saved before sending: if the process ends in between, it restarts with at least the state that its peers
+  // know.
   if (!actions.changes.empty() || !actions.overrides.empty()) Save();
   for (const zone_failover::OutgoingDatagram& datagram : actions.datagrams) Send(datagram);
   for (const ZoneFailover::OverrideChange& change : actions.overrides) LogOverride(change);
@@ -100,7 +101,7 @@
 
 void MembershipHost::PostEvent(Event& event) {
   if (const auto* fleet = std::get_if<FleetSize>(&event)) {
-    // A greater count is that of a process that holds its share back.
+    // A count above the number of relays only means that this process holds back part of its share.
     if (fleet->share_count <= static_cast<double>(config_.peers.size())) {
       log::Info("share_count_changed", {{"share_count", fleet->share_count}, {"before", share_count_}});
     }
--- a/src/relay/membership_host.h
+++ b/src/relay/membership_host.h
@@ -1,5 +1,5 @@
-// Runs membership and zone failover in a relay: hands time, datagrams and the outcomes of calls to
-// ZoneFailover, and what follows to the decision module, the other relays, the log and the state folder.
+// Runs membership and zone failover in a relay: passes time, datagrams and call outcomes to ZoneFailover, and
+// its results to the decision module, the other relays, the log and the state folder.
 #pragma once
 
 #include <cstdint>
@@ -21,47 +21,48 @@
 
 class MembershipHost {
  public:
-  // What the host needs of its relay.
+  // The operations that the host needs from the relay.
   class Owner {
    public:
     virtual ~Owner() = default;
 
-    // To the decision module.
+    // Posts an event to the decision module.
     virtual void PostMembershipEvent(Event event) = 0;
 
-    // To one peer; with no peer, to every other relay.
-    virtual void SendGossipPayload(std::optional<int> peer, const std::string& bytes) = 0;
+    // Sends a datagram to one peer, or to all other relays if `peer` is empty.
+    virtual void SendGossipPayload(std::optional<int> peer, const std::string& payload) = 0;
   };
 
-  // All references must outlive the host. Reads the state file, and writes the new incarnation to it.
+  // Reads the state file and writes the new incarnation to it. All references must outlive the host.
   MembershipHost(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
                  const Operator::Tier& settings, const EndpointTable& endpoints, Owner& owner);
   ~MembershipHost();
   MembershipHost(const MembershipHost&) = delete;
   MembershipHost& operator=(const MembershipHost&) = delete;
 
-  // A datagram of a peer. False: it is no membership message.
+  // Handles a datagram from a peer. Returns false if it is not a membership message.
   bool OnGossip(int peer, std::string_view bytes);
 
-  // The host of `peer` answered a datagram with 'port unreachable'.
+  // The host of `peer` has answered a datagram with ICMP 'port unreachable'.
   void OnUnreachable(int peer);
 
-  // A call or health check was sent.
+  // An attempt or a health check has been sent to the endpoint.
   void OnSent(EndpointId endpoint);
 
   // Handles outcomes of attempts and of health checks, and ignores other events.
   void OnEvent(const Event& event);
 
-  // The process is about to end.
+  // Tells the peers that this process is about to end.
   void Leave();
 
-  // An operator's command; `duration` in seconds. False: there is no such zone, or zone failover is off.
+  // Executes an operator's command. Returns false if the zone is unknown or zone failover is disabled.
   bool ApplyCommand(const std::string& zone, zone_failover::OverrideKind kind, Seconds duration);
 
-  // Clients may be admitted.
-  bool Joined() const { return failover_.HasJoined(loop_.Now()); }
+  // Whether this relay has joined the fleet, or has waited long enough for it, and may accept clients'
+  // requests.
+  bool HasJoined() const { return failover_.HasJoined(loop_.Now()); }
 
-  // GET /zones.
+  // The content of GET /zones.
   nlohmann::ordered_json Print() const;
 
  private:
@@ -87,7 +88,7 @@
   zone_failover::ZoneFailover failover_;
   net::EventLoop::TimerId timer_ = 0;
   GossipTraffic traffic_;
-  double share_count_;  // as posted to the decision module
+  double share_count_;  // the last one posted to the decision module
 };
 
 }  // namespace opalroute
--- a/src/relay/operations_metrics.h
+++ b/src/relay/operations_metrics.h
@@ -1,4 +1,5 @@
-// The figures that operators' tools read: lines of `edge.name=number`, as the operators' page names them.
+// The metrics for operators' tools, as lines of `edge.name=number`. The names are part of the operators'
+// interface.
 #pragma once
 
 #include <string>
@@ -11,7 +12,7 @@
 
 namespace opalroute {
 
-// `now`: of the loop that drives `decisions`.
+// `now` is the time of the event loop that drives `decisions`.
 std::string OperationsMetrics(const Config& config, const Counters& counters, const EndpointTable& endpoints,
                               const RequestTable& requests, const DecisionLoop& decisions, Seconds now);
 
--- a/src/relay/peer_network.h
+++ b/src/relay/peer_network.h
@@ -1,4 +1,5 @@
-// Datagrams between the relays of a fleet: sends to one peer or to all, and knows senders by their addresses.
+// Datagrams between the relays of a fleet: sends to one peer or to all, and identifies senders by their
+// address.
 #pragma once
 
 #include <cstdint>
@@ -19,23 +20,25 @@
    public:
     virtual ~Handler() = default;
     virtual void OnPeerDatagram(int peer, std::string payload) = 0;
-    // The machine of that peer has refused a datagram: no process listens there.
+    // The host of `peer` has answered a datagram with ICMP 'port unreachable': no process is listening there.
     virtual void OnPeerUnreachable(int peer) = 0;
   };
 
   PeerNetwork(net::EventLoop& loop, const Config& config, Handler& handler);
 
-  // Opens the socket at Config::peer_listen, which is set. Where a process of this relay that is about to end
-  // still has the address, RetryListen opens it later. Throws std::system_error on any other failure.
+  // Opens the socket at Config::peer_listen, which must be set. During a hot restart the earlier process may
+  // still use the address; RetryListen then opens the socket later. Throws std::system_error on any other
+  // failure.
   void Listen();
   void RetryListen();
   void Close() { socket_.reset(); }
 
-  // Whether there is a socket, or will be once the earlier process has ended.
+  // Whether the socket is open, or will be opened once the earlier process has ended.
   bool available() const { return socket_ != nullptr || address_in_use_; }
 
   void SendTo(int peer, const std::string& payload);
-  // To the fleet's broadcast address; without one to each peer in turn if `one_by_one`, else to nobody.
+  // Sends to the fleet's broadcast address. Without such an address, sends to each peer in turn if
+  // `one_by_one`, and drops the datagram otherwise.
   void Broadcast(const std::string& payload, bool one_by_one);
 
  private:
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -68,7 +68,8 @@
                                                                process_lock_.own(), process_lock_.other());
   }
   ApplyCachedList();
-  // Before recovered requests are sent: their endpoints may still be failing, and other relays know it.
+  // Started before recovered requests are sent: their endpoints may still be failing, and other relays know
+  // which.
   if (settings.learn.on()) StartUnlessUnsupported("state transfer", [this] { StartStateTransfer(); });
   if (settings.tier.on()) JoinFleet();
   recovery_.RecoverAll();
@@ -77,11 +78,11 @@
   if (config.ops) StartUnlessUnsupported("operations server", [this] { StartOperationsServer(); });
 }
 
-// ---- parts that may be off -----------------------------------------------------------------------
+// ---- optional components -------------------------------------------------------------------------
 
 void Relay::StartAdminServer() {
   AdminServer::Pages pages;
-  pages.push_back({"/pool", [this] { return PrintPool(); }});
+  pages.push_back({"/pool", [this] { return PrintEndpoints(); }});
   pages.push_back({"/counters", [this] { return counters_.Print(); }});
   pages.push_back({"/zones", [this] { return PrintZones(); }});
   AdminServer::Commands commands;
@@ -101,19 +102,19 @@
                                                                     transfer_host_);
 }
 
-// Membership needs gossip to all other relays, and a number of this one among them.
+// Membership needs gossip with all other relays, and this relay's index in `peers`.
 void Relay::JoinFleet() {
   const char* missing = nullptr;
   if (!peers_.available()) {
     missing = "'peer_listen' is not set";
   } else if (!config_.may_tell_peers) {
-    missing = "the settings allow no gossip between relays";
+    missing = "the settings do not allow gossip between relays";
   } else if (config_.peers.size() < 2) {
-    missing = "'peers' names no others";
+    missing = "'peers' lists no other relay";
   } else if (config_.own_peer < 0) {
-    missing = "'settings.me' is none of 'peers'";
+    missing = "'settings.me' is not one of 'peers'";
   } else if (IsHotRestart()) {
-    missing = "two processes of this relay may run at once";
+    missing = "not supported with hot restart: two processes of this relay may run at once";
   }
   if (missing != nullptr) {
     log::Warn("feature_off", {{"feature", "tier"}, {"why", missing}});
@@ -125,7 +126,7 @@
 
 // ---- the endpoint list ---------------------------------------------------------------------------
 
-// The list as an earlier process of this relay last held it, by the configuration.
+// Applies the endpoint list that the configuration caches from an earlier process of this relay.
 void Relay::ApplyCachedList() {
   const auto known = config_.known.is_null() ? std::nullopt : ParseEndpointList(config_.known);
   if (known) discovery_.Resume(known->generation);
@@ -162,14 +163,14 @@
   decisions_.Post(ListUpdate{ListScope::kWatchFailed, {}, true});
 }
 
-// ---- a new configuration -------------------------------------------------------------------------
+// ---- configuration reload ------------------------------------------------------------------------
 
 void Relay::Reload(const std::function<Config()>& read) {
   try {
     const Config fresh = read();
     ++counters_.reloads;
     for (const std::string& key : config::KeysForRestart(config_, fresh)) {
-      log::Warn("reload_key_waits", {{"key", key}, {"why", "it takes effect with the next start"}});
+      log::Warn("reload_key_waits", {{"key", key}, {"why", "takes effect at the next start"}});
     }
     MoveDiscovery(fresh.discovery);
   } catch (const std::exception& error) {
@@ -222,13 +223,14 @@
 
 net::HttpAnswer Relay::OnZoneCommand(const std::string& body) {
   constexpr int kConflict = 409;
-  if (!membership_ || !settings_.tier.zones) return net::PlainAnswer(kConflict, "tier.zones is off here");
+  if (!membership_ || !settings_.tier.zones)
+    return net::PlainAnswer(kConflict, "tier.zones is not enabled on this relay");
   return HandleZoneCommand(body, [this](const ZoneCommand& command) {
     return membership_->ApplyCommand(command.zone, command.override_kind, command.duration);
   });
 }
 
-std::string Relay::PrintPool() const {
+std::string Relay::PrintEndpoints() const {
   return merged_source_ ? merged_source_->Print().dump() : endpoints_.Print().dump();
 }
 
@@ -294,15 +296,16 @@
   CheckStopped();
 }
 
-// ---- readiness, and the end ----------------------------------------------------------------------
+// ---- readiness and shutdown ----------------------------------------------------------------------
 
 bool Relay::IsReady() const {
   if (!has_list_ || stopping_) return false;
   if (state_transfer_ && !state_transfer_->done()) return false;
-  return !membership_ || membership_->Joined();
+  return !membership_ || membership_->HasJoined();
 }
 
-// Another process of this relay may write there, or end.
+// Picks up what another process of this relay has written to the state folder, and takes over from it if it
+// has ended.
 void Relay::PollStateFolder() {
   poll_timer_.Start(loop_.Now() + config_.limits.state_poll, [this] { PollStateFolder(); });
   suspension_.Refresh();
@@ -311,26 +314,27 @@
   peers_.RetryListen();
 }
 
-void Relay::Stop(std::function<void()> stopped) {
+void Relay::Stop(std::function<void()> on_stopped) {
   if (std::exchange(stopping_, true)) return;
-  stopped_ = std::move(stopped);
-  log::Info("stopping", {{"open_requests", requests_.open()}, {"calls_in_flight", calls_.out()}});
+  on_stopped_ = std::move(on_stopped);
+  log::Info("stopping", {{"open_requests", requests_.open()}, {"calls_in_flight", calls_.in_flight()}});
   server_.http().CloseAfterAnswers();
   if (IsHotRestart()) {
-    // New connections and peers' datagrams are for the next process.
+    // New connections and peers' datagrams go to the next process.
     server_.http().StopAccepting();
     peers_.Close();
   }
-  // The next process goes on with what waits here as soon as this one has ended, so nothing more is sent.
+  // In a hot restart the next process takes over the waiting requests as soon as this one ends, so this one
+  // sends nothing more.
   const Seconds time_left = IsHotRestart() ? 0 : config_.limits.stop_time;
   decisions_.Post(ShutdownStarted{time_left});
-  stop_timer_.Start(loop_.Now() + config_.limits.stop_take_on, [this] { EndAcceptance(); });
+  stop_timer_.Start(loop_.Now() + config_.limits.stop_take_on, [this] { EndAcceptPeriod(); });
 }
 
-void Relay::EndAcceptance() {
-  may_end_ = true;
-  // In a hot restart a late request on an open connection is still accepted: the next process finds it
-  // recorded.
+void Relay::EndAcceptPeriod() {
+  accept_period_over_ = true;
+  // In a hot restart a late request on an open connection is still accepted: the next process recovers it
+  // from the journal.
   if (!IsHotRestart()) intake_.StopAccepting();
   server_.http().CloseIdle();
   const Seconds rest = config_.limits.stop_time - config_.limits.stop_take_on;
@@ -338,9 +342,9 @@
   CheckStopped();
 }
 
-// What is still open is in the journal; the next process goes on with it.
+// Requests that are still open are in the journal, from which the next process recovers them.
 void Relay::CheckStopped() {
-  if (!stopping_ || !may_end_ || calls_.out() > 0 || !notifier_.empty()) return;
+  if (!stopping_ || !accept_period_over_ || calls_.in_flight() > 0 || !notifier_.empty()) return;
   if (!IsHotRestart() && requests_.open() > 0) return;
   Shutdown();
 }
@@ -348,7 +352,7 @@
 void Relay::Shutdown() {
   if (membership_) membership_->Leave();
   server_.http().TakeWhatHasCome();
-  stopped_();
+  on_stopped_();
 }
 
 }  // namespace opalroute
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -1,5 +1,5 @@
-// The relay: its parts put together. Carries events from the sockets to the decisions and actions from the
-// decisions to the sockets; docs/architecture.md shows the ways.
+// Owns the components of the relay and connects them: events from the sockets go to the decision module, and
+// its actions go back to the sockets (docs/architecture.md).
 //
 //   request listener -> request intake -> decision loop -> upstream calls -> endpoints
 //   discovery        -> endpoint table ->
@@ -49,20 +49,20 @@
               private PeerNetwork::Handler,
               private admin::OperationsHandler {
  public:
-  // Listens, recovers what an earlier process had accepted, and begins to watch the endpoint list. `config`
-  // must outlive the relay. Throws std::system_error if an address or the state folder can't be used, and
-  // std::runtime_error if no process slot is free.
+  // Starts listening, recovers the requests that an earlier process had accepted, and starts watching the
+  // endpoint list. `config` must outlive the relay. Throws std::system_error if an address or the state
+  // folder can't be used, and std::runtime_error if no process slot is free.
   Relay(net::EventLoop& loop, const Config& config, const Operator& settings = {});
 
-  // Begins the graceful shutdown: finishes what is in flight; calls `stopped` when that is done or time is
-  // up.
-  void Stop(std::function<void()> stopped);
+  // Starts the graceful shutdown: completes the work in flight and calls `on_stopped` when that is done or
+  // Limits::stop_time is over.
+  void Stop(std::function<void()> on_stopped);
 
-  // Takes over from a configuration read anew what can change while the relay runs: the address of discovery.
-  // If `read` throws, nothing changes.
+  // Reads the configuration again and applies the one setting that can change at run time, the address of
+  // discovery. If `read` throws, nothing changes.
   void Reload(const std::function<Config()>& read);
 
-  // Null where the operators' settings leave the part off.
+  // Null if the component is not configured, or not supported by the platform.
   const state_transfer::StateTransfer* state_transfer() const { return state_transfer_.get(); }
   const admin::OperationsServer* operations_server() const { return operations_server_.get(); }
   const AdminServer* admin() const { return admin_.get(); }
@@ -91,7 +91,7 @@
   std::string Metrics() const override;
   admin::CommandResult SetSuspended(const std::string& endpoint, bool suspended) override;
 
-  // Carries one action out.
+  // Carries out one action of the decision module.
   void Perform(const Send& send);
   void Perform(const Reject& reject);
   void Perform(const Fail& fail);
@@ -109,14 +109,14 @@
   void JoinFleet();
   void ApplyCachedList();
   net::HttpAnswer OnZoneCommand(const std::string& body);
-  std::string PrintPool() const;
+  std::string PrintEndpoints() const;
   std::string PrintZones() const;
 
   bool IsReady() const;
   bool IsHotRestart() const { return config_.inherited_fd >= 0; }
   void PollStateFolder();
   void MoveDiscovery(const sockaddr_in& discovery);
-  void EndAcceptance();
+  void EndAcceptPeriod();
   void CheckStopped();
   void Shutdown();
 
@@ -134,7 +134,7 @@
   DecisionLoop decisions_;
   UpstreamCalls calls_;
   EndpointSuspension suspension_;
-  std::unique_ptr<MergedEndpointSource> merged_source_;  // where the list is not the only source
+  std::unique_ptr<MergedEndpointSource> merged_source_;  // only if DNS SRV names are configured
   Discovery discovery_;
   FailureNotifier notifier_;
   RequestEnding ending_;
@@ -143,22 +143,23 @@
   PeerNetwork peers_;
   StateTransferHost transfer_host_;
   std::optional<ClockPersister> clock_persister_;
-  std::unique_ptr<RetryAfterSharing> retry_after_sharing_;  // where two processes may run at once
-  std::unique_ptr<AdminServer> admin_;                      // where the operators' settings name an address
-  std::unique_ptr<state_transfer::StateTransfer> state_transfer_;  // where they turn it on
-  std::unique_ptr<MembershipHost> membership_;                     // where they turn it on
+  std::unique_ptr<RetryAfterSharing> retry_after_sharing_;  // only with hot restart
+  // The next three are null unless the operators' settings enable them.
+  std::unique_ptr<AdminServer> admin_;
+  std::unique_ptr<state_transfer::StateTransfer> state_transfer_;
+  std::unique_ptr<MembershipHost> membership_;
   std::vector<EndpointId> unused_before_batch_;
 
   sockaddr_in discovery_address_;
-  bool has_list_ = false;         // of discovery, of the configuration, or of another source
-  bool list_is_current_ = false;  // discovery has sent it
+  bool has_list_ = false;         // from discovery, the cached list or another endpoint source
+  bool list_is_current_ = false;  // discovery has sent a list since the start
   bool stopping_ = false;
-  bool may_end_ = false;  // the time in which requests are still accepted after Stop is over
-  std::function<void()> stopped_;
+  bool accept_period_over_ = false;  // Limits::stop_take_on has passed since Stop
+  std::function<void()> on_stopped_;
   net::Timer stop_timer_;
   net::Timer poll_timer_;
 
-  RequestListener server_;  // after the parts that its requests reach
+  RequestListener server_;  // declared after the components that handle its requests
   std::unique_ptr<admin::OperationsServer> operations_server_;
 };
 
--- a/src/relay/request_ending.cpp
+++ b/src/relay/request_ending.cpp
@@ -11,14 +11,14 @@
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-// The outcome's name in a notification (protocol page).
+// The name of the outcome in a notification to the platform.
 const char* WireNameOf(FinalOutcome outcome) {
   return outcome == FinalOutcome::kFailed ? "given_up" : "handed_back";
 }
 
 const char* NameOf(FinalOutcome outcome) { return outcome == FinalOutcome::kFailed ? "failed" : "rejected"; }
 
-// One line of a request to the platform.
+// One line of the body of a notification request to the platform.
 std::string NotificationLine(const std::string& request, FinalOutcome outcome, Seconds retry_after) {
   nlohmann::ordered_json line = {{"message", request}, {"outcome", WireNameOf(outcome)}};
   if (retry_after > 0) {
@@ -41,7 +41,7 @@
   const std::string line = NotificationLine(request->id, outcome, retry_after);
   requests_.EndWithNotification(*request, line);
   notifier_.Add(request->id, line);
-  requests_.ForgetIfDone(id);
+  requests_.RemoveIfDone(id);
 }
 
 void RequestEnding::Count(int request_class, FinalOutcome outcome) {
--- a/src/relay/request_ending.h
+++ b/src/relay/request_ending.h
@@ -9,10 +9,10 @@
 
 namespace opalroute {
 
-// How an accepted request ended that was not delivered.
+// The end of an accepted request that was not delivered.
 enum class FinalOutcome {
   kFailed,    // `given_up` on the wire
-  kRejected,  // `handed_back` on the wire: it surely did not run, and the client may send it again
+  kRejected,  // `handed_back` on the wire: it was certainly not executed, and the client may send it again
 };
 
 class RequestEnding {
@@ -21,7 +21,7 @@
                 FailureNotifier& notifier);
 
   void Fail(RequestId request) { End(request, FinalOutcome::kFailed, 0); }
-  // `retry_after`: when the client may send it again, in seconds; 0: not stated.
+  // `retry_after`: seconds until the client may send the request again; 0 states no time.
   void Reject(RequestId request, Seconds retry_after) { End(request, FinalOutcome::kRejected, retry_after); }
 
  private:
--- a/src/relay/request_intake.cpp
+++ b/src/relay/request_intake.cpp
@@ -12,37 +12,38 @@
 
 }  // namespace
 
-RequestIntake::RequestIntake(const Parts& parts, std::function<bool()> ready)
-    : parts_(parts), ready_(std::move(ready)) {}
+RequestIntake::RequestIntake(const Dependencies& dependencies, std::function<bool()> ready)
+    : dependencies_(dependencies), ready_(std::move(ready)) {}
 
 AcceptResult RequestIntake::Accept(ClientRequest&& request, std::uint64_t& ticket) {
-  if (const AcceptedRequest* accepted = parts_.requests.FindByClientId(request.id)) {
+  if (const AcceptedRequest* accepted = dependencies_.requests.FindByClientId(request.id)) {
     return IsRepeatOf(*accepted, request) ? AcceptResult::kAccepted : AcceptResult::kIdInUse;
   }
   if (!accepting_) return AcceptResult::kStopping;
-  if (!parts_.endpoints.Serves(request.destination)) {
+  if (!dependencies_.endpoints.Serves(request.destination)) {
     return list_is_current_ ? AcceptResult::kUnknownDestination : AcceptResult::kListNotYetCurrent;
   }
-  if (parts_.requests.open() >= parts_.config.limits.open_transactions) return AcceptResult::kAtCapacity;
+  if (dependencies_.requests.open() >= dependencies_.config.limits.open_transactions)
+    return AcceptResult::kAtCapacity;
   NewRequest accepted;
   accepted.request_class = request.request_class;
   accepted.tenant = request.tenant;
   accepted.remaining_time = request.remaining_time;
   accepted.destination = request.destination;
-  accepted.request_id = parts_.requests.Accept(std::move(request));
+  accepted.request_id = dependencies_.requests.Accept(std::move(request));
   const bool recorded = accepted.request_id != 0;
   if (!recorded) return AcceptResult::kNotRecorded;
-  ++parts_.counters.taken_on;
+  ++dependencies_.counters.taken_on;
   ticket = accepted.request_id;
-  parts_.decisions.Post(std::move(accepted));
+  dependencies_.decisions.Post(std::move(accepted));
   return AcceptResult::kAccepted;
 }
 
 void RequestIntake::Abort(std::uint64_t ticket) {
-  const AcceptedRequest* request = parts_.requests.Find(ticket);
+  const AcceptedRequest* request = dependencies_.requests.Find(ticket);
   if (request == nullptr || request->ended) return;
-  ++parts_.counters.withdrawn;
-  parts_.calls.EndWithoutOutcome(ticket);
+  ++dependencies_.counters.withdrawn;
+  dependencies_.calls.EndWithoutOutcome(ticket);
 }
 
 }  // namespace opalroute
--- a/src/relay/request_intake.h
+++ b/src/relay/request_intake.h
@@ -1,5 +1,5 @@
-// Accepts clients' requests: checks them against what the relay holds and serves, records them, and hands
-// them to the decisions.
+// Accepts clients' requests: checks for repeated request ids, the destination and the capacity, records the
+// request in the journal and posts it to the decision module.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 class RequestIntake : public RequestHandler {
  public:
-  struct Parts {
+  struct Dependencies {
     const Config& config;
     Counters& counters;
     const EndpointTable& endpoints;
@@ -25,20 +25,20 @@
     DecisionLoop& decisions;
     UpstreamCalls& calls;
   };
-  // `ready`: whether the relay may be put to use.
-  RequestIntake(const Parts& parts, std::function<bool()> ready);
+  // `ready` returns whether the relay is ready to receive traffic.
+  RequestIntake(const Dependencies& dependencies, std::function<bool()> ready);
 
   AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) override;
   void Abort(std::uint64_t ticket) override;
   bool Ready() const override { return ready_(); }
 
-  // Discovery's list has come: destinations that it does not name are unknown from now on.
+  // Discovery's list has arrived: destinations that it does not name are rejected as unknown from now on.
   void SetListCurrent() { list_is_current_ = true; }
-  // New requests are rejected from now on; repeats of accepted ones still get their answer.
+  // New requests are rejected from now on; repeats of accepted requests are still answered.
   void StopAccepting() { accepting_ = false; }
 
  private:
-  const Parts parts_;
+  const Dependencies dependencies_;
   const std::function<bool()> ready_;
   bool list_is_current_ = false;
   bool accepting_ = true;
--- a/src/relay/request_recovery.h
+++ b/src/relay/request_recovery.h
@@ -1,5 +1,6 @@
-// Requests that an earlier process of this relay had accepted, or a process beside this one that has ended:
-// takes them over from the journals and hands them to the decisions.
+// Recovers requests that another process of this relay had accepted and left unfinished: an earlier process,
+// or the other process of a hot restart once it has ended. Reads them from the journals and posts them to the
+// decision module.
 #pragma once
 
 #include <cstddef>
@@ -21,16 +22,16 @@
 
 namespace opalroute {
 
-// The file name, in the state folder, of the journal of a process slot.
+// The name of a process slot's journal file in the state folder.
 std::string JournalName(int process_slot);
 
-// The bytes of disk that one process's journal may take. Where another process may run beside this one, each
-// has half.
+// The disk space, in bytes, for the journal of one process. With hot restart, where two processes may run at
+// once, each gets half.
 std::size_t JournalBudget(const Config& config, const Operator& settings);
 
 class RequestRecovery {
  public:
-  struct Parts {
+  struct Dependencies {
     const Config& config;
     const PersistentClock& clock;
     hot_restart::ProcessLock& process_lock;
@@ -42,21 +43,22 @@
     FailureNotifier& notifier;
     RequestEnding& ending;
   };
-  // `other_journal_budget`: as the other process's journal was opened with.
-  RequestRecovery(const Parts& parts, std::size_t other_journal_budget);
+  // `other_journal_budget` is the size limit with which the other process opened its journal.
+  RequestRecovery(const Dependencies& dependencies, std::size_t other_journal_budget);
 
-  // At the start, before anything is sent.
+  // Recovers all recorded requests. Called once at startup, before anything is sent.
   void RecoverAll();
-  // Takes over from the other process if that has ended; does nothing if it runs or has left nothing.
+  // Takes over the requests of the other process if it has ended. Does nothing while that process runs, or if
+  // its journal is empty.
   void RecoverFromOtherProcess();
 
  private:
   std::vector<std::uint64_t> AdoptOtherJournal();
   void Recover(const JournalEntry& entry);
-  NewRequest RequestOf(const JournalEntry& entry, std::int64_t now);
-  EarlierAttempt AttemptOf(const JournalAttempt& attempt, std::int64_t now);
+  NewRequest ToNewRequest(const JournalEntry& entry, std::int64_t now);
+  EarlierAttempt ToEarlierAttempt(const JournalAttempt& attempt, std::int64_t now);
 
-  const Parts parts_;
+  const Dependencies dependencies_;
   const std::size_t other_journal_budget_;
 };
 
--- a/src/relay/request_table.cpp
+++ b/src/relay/request_table.cpp
@@ -36,9 +36,9 @@
   return last_id_;
 }
 
-void RequestTable::OnRecorded(bool written) {
+void RequestTable::OnJournalWrite(bool written) {
   if (!written) ++counters_.journal_failures;
-  if (std::exchange(journal_fails_, !written) == !written) return;
+  if (std::exchange(journal_failing_, !written) == !written) return;
   if (written) return log::Info("journal_write_recovered", {{"failures", counters_.journal_failures}});
   log::Error("journal_write_failed",
              {{"why", std::generic_category().message(errno)}, {"open_requests", open_}});
@@ -73,36 +73,36 @@
   recovered.destination = entry.destination;
   recovered.deadline = loop_.Now() + remaining;
   for (std::size_t i = 0; i < entry.attempts.size(); ++i)
-    recovered.journal_attempts.push_back(recovered.records++);
+    recovered.journal_attempts.push_back(recovered.recorded_attempts++);
   return Add(std::move(recovered));
 }
 
 bool RequestTable::RecordAttempt(AcceptedRequest& request, int attempt, const JournalAttempt& record) {
   const bool written = journal_.RecordAttempt(request.id, record);
-  OnRecorded(written);
-  if (written) request.journal_attempts[static_cast<std::size_t>(attempt)] = request.records++;
+  OnJournalWrite(written);
+  if (written) request.journal_attempts[static_cast<std::size_t>(attempt)] = request.recorded_attempts++;
   return written;
 }
 
 void RequestTable::RecordNotExecuted(const AcceptedRequest& request, int attempt) {
   const int record = request.journal_attempts[static_cast<std::size_t>(attempt)];
   if (record < 0) return;
-  OnRecorded(journal_.RecordNotExecuted(request.id, static_cast<std::size_t>(record)));
+  OnJournalWrite(journal_.RecordNotExecuted(request.id, static_cast<std::size_t>(record)));
 }
 
 void RequestTable::End(AcceptedRequest& request) {
   request.ended = true;
   --open_;
-  OnRecorded(journal_.RecordEnd(request.id));
+  OnJournalWrite(journal_.RecordEnd(request.id));
 }
 
 void RequestTable::EndWithNotification(AcceptedRequest& request, const std::string& notification) {
   request.ended = true;
   --open_;
-  OnRecorded(journal_.RecordEndWithNotification(request.id, notification));
+  OnJournalWrite(journal_.RecordEndWithNotification(request.id, notification));
 }
 
-void RequestTable::ForgetIfDone(RequestId request_id) {
+void RequestTable::RemoveIfDone(RequestId request_id) {
   const auto it = requests_.find(request_id);
   if (it == requests_.end()) return;
   const AcceptedRequest& request = it->second;
--- a/src/relay/request_table.h
+++ b/src/relay/request_table.h
@@ -1,5 +1,5 @@
-// The accepted requests and their records in the journal. A record is written before what it stands for:
-// `accepted` before the 202, `attempt` before the first byte of its call.
+// The accepted requests and their records in the journal. Each record is written ahead of the step that it
+// describes: `accepted` before the 202 response, `attempt` before the first byte of the call.
 #pragma once
 
 #include <map>
@@ -18,15 +18,15 @@
 namespace opalroute {
 
 struct AcceptedRequest {
-  std::string id;  // the client's
+  std::string id;  // the request id that the client chose
   std::string key;
   std::string body;
-  int request_class = -1;  // -1: the settings have it no more
+  int request_class = -1;  // -1: a recovered request whose class is no longer in the settings
   DestinationId destination = 0;
-  Seconds deadline = 0;               // the event loop's clock
-  int attempts_in_flight = 0;         // without an outcome yet
-  std::vector<int> journal_attempts;  // by attempt: its index in the journal, or -1
-  int records = 0;                    // attempts in the journal
+  Seconds deadline = 0;               // by the event loop's clock
+  int attempts_in_flight = 0;         // attempts without an outcome
+  std::vector<int> journal_attempts;  // for each attempt its index in the journal, or -1
+  int recorded_attempts = 0;          // attempts in the journal
   bool ended = false;
 };
 
@@ -35,31 +35,33 @@
   RequestTable(net::EventLoop& loop, const PersistentClock& clock, const Config& config, Counters& counters,
                Journal& journal);
 
-  AcceptedRequest* Find(RequestId request_id);  // null: there is none
+  AcceptedRequest* Find(RequestId request_id);  // null if unknown
   AcceptedRequest& At(RequestId request_id) { return requests_.at(request_id); }
   AcceptedRequest* FindByClientId(const std::string& client_id);
   int open() const { return open_; }  // requests that have not ended
 
-  // Returns the id of the new request; 0 if it could not be recorded, and so is not accepted.
+  // Returns the id of the new request, or 0 if it could not be recorded and is therefore not accepted.
   RequestId Accept(ClientRequest&& request);
-  // Adds a request that an earlier process accepted; `remaining`: until its deadline.
+  // Adds a request that an earlier process accepted. `remaining` is the time until its deadline.
   RequestId Recover(const JournalEntry& entry, Seconds remaining);
 
-  // Records an attempt before it is sent. False: it is not recorded, and must not be sent.
+  // Records an attempt before it is sent. Returns false if that failed; the attempt must then not be sent.
   bool RecordAttempt(AcceptedRequest& request, int attempt, const JournalAttempt& record);
+  // Records that the endpoint has certainly not executed the attempt.
   void RecordNotExecuted(const AcceptedRequest& request, int attempt);
 
-  // Ends a request, with or without a notification that the platform must still get. What can't be recorded
-  // now, the journal writes later.
+  // Ends a request; `notification` is still to be delivered to the platform. A record that can't be written
+  // now is written by the journal later.
   void End(AcceptedRequest& request);
   void EndWithNotification(AcceptedRequest& request, const std::string& notification);
 
-  // Forgets a request that has ended and has no attempt in flight; others stay.
-  void ForgetIfDone(RequestId request_id);
+  // Removes the request if it has ended and has no attempt in flight.
+  void RemoveIfDone(RequestId request_id);
 
  private:
   RequestId Add(AcceptedRequest&& request);
-  void OnRecorded(bool written);  // counts failures, logs the first of several and the end of them
+  // Counts failed journal writes; logs the first of a series and the first success after it.
+  void OnJournalWrite(bool written);
 
   net::EventLoop& loop_;
   const PersistentClock& clock_;
@@ -70,7 +72,7 @@
   std::map<RequestId, AcceptedRequest> requests_;
   std::unordered_map<std::string, RequestId> by_client_id_;
   int open_ = 0;
-  bool journal_fails_ = false;
+  bool journal_failing_ = false;
 };
 
 }  // namespace opalroute
--- a/src/relay/retry_after_sharing.cpp
+++ b/src/relay/retry_after_sharing.cpp
@@ -10,7 +10,7 @@
 
 constexpr double kMicrosecondsPerSecond = 1e6;
 
-// An endpoint with limits of its own, as both processes know it.
+// Identifies an endpoint with limits of its own in both processes, whose endpoint numbers differ.
 struct EndpointKey {
   DestinationId destination = 0;
   std::uint32_t name_hash = 0;
@@ -32,12 +32,12 @@
 
 void RetryAfterSharing::Publish(EndpointId id, Seconds retry_after) {
   const EndpointTable::Endpoint& endpoint = endpoints_.At(id);
-  const bool own_limit = config_.settings.kinds[endpoint.kind].limits_per_endpoint;
-  const double lasts = (retry_after + config_.settings.tick) * kMicrosecondsPerSecond;
+  const bool has_own_limits = config_.settings.kinds[endpoint.kind].limits_per_endpoint;
+  const double duration_us = (retry_after + config_.settings.tick) * kMicrosecondsPerSecond;
   hot_restart::SharedRetryAfter shared;
   shared.destination = endpoint.destination;
-  shared.name_hash = own_limit ? endpoint.listed_endpoint.name_hash : 0;
-  shared.until = clock_.Micros() + static_cast<std::int64_t>(std::ceil(lasts));
+  shared.name_hash = has_own_limits ? endpoint.listed_endpoint.name_hash : 0;
+  shared.until = clock_.Micros() + static_cast<std::int64_t>(std::ceil(duration_us));
   table_.Publish(shared);
 }
 
--- a/src/relay/retry_after_sharing.h
+++ b/src/relay/retry_after_sharing.h
@@ -1,5 +1,5 @@
-// Shares Retry-After times with the other process of this relay: the two count as one, and what an endpoint
-// has asked of either binds both.
+// Shares Retry-After times with the other process of this relay during a hot restart. Endpoints see the two
+// as one relay, so a Retry-After sent to one process applies to both.
 #pragma once
 
 #include <vector>
@@ -18,11 +18,12 @@
   RetryAfterSharing(const Config& config, const PersistentClock& clock, const EndpointTable& endpoints,
                     DecisionLoop& decisions, int own_process_slot, int other_process_slot);
 
-  // An endpoint has asked this process to wait for so long, in seconds.
+  // Publishes a Retry-After that an endpoint has sent to this process, in seconds from now.
   void Publish(EndpointId endpoint, Seconds retry_after);
-  // Hands the other process's times to the decisions, if it has written any since the last call.
+  // Calls Apply if the other process has published a time since the last call.
   void ApplyIfChanged();
-  // The same in any case: endpoints may be known by now that were not.
+  // Posts all Retry-After times in force to the decision module. Also needed after a list update, since a
+  // time may belong to an endpoint that was unknown before.
   void Apply();
 
  private:
--- a/src/relay/state_transfer_host.h
+++ b/src/relay/state_transfer_host.h
@@ -1,5 +1,5 @@
-// What state transfer sees of the relay: endpoints by id instead of number, and only those that the endpoint
-// list names.
+// The relay's side of state transfer: maps endpoint numbers to ids and back, limited to endpoints and
+// destinations of the endpoint list.
 #pragma once
 
 #include <functional>
--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -91,7 +91,7 @@
   counters_.attempts += static_cast<long>(members.size());
   UpstreamCall::Owner& owner = *this;
   EndpointTable::Endpoint& to = endpoints_.At(endpoint);
-  ++to.users;
+  ++to.calls_in_flight;
   auto owned =
       std::make_unique<UpstreamCall>(loop_, client_, endpoint, to.address, std::move(members), owner);
   UpstreamCall* call = owned.get();
@@ -100,21 +100,22 @@
   call->Start();
 }
 
-// While the call waited for its connection the endpoint may have begun to drain, a Retry-After may have come,
-// or the deduplication window may have ended. Returns why the attempt must not be sent any more, or null.
-const char* UpstreamCalls::WhyNotSend(const UpstreamCall& call, const UpstreamCall::Member& member,
-                                      const AcceptedRequest& request) const {
+// Returns why the attempt must not be sent any more, or null. While the call was waiting for its connection,
+// the endpoint may have started draining, a Retry-After may have arrived, or the deduplication window may
+// have ended.
+const char* UpstreamCalls::ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+                                           const AcceptedRequest& request) const {
   const Seconds now = loop_.Now();
   if (request.ended) return "the request has ended";
-  if (member.timeout_at <= now) return "its timeout is over";
-  if (member.send_deadline <= now) return "the deduplication window is over";
+  if (member.timeout_at <= now) return "the attempt has timed out";
+  if (member.send_deadline <= now) return "the deduplication window has ended";
   if (!decisions_.router().MaySend(now, call.endpoint()))
-    return "the endpoint is draining, removed or has a Retry-After in force";
+    return "the endpoint is draining or removed, or a Retry-After is in force";
   return nullptr;
 }
 
-void UpstreamCalls::LogChoice(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
-                              const char* why) const {
+void UpstreamCalls::LogSendDecision(const char* event, const UpstreamCall& call,
+                                    const UpstreamCall::Member& member, const char* why) const {
   if (!log::Writes(log::Level::debug)) return;
   const EndpointTable::ListVersion& list = endpoints_.version();
   log::Debug(event, {{"id", member.id},
@@ -122,18 +123,18 @@
                      {"endpoint", endpoints_.At(call.endpoint()).id},
                      {"why", why},
                      {"generation", list.generation},
-                     {"list_age_ms", std::lround((loop_.Now() - list.at) * kMillisecondsPerSecond)}});
+                     {"list_age_ms", std::lround((loop_.Now() - list.updated_at) * kMillisecondsPerSecond)}});
 }
 
 bool UpstreamCalls::MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) {
-  const char* why = WhyNotSend(call, member, requests_.At(member.request_id));
+  const char* why = ReasonNotToSend(call, member, requests_.At(member.request_id));
   if (why == nullptr) return true;
   ++counters_.not_left;
-  LogChoice("attempt_not_sent", call, member, why);
+  LogSendDecision("attempt_not_sent", call, member, why);
   return false;
 }
 
-// An attempt that a restart would not know of must not run.
+// An attempt must be recorded before it is sent: otherwise a restarted relay would not know of it.
 bool UpstreamCalls::RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) {
   const EndpointTable::Endpoint& endpoint = endpoints_.At(call.endpoint());
   JournalAttempt attempt;
@@ -141,8 +142,8 @@
   attempt.zone = config_.zones.empty() ? "" : config_.zones[endpoint.zone];
   attempt.sent_at = clock_.Micros();
   const bool recorded = requests_.RecordAttempt(requests_.At(member.request_id), member.attempt, attempt);
-  LogChoice(recorded ? "attempt_sent" : "attempt_not_sent", call, member,
-            recorded ? "chosen" : "not recorded");
+  LogSendDecision(recorded ? "attempt_sent" : "attempt_not_sent", call, member,
+                  recorded ? "chosen" : "the journal write failed");
   return recorded;
 }
 
@@ -188,7 +189,7 @@
     requests_.RecordNotExecuted(request, member.attempt);
   }
   decisions_.Post(event);
-  requests_.ForgetIfDone(member.request_id);
+  requests_.RemoveIfDone(member.request_id);
 }
 
 void UpstreamCalls::LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const {
@@ -214,13 +215,13 @@
   if (request == nullptr || request->ended) return;
   requests_.End(*request);
   decisions_.Post(RequestAborted{id});
-  requests_.ForgetIfDone(id);
+  requests_.RemoveIfDone(id);
 }
 
 void UpstreamCalls::OnCallEnded(UpstreamCall& call) {
   const auto it = calls_.find(&call);
   if (it == calls_.end()) return;
-  --endpoints_.At(call.endpoint()).users;
+  --endpoints_.At(call.endpoint()).calls_in_flight;
   loop_.Retire(std::move(it->second));
   calls_.erase(it);
   on_call_ended_();
@@ -229,10 +230,10 @@
 void UpstreamCalls::StartHealthCheck(EndpointId endpoint) {
   ++counters_.probes;
   EndpointTable::Endpoint& to = endpoints_.At(endpoint);
-  ++to.users;
+  ++to.calls_in_flight;
   const auto may_send = [this, endpoint] { return decisions_.router().MaySend(loop_.Now(), endpoint); };
   const auto done = [this](HealthCheckCall& ended, const HealthCheckOutcome& outcome) {
-    --endpoints_.At(outcome.endpoint).users;
+    --endpoints_.At(outcome.endpoint).calls_in_flight;
     const auto it = health_checks_.find(&ended);
     loop_.Retire(std::move(it->second));
     health_checks_.erase(it);
--- a/src/relay/upstream_calls.h
+++ b/src/relay/upstream_calls.h
@@ -1,4 +1,5 @@
-// The calls and health checks in flight: carries Send actions to the endpoints and outcomes to the decisions.
+// The calls and health checks in flight: carries out Send actions and posts the outcomes to the decision
+// module.
 #pragma once
 
 #include <functional>
@@ -23,22 +24,23 @@
 class UpstreamCalls : private UpstreamCall::Owner {
  public:
   // `on_call_ended` is called when a call has ended, `on_retry_after` when an endpoint has answered with a
-  // Retry-After, in seconds.
+  // Retry-After (in seconds).
   UpstreamCalls(net::EventLoop& loop, const PersistentClock& clock, net::HttpClient& client,
                 const Config& config, Counters& counters, EndpointTable& endpoints, RequestTable& requests,
                 DecisionLoop& decisions, std::function<void()> on_call_ended,
                 std::function<void(EndpointId, Seconds)> on_retry_after);
 
-  // Sends of one batch of events to one endpoint share calls, up to EndpointKind::max_batch.
+  // Queues an attempt until Start. Attempts to one endpoint share calls of up to EndpointKind::max_batch
+  // requests.
   void Enqueue(const Send& send);
-  // Starts the calls that were enqueued.
+  // Starts calls for all queued attempts.
   void Start();
   void Cancel(const opalroute::CancelAttempt& cancel);
   void StartHealthCheck(EndpointId endpoint);
-  // Ends a request that has no outcome to wait for: it was served by a call that had been abandoned, or the
-  // client has left.
+  // Ends a request without an outcome of its current attempts: an endpoint has served it after the attempt's
+  // outcome was decided, or the client has disconnected.
   void EndWithoutOutcome(RequestId request);
-  std::size_t out() const { return calls_.size(); }
+  std::size_t in_flight() const { return calls_.size(); }
 
  private:
   using Batch = std::vector<UpstreamCall::Member>;
@@ -51,12 +53,12 @@
   void OnServedLate(RequestId request) override;
   void OnCallEnded(UpstreamCall& call) override;
   void StartCall(EndpointId endpoint, Batch members);
-  const char* WhyNotSend(const UpstreamCall& call, const UpstreamCall::Member& member,
-                         const AcceptedRequest& request) const;
+  const char* ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+                              const AcceptedRequest& request) const;
   long& CounterOf(Outcome outcome);
   void LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const;
-  void LogChoice(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
-                 const char* why) const;
+  void LogSendDecision(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
+                       const char* why) const;
 
   net::EventLoop& loop_;
   const PersistentClock& clock_;
--- a/src/relay/zones_page.cpp
+++ b/src/relay/zones_page.cpp
@@ -18,7 +18,7 @@
   return count;
 }
 
-ordered_json MembershipPart(Seconds now, const membership::Membership& membership,
+ordered_json MembershipJson(Seconds now, const membership::Membership& membership,
                             const GossipTraffic& traffic) {
   return {{"relays", membership.options().fleet_size},
           {"live", CountMembers(now, membership, MemberState::kAlive)},
@@ -32,7 +32,7 @@
           {"note_bytes_sent", traffic.bytes_sent}};
 }
 
-ordered_json ZonePart(Seconds now, int zone, const std::string& name, const ZoneFailover& failover) {
+ordered_json ZoneJson(Seconds now, int zone, const std::string& name, const ZoneFailover& failover) {
   const zone_failover::EvacuationState& state = failover.StateOf(zone);
   const zone_failover::ZoneView view = failover.ViewOf(now, zone);
   const zone_failover::TrafficDirective directive = failover.DirectiveFor(now, zone);
@@ -61,10 +61,10 @@
 ordered_json ZonesPage(Seconds now, const std::string& relay_name, const std::vector<std::string>& zone_names,
                        const ZoneFailover& failover, const GossipTraffic& traffic) {
   ordered_json page = {{"relay", relay_name},
-                       {"tier", MembershipPart(now, failover.membership(), traffic)},
+                       {"tier", MembershipJson(now, failover.membership(), traffic)},
                        {"zones", ordered_json::array()}};
   for (int zone = 0; zone < failover.zones(); ++zone) {
-    page["zones"].push_back(ZonePart(now, zone, zone_names[static_cast<std::size_t>(zone)], failover));
+    page["zones"].push_back(ZoneJson(now, zone, zone_names[static_cast<std::size_t>(zone)], failover));
   }
   return page;
 }
--- a/tests/relay/deduplication_window_test.cpp
+++ b/tests/relay/deduplication_window_test.cpp
@@ -1,5 +1,6 @@
-// A repeat of a keyed message whose connection comes up after the key's window: it may not leave any more
-// (rule 2). The whole relay in this process, on a clock that only the test moves.
+// Guards against resending a request with an idempotency key after its deduplication window, when the
+// connection for the repeat is established too late. Runs the whole relay in the test process, on a clock
+// that only the test moves.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -22,18 +23,22 @@
 namespace fs = std::filesystem;
 namespace raw = lab::raw;
 
-constexpr double kWindow = 1;  // s that a key is remembered
+constexpr double kWindowSeconds = 1;  // the deduplication window
 
-lab::Scenario Site() {
-  nlohmann::json orders = {{"name", "notice-order"},  {"effect", "deduplicated"},
-                           {"key_window_s", kWindow}, {"aim_s", 2},
-                           {"deadline_s", 20},        {"share", 1}};
-  return lab::ReadScenario(
-      {{"relays", 1}, {"classes", {orders}}, {"settings", {{"may_probe", false}, {"may_copy", false}}}});
+lab::Scenario DeduplicatedScenario() {
+  nlohmann::json request_class = {{"name", "notice-order"},
+                                  {"effect", "deduplicated"},
+                                  {"key_window_s", kWindowSeconds},
+                                  {"aim_s", 2},
+                                  {"deadline_s", 20},
+                                  {"share", 1}};
+  return lab::ReadScenario({{"relays", 1},
+                            {"classes", {request_class}},
+                            {"settings", {{"may_probe", false}, {"may_copy", false}}}});
 }
 
-struct Stage {
-  Stage()
+struct RelayFixture {
+  RelayFixture()
       : folder(fs::temp_directory_path() / ("opalroute-window-test-" + std::to_string(getpid()))),
         loop(clock) {
     fs::create_directories(folder);
@@ -51,19 +56,19 @@
                                  {"seed", "1"},
                                  {"limits", {{"sockets", 1024}, {"disk_mb", 3}}},
                                  {"known", list},
-                                 {"settings", lab::SettingsJson(Site(), 0)}};
+                                 {"settings", lab::SettingsJson(DeduplicatedScenario(), 0)}};
     config = config::Parse(file, [](const char*) { return std::nullopt; });
     relay = std::make_unique<Relay>(loop, config);
   }
-  ~Stage() {
+  ~RelayFixture() {
     relay.reset();
     fs::remove_all(folder);
     close(endpoint);
     close(platform);
   }
-  // Plays in steps of a millisecond until a call's connection has come; then, and not before, the relay's
-  // loop is left alone: it has not heard yet that its connection is up. -1: none came in that many seconds.
-  int NextCall(double seconds) {
+  // Runs the relay in steps of a millisecond until the endpoint can accept a connection, and stops before the
+  // relay has learned that its connection is established. Returns -1 if none arrives within `seconds`.
+  int AcceptCall(double seconds) {
     const lab::LoopbackBarrier sent;
     for (const double until = clock.Now() + seconds; clock.Now() < until; clock.Advance(0.001)) {
       loop.RunOnce(0);
@@ -89,25 +94,25 @@
   std::unique_ptr<Relay> relay;
 };
 
-TEST_CASE("deduplication: a keyed repeat whose connection comes up after its window sends no byte") {
-  for (const double late : {0.0, 1.0}) {
-    CAPTURE(late);
-    Stage s;
-    const int client = raw::Connect(s.relay->address());
+TEST_CASE("deduplication: a repeat whose connection is established after the window is not sent") {
+  for (const double handshake_delay : {0.0, 1.0}) {
+    CAPTURE(handshake_delay);
+    RelayFixture fixture;
+    const int client = raw::Connect(fixture.relay->address());
     raw::WriteAll(
         client,
         "POST /api HTTP/1.1\r\nHost: a\r\nX-Txn: 11\r\nX-Lane: notice-order\r\nX-Org: lab\r\n"
         "X-Remaining-Ms: 20000\r\nIdempotency-Key: k\r\nX-Addressing: dest=7\r\nContent-Length: 0\r\n\r\n");
-    const int first = s.NextCall(1);
+    const int first = fixture.AcceptCall(1);
     REQUIRE(first >= 0);
-    const double sent = s.clock.Now();
-    CHECK(s.Read(first).find("X-Txn: 11") != std::string::npos);
-    close(first);  // it may have run
-    const int second = s.NextCall(0.9);
+    const double sent_at = fixture.clock.Now();
+    CHECK(fixture.Read(first).find("X-Txn: 11") != std::string::npos);
+    close(first);  // no response: the request may have been executed
+    const int second = fixture.AcceptCall(0.9);
     REQUIRE(second >= 0);
-    REQUIRE(s.clock.Now() < sent + kWindow);
-    s.clock.Advance(late);  // the handshake took this long
-    CHECK((s.Read(second).find("X-Txn: 11") != std::string::npos) == (late < 0.5));
+    REQUIRE(fixture.clock.Now() < sent_at + kWindowSeconds);
+    fixture.clock.Advance(handshake_delay);
+    CHECK((fixture.Read(second).find("X-Txn: 11") != std::string::npos) == (handshake_delay < 0.5));
     close(second);
     close(client);
   }
--- a/tests/relay/exchange_test.cpp
+++ b/tests/relay/exchange_test.cpp
@@ -1,35 +1,42 @@
-// Plays recorded byte exchanges (tests/exchanges/*.txt) against the relay on loopback sockets, on a clock of
-// its own, and compares what comes back. A line is one step:
+// Replays recorded byte exchanges (tests/exchanges/*.txt) against the relay over loopback sockets, on a fake
+// clock, and compares the bytes that come back. Each line of a file is one step:
 //
-//   pool ID DEST ZONE KIND      ID listens, and stands in the list that the relay knows at its start
+//   pool ID DEST ZONE KIND      endpoint ID listens, and is in the list that the relay starts with
 //   set /POINTER JSON           changes the configuration
-//   start | kill | stop | ended starts the relay; ends it without a word; SIGTERM; it has ended by itself
-//   inherit                     from here on relays take over one listening socket that the platform holds
-//   next | old stop | old kill  starts a second relay beside the first, which is `old` then
-//   crowd N                     N callers connect to the door and never finish their call
-//   tear N                      cuts N bytes off the journal's end
+//   start                       starts the relay
+//   kill                        ends the relay without a shutdown
+//   stop                        starts the graceful shutdown, as SIGTERM does
+//   ended                       checks that the shutdown completes
+//   inherit                     relays started from here on inherit one listening socket (hot restart)
+//   next                        starts a second relay; the first one is called `old` from then on
+//   old stop | old kill         as stop and kill, for the old relay
+//   crowd N                     N clients connect to the operations server and send incomplete requests
+//   tear N                      cuts N bytes off the end of the journal
 //   move PLACE                  PLACE listens, and the configuration names it as discovery
-//   reload                      SIGHUP
+//   reload                      reloads the configuration, as SIGHUP does
 //   wait MS                     lets time pass
-//   jump MS                     the same in one leap, with one round of the loop behind it
-//   step MS                     the machine's wall clock is set, forward or back; its monotonic clock runs on
-//   boot MS                     the machine starts anew: the monotonic clock as well, and the wall clock is
-//   MS on NAME connect [door]         a client connects, or an operator's caller NAME accept PLACE PLACE (an
-//   endpoint's id, or `discovery`) takes a connection NAME accept PLACE METHOD    the same, of those that
-//   stand the first that brings a request of this method;
-//                               those before it stay open, and hear nothing
-//   NAME accepted PLACE         the same as accept, and the connection stands already: no time passes
-//   NAME refuse                 the endpoint NAME listens no more
-//   NAME < TEXT                 sends a line; \ at its end: without CR LF; escapes: \r \n \0 \xHH; @PLACE@ is
-//                               the address that PLACE listens at
+//   jump MS                     advances the clock in one step, followed by one iteration of the event loop
+//   step MS                     steps the wall clock, but not the monotonic clock, by MS (may be negative)
+//   boot MS                     reboots the machine: the monotonic clock starts again, and the wall clock
+//                               advances by MS
+//   NAME connect [door]         client NAME connects to the relay, or to its operations server
+//   NAME accept PLACE           PLACE (an endpoint's id, or `discovery`) accepts connection NAME
+//   NAME accept PLACE METHOD    the same, for the first pending connection that brings a request of this
+//                               method; the connections before it stay open and get no response
+//   NAME accepted PLACE         accepts a connection that is already established: no time passes
+//   NAME refuse                 endpoint NAME stops listening
+//   NAME < TEXT                 sends a line; a \ at its end suppresses the CR LF; escapes: \r \n \0 \xHH;
+//                               @PLACE@ is replaced by the address of PLACE
 //   NAME . TEXT                 the same, byte by byte
-//   NAME sends TEXT             sends a line, and gives the relay no turn: it is there when the next step
-//   begins NAME crosses TEXT           sends a line in the midst of the loop's next round: after the loop has
-//   asked what
-//                               has come, before its timers
-//   NAME > PATTERN              the next lines that NAME receives, apart by \r\n; * stands for anything
-//   NAME leaves TEXT            sends and closes before the relay has read it
-//   NAME close | closed | quiet closes; was closed by the relay; has received nothing more
+//   NAME sends TEXT             sends a line without running the relay: the next step begins with the bytes
+//                               already there
+//   NAME crosses TEXT           sends a line during the next iteration of the event loop: after it has polled
+//                               for events, and before it runs its timers
+//   NAME > PATTERN              the next lines that NAME receives, separated by \r\n; * matches any text
+//   NAME leaves TEXT            sends and closes before the relay has read anything
+//   NAME close                  closes the connection
+//   NAME closed                 checks that the relay closes the connection
+//   NAME quiet                  checks that nothing more is received and the connection stays open
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
@@ -66,12 +73,12 @@
     return 1'700'000'000'000'000 + static_cast<std::int64_t>((now + wall_offset) * 1e6);
   }
   net::Seconds now = 1000;
-  net::Seconds wall_offset = 0;  // by which the wall clock has been stepped
+  net::Seconds wall_offset = 0;  // sum of the steps of the wall clock
 };
 
-sockaddr_in AnyPort() { return *net::ParseAddress("127.0.0.1:0"); }
+sockaddr_in LoopbackAnyPort() { return *net::ParseAddress("127.0.0.1:0"); }
 
-std::string BoundTo(int fd) {
+std::string LocalAddressOf(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof(address);
   getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
@@ -80,7 +87,7 @@
 
 int Listen() {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-  const sockaddr_in address = AnyPort();
+  const sockaddr_in address = LoopbackAnyPort();
   REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0);
   REQUIRE(listen(fd, 64) == 0);
   return fd;
@@ -113,15 +120,15 @@
   return out;
 }
 
-// Bytes that arrive when the loop has already asked the kernel what has come, and its timers are still to
-// run.
-class Crossing : public net::EventHandler {
+// Sends bytes from an event handler of the loop, so that they arrive after the loop has polled for events and
+// before it runs its timers.
+class MidIterationSender : public net::EventHandler {
  public:
-  Crossing(net::EventLoop& loop, int to, std::string bytes)
+  MidIterationSender(net::EventLoop& loop, int to, std::string bytes)
       : loop_(loop), fd_(eventfd(1, EFD_NONBLOCK)), to_(to), bytes_(std::move(bytes)) {
     REQUIRE(loop_.Add(fd_, this));
   }
-  ~Crossing() override {
+  ~MidIterationSender() override {
     loop_.Remove(fd_);
     close(fd_);
   }
@@ -136,21 +143,21 @@
   std::string bytes_;
 };
 
-class Player {
+class ExchangePlayer {
  public:
-  explicit Player(const fs::path& base) : state_(base) {
+  explicit ExchangePlayer(const fs::path& base) : state_(base) {
     fs::remove_all(state_);
     fs::create_directories(state_);
     listeners_["discovery"] = Listen();
     std::ifstream file(fs::path(EXCHANGES) / "base.json");
     config_ = json::parse(file);
-    config_["discovery"] = BoundTo(listeners_["discovery"]);
+    config_["discovery"] = LocalAddressOf(listeners_["discovery"]);
     config_["state"] = state_.string();
   }
-  ~Player() {
+  ~ExchangePlayer() {
     relay_.reset();
-    old_.reset();
-    if (inherited_ >= 0) close(inherited_);
+    old_relay_.reset();
+    if (inherited_fd_ >= 0) close(inherited_fd_);
     for (const auto& [name, fd] : listeners_) close(fd);
     for (const auto& [name, peer] : peers_) close(peer.fd);
     fs::remove_all(state_);
@@ -169,28 +176,28 @@
       Start();
     } else if (first == "kill") {
       relay_.reset();
-      crossing_.reset();
+      mid_iteration_sender_.reset();
       loop_ = std::make_unique<net::EventLoop>(clock_);
     } else if (first == "stop") {
-      ended_ = false;
-      relay_->Stop([this] { ended_ = true; });
+      shutdown_done_ = false;
+      relay_->Stop([this] { shutdown_done_ = true; });
     } else if (first == "ended") {
-      CHECK(Until([this] { return ended_; }));
+      CHECK(RunUntil([this] { return shutdown_done_; }));
     } else if (first == "inherit") {
-      inherited_ = Listen();
+      inherited_fd_ = Listen();
     } else if (first == "next") {
-      old_ = std::move(relay_);
+      old_relay_ = std::move(relay_);
       Start();
     } else if (first == "old") {
-      second == "stop" ? old_->Stop([this] { ended_ = true; }) : old_.reset();
+      second == "stop" ? old_relay_->Stop([this] { shutdown_done_ = true; }) : old_relay_.reset();
     } else if (first == "crowd") {
       for (int i = 0; i < std::stoi(second); ++i) {
         Peer& peer = peers_["crowd" + std::to_string(i)];
-        peer = Connected(relay_->operations_server()->address());
+        peer = Connect(relay_->operations_server()->address());
         Send(peer, "GET /v1/re", false);
       }
     } else if (first == "move") {
-      config_["discovery"] = BoundTo(listeners_[second] = Listen());
+      config_["discovery"] = LocalAddressOf(listeners_[second] = Listen());
     } else if (first == "reload") {
       relay_->Reload([this] { return config::Parse(config_, [](const char*) { return std::nullopt; }); });
     } else if (first == "jump") {
@@ -205,18 +212,18 @@
     } else if (first == "tear") {
       fs::resize_file(state_ / "journal", fs::file_size(state_ / "journal") - std::stoul(second));
     } else if (first == "wait") {
-      Until([] { return false; }, 10);
+      RunUntil([] { return false; }, 10);
       for (int i = 0; i < std::stoi(second); ++i) Pump(0.001);
     } else {
-      Step(first, second, third, line);
+      RunPeerStep(first, second, third, line);
     }
   }
 
  private:
   struct Peer {
     int fd = -1;
-    std::string in;
-    bool ended = false;
+    std::string received;
+    bool closed = false;
   };
 
   void AddEndpoint(const std::string& id, const std::string& rest) {
@@ -226,7 +233,7 @@
     words >> destination >> zone >> kind;
     if (listeners_.count(id) == 0) listeners_[id] = Listen();
     config_["known"]["instances"].push_back({{"instanceId", id},
-                                             {"hostPort", BoundTo(listeners_[id])},
+                                             {"hostPort", LocalAddressOf(listeners_[id])},
                                              {"zone", zone},
                                              {"machineType", kind},
                                              {"cell", destination},
@@ -235,15 +242,15 @@
   }
 
   void Start() {
-    parsed_.push_back(std::make_unique<Config>(config::Parse(config_, [this](const char* name) {
-      const bool asked = inherited_ >= 0 && name == std::string_view("EDGE_INHERITED_FD");
-      return asked ? std::optional(std::to_string(dup(inherited_))) : std::nullopt;
+    configs_.push_back(std::make_unique<Config>(config::Parse(config_, [this](const char* name) {
+      const bool is_inherited_fd = inherited_fd_ >= 0 && name == std::string_view("EDGE_INHERITED_FD");
+      return is_inherited_fd ? std::optional(std::to_string(dup(inherited_fd_))) : std::nullopt;
     })));
-    relay_ = std::make_unique<Relay>(*loop_, *parsed_.back());
+    relay_ = std::make_unique<Relay>(*loop_, *configs_.back());
   }
 
-  Peer Connected(const sockaddr_in& to) {
-    const Peer peer = Opened(socket(AF_INET, SOCK_STREAM, 0));
+  Peer Connect(const sockaddr_in& to) {
+    const Peer peer = ToPeer(socket(AF_INET, SOCK_STREAM, 0));
     REQUIRE(connect(peer.fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) == 0);
     return peer;
   }
@@ -254,10 +261,11 @@
     loop_->RunOnce(0);
   }
 
-  // The kernel may need a moment between two sockets. The clock goes on meanwhile, no faster than a real one,
-  // so that a slow machine does not look like a slow endpoint.
+  // Runs the relay until the condition holds. The kernel may take a moment to pass bytes between two sockets;
+  // the fake clock advances meanwhile, but no faster than real time, so that a slow machine does not look
+  // like a slow endpoint.
   template <typename Condition>
-  bool Until(Condition condition, int rounds = 20000) {
+  bool RunUntil(Condition condition, int rounds = 20000) {
     for (int i = 0; i < rounds; ++i) {
       if (condition()) return true;
       Pump(0.0001);
@@ -266,8 +274,8 @@
     return condition();
   }
 
-  Peer Opened(int fd) {
-    const int on = 1;  // else the kernel holds single bytes back
+  Peer ToPeer(int fd) {
+    const int on = 1;  // otherwise Nagle's algorithm delays single bytes
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
     return {fd, {}, false};
   }
@@ -276,63 +284,64 @@
     char bytes[4096];
     ssize_t count = 0;
     while ((count = recv(peer.fd, bytes, sizeof(bytes), MSG_DONTWAIT)) > 0)
-      peer.in.append(bytes, static_cast<std::size_t>(count));
-    if (count == 0 || (count < 0 && errno != EAGAIN)) peer.ended = true;
+      peer.received.append(bytes, static_cast<std::size_t>(count));
+    if (count == 0 || (count < 0 && errno != EAGAIN)) peer.closed = true;
   }
 
-  void Send(Peer& peer, const std::string& text, bool bytewise) {
-    for (std::size_t i = 0; i < text.size(); i += bytewise ? 1 : text.size()) {
-      const std::size_t size = bytewise ? 1 : text.size();
+  void Send(Peer& peer, const std::string& text, bool byte_by_byte) {
+    for (std::size_t i = 0; i < text.size(); i += byte_by_byte ? 1 : text.size()) {
+      const std::size_t size = byte_by_byte ? 1 : text.size();
       CHECK(send(peer.fd, text.data() + i, size, MSG_NOSIGNAL) == static_cast<ssize_t>(size));
       Pump();
       usleep(100);
     }
   }
 
-  // Any connection, or the first that brings a request of this method; a watch that has been closed is none.
-  Peer Accepted(const std::string& place, const std::string& method) {
+  // Accepts the next connection, or, if a method is given, the first one that brings a request of this
+  // method. Watches (GET) that the relay has closed again are skipped.
+  Peer Accept(const std::string& place, const std::string& method) {
     for (;;) {
       int fd = -1;
-      REQUIRE(
-          Until([&] { return (fd = accept4(listeners_.at(place), nullptr, nullptr, SOCK_NONBLOCK)) >= 0; }));
-      Peer peer = Opened(fd);
+      REQUIRE(RunUntil(
+          [&] { return (fd = accept4(listeners_.at(place), nullptr, nullptr, SOCK_NONBLOCK)) >= 0; }));
+      Peer peer = ToPeer(fd);
       if (method.empty()) return peer;
-      REQUIRE(Until([&] { return Receive(peer), peer.ended || peer.in.size() > method.size(); }));
-      const bool closed_watch = method == "GET" && peer.ended;
-      if (!closed_watch && peer.in.compare(0, method.size(), method) == 0) return peer;
-      peers_["passed over " + std::to_string(fd)] = peer;
+      REQUIRE(RunUntil([&] { return Receive(peer), peer.closed || peer.received.size() > method.size(); }));
+      const bool closed_watch = method == "GET" && peer.closed;
+      if (!closed_watch && peer.received.compare(0, method.size(), method) == 0) return peer;
+      peers_["skipped " + std::to_string(fd)] = peer;
     }
   }
 
   void ExpectLine(Peer& peer, const std::string& text) {
-    Until([&] {
+    RunUntil([&] {
       Receive(peer);
-      return peer.in.find('\n') != std::string::npos || (!text.empty() && Matches(text, peer.in));
+      return peer.received.find('\n') != std::string::npos || (!text.empty() && Matches(text, peer.received));
     });
-    const bool whole = peer.in.find('\n') != std::string::npos;
-    std::string got = peer.in.substr(0, peer.in.find('\n'));
-    peer.in.erase(0, got.size() + (whole ? 1 : 0));
+    const bool whole = peer.received.find('\n') != std::string::npos;
+    std::string got = peer.received.substr(0, peer.received.find('\n'));
+    peer.received.erase(0, got.size() + (whole ? 1 : 0));
     if (!got.empty() && got.back() == '\r') got.pop_back();
-    CHECK_MESSAGE(Matches(text, got), "wanted '", text, "' and got '", got, "'");
+    CHECK_MESSAGE(Matches(text, got), "expected '", text, "', got '", got, "'");
   }
 
-  void Step(const std::string& name, const std::string& verb, const std::string& text,
-            const std::string& line) {
+  void RunPeerStep(const std::string& name, const std::string& verb, const std::string& text,
+                   const std::string& line) {
     if (verb == "connect") {
-      peers_[name] = Connected(text == "door" ? relay_->operations_server()->address() : relay_->address());
+      peers_[name] = Connect(text == "door" ? relay_->operations_server()->address() : relay_->address());
       return;
     }
     if (verb == "accepted") {
       const int fd = accept4(listeners_.at(text), nullptr, nullptr, SOCK_NONBLOCK);
       REQUIRE(fd >= 0);
-      peers_[name] = Opened(fd);
+      peers_[name] = ToPeer(fd);
       return;
     }
     if (verb == "accept") {
       std::istringstream words(text);
       std::string place, method;
       words >> place >> method;
-      peers_[name] = Accepted(place, method);
+      peers_[name] = Accept(place, method);
       return;
     }
     if (verb == "refuse") {
@@ -343,15 +352,16 @@
     REQUIRE_MESSAGE(peers_.count(name) == 1, line);
     Peer& peer = peers_[name];
     if (verb == "<" || verb == "." || verb == "sends" || verb == "crosses") {
-      const bool bare = !text.empty() && text.back() == '\\';
-      std::string bytes = Unescape(bare ? text.substr(0, text.size() - 1) : text) + (bare ? "" : "\r\n");
+      const bool without_line_end = !text.empty() && text.back() == '\\';
+      std::string bytes = Unescape(without_line_end ? text.substr(0, text.size() - 1) : text) +
+                          (without_line_end ? "" : "\r\n");
       for (const auto& [place, fd] : listeners_)
         for (std::size_t at = 0; (at = bytes.find("@" + place + "@")) != std::string::npos;)
-          bytes.replace(at, place.size() + 2, BoundTo(fd));
+          bytes.replace(at, place.size() + 2, LocalAddressOf(fd));
       if (verb == "sends") {
         CHECK(send(peer.fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()));
       } else if (verb == "crosses") {
-        crossing_ = std::make_unique<Crossing>(*loop_, peer.fd, bytes);
+        mid_iteration_sender_ = std::make_unique<MidIterationSender>(*loop_, peer.fd, bytes);
       } else {
         Send(peer, bytes, verb == ".");
       }
@@ -369,14 +379,14 @@
       close(peer.fd);
       peers_.erase(name);
     } else if (verb == "closed") {
-      CHECK(Until([&] { return Receive(peer), peer.ended; }));
+      CHECK(RunUntil([&] { return Receive(peer), peer.closed; }));
     } else if (verb == "quiet") {
-      Until([] { return false; }, 50);
+      RunUntil([] { return false; }, 50);
       Receive(peer);
-      CHECK_MESSAGE(peer.in.empty(), "got '", peer.in, "'");
-      CHECK(!peer.ended);
+      CHECK_MESSAGE(peer.received.empty(), "got '", peer.received, "'");
+      CHECK(!peer.closed);
     } else {
-      FAIL("no such step: ", line);
+      FAIL("unknown step: ", line);
     }
   }
 
@@ -384,23 +394,23 @@
   FakeClock clock_;
   json config_;
   std::unique_ptr<net::EventLoop> loop_ = std::make_unique<net::EventLoop>(clock_);
-  std::vector<std::unique_ptr<Config>> parsed_;
-  std::unique_ptr<Relay> relay_, old_;
-  std::unique_ptr<Crossing> crossing_;
-  int inherited_ = -1;
-  bool ended_ = false;
+  std::vector<std::unique_ptr<Config>> configs_;
+  std::unique_ptr<Relay> relay_, old_relay_;
+  std::unique_ptr<MidIterationSender> mid_iteration_sender_;
+  int inherited_fd_ = -1;
+  bool shutdown_done_ = false;
   std::map<std::string, int> listeners_;
   std::map<std::string, Peer> peers_;
 };
 
-void PlayAll(const fs::path& folder, int least) {
+void PlayAll(const fs::path& folder, int min_files) {
   spdlog::set_level(spdlog::level::off);
   int played = 0;
   for (const auto& entry : fs::directory_iterator(folder)) {
     if (entry.path().extension() != ".txt") continue;
     ++played;
     SUBCASE(entry.path().filename().c_str()) {
-      Player player(fs::temp_directory_path() / ("opalroute-" + std::to_string(getpid())));
+      ExchangePlayer player(fs::temp_directory_path() / ("opalroute-" + std::to_string(getpid())));
       std::ifstream file(entry.path());
       std::string line;
       for (int number = 1; std::getline(file, line); ++number) {
@@ -410,14 +420,15 @@
       }
     }
   }
-  CHECK(played >= least);
+  CHECK(played >= min_files);
 }
 
 TEST_CASE("recorded exchanges") { PlayAll(EXCHANGES, 6); }
 
 TEST_CASE("operation: recorded exchanges") { PlayAll(fs::path(EXCHANGES) / "operation", 2); }
 
-// Bytes, ends and times that cross one another: each shows what is still owed at that instant, and to whom.
+// Responses, disconnects and timers that coincide: each exchange checks who is still to be answered or
+// notified at that moment.
 TEST_CASE("crossings: recorded exchanges") { PlayAll(fs::path(EXCHANGES) / "crossings", 8); }
 
 }  // namespace
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts of the relay that need no socket: ring buffer, Base64, configuration.
+// Components of the relay that need no socket: ring buffer, Base64, HTTP parser, configuration.
 #include <doctest/doctest.h>
 
 #include <fstream>
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-TEST_CASE("a ring buffer keeps the order of its bytes across its end, and its bound") {
+TEST_CASE("ring buffer keeps byte order across wrap-around and never exceeds its capacity") {
   net::RingBuffer ring(6000);
   std::string written, read;
   for (int i = 0; i < 2000; ++i) {
@@ -36,7 +36,7 @@
   CHECK(ring.full());
 }
 
-TEST_CASE("Base64 there and back") {
+TEST_CASE("Base64 round trip") {
   for (const std::string bytes : {"", "a", "ab", "abc", "hello", "\xff\xfe\x01"}) {
     CHECK(net::DecodeBase64(net::EncodeBase64(bytes)) == bytes);
   }
@@ -50,12 +50,12 @@
   std::string body;
 };
 
-Parsed ParseIn(net::HttpParser::Kind kind, const std::string& bytes, std::size_t piece) {
+Parsed ParseInPieces(net::HttpParser::Kind kind, const std::string& bytes, std::size_t piece_size) {
   net::HttpParser parser(kind, {512, 8, 256});
   std::size_t taken = 0;
   while (taken < bytes.size() && !parser.done() && !parser.failed()) {
-    const std::size_t count = parser.Take(std::string_view(bytes).substr(taken, piece));
-    REQUIRE(count > 0);  // else a connection would spin
+    const std::size_t count = parser.Take(std::string_view(bytes).substr(taken, piece_size));
+    REQUIRE(count > 0);  // otherwise a connection would loop forever
     taken += count;
   }
   CHECK(parser.message().body.size() <= 256);
@@ -63,9 +63,10 @@
   return {parser.done(), parser.failed(), taken, parser.message().body};
 }
 
-// Guards against input that crashes, hangs or grows the parser, and against a message that reads differently
-// when the network cuts it elsewhere: two readers could then disagree on where the next one begins.
-TEST_CASE("whatever the bytes and wherever they are cut, the parser says the same") {
+// Guards against input that crashes or hangs the parser or makes it grow without bound, and against a message
+// whose parse depends on how the network splits it: two readers could then disagree on where the next message
+// begins.
+TEST_CASE("HTTP parser returns the same result however mutated input is split") {
   const std::string seeds[] = {
       "POST /api HTTP/1.1\r\nX-Txn: a\r\nContent-Length: 5\r\n\r\nhelloGET",
       "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\nA\r\n0123456789\r\n0\r\nT: "
@@ -73,27 +74,28 @@
       "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nokHTTP",
       "HTTP/1.1 200 OK\r\n\r\nto the end"};
   std::uint32_t state = 1;
-  const auto draw = [&state](std::uint32_t below) {
-    return (state = state * 1664525U + 1013904223U) / 65536U % below;
+  const auto random_below = [&state](std::uint32_t limit) {
+    return (state = state * 1664525U + 1013904223U) / 65536U % limit;
   };
   int done = 0, failed = 0;
   for (int round = 0; round < 4000; ++round) {
-    const std::size_t which = draw(4);
-    std::string bytes = seeds[which];
-    for (std::uint32_t change = draw(4); change > 0; --change) {
-      const std::size_t at = draw(static_cast<std::uint32_t>(bytes.size()));
-      if (draw(3) == 0) bytes.insert(at, draw(2) == 0 ? "\r\n" : std::string(draw(300), '7'));
-      bytes[at] = static_cast<char>(draw(3) == 0 ? draw(256) : "0:\r\n ;f"[draw(7)]);
+    const std::size_t seed_index = random_below(4);
+    std::string bytes = seeds[seed_index];
+    for (std::uint32_t change = random_below(4); change > 0; --change) {
+      const std::size_t at = random_below(static_cast<std::uint32_t>(bytes.size()));
+      if (random_below(3) == 0)
+        bytes.insert(at, random_below(2) == 0 ? "\r\n" : std::string(random_below(300), '7'));
+      bytes[at] = static_cast<char>(random_below(3) == 0 ? random_below(256) : "0:\r\n ;f"[random_below(7)]);
     }
-    const auto kind = which < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kAnswer;
-    const Parsed whole = ParseIn(kind, bytes, bytes.size());
-    for (const std::size_t piece : {std::size_t{1}, std::size_t{7}}) {
-      const Parsed cut = ParseIn(kind, bytes, piece);
-      CHECK(cut.done == whole.done);
-      CHECK(cut.failed == whole.failed);
+    const auto kind = seed_index < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kAnswer;
+    const Parsed whole = ParseInPieces(kind, bytes, bytes.size());
+    for (const std::size_t piece_size : {std::size_t{1}, std::size_t{7}}) {
+      const Parsed split = ParseInPieces(kind, bytes, piece_size);
+      CHECK(split.done == whole.done);
+      CHECK(split.failed == whole.failed);
       if (whole.done) {
-        CHECK(cut.taken == whole.taken);
-        CHECK(cut.body == whole.body);
+        CHECK(split.taken == whole.taken);
+        CHECK(split.body == whole.body);
       }
     }
     done += whole.done ? 1 : 0;
@@ -103,7 +105,7 @@
   CHECK(failed > 400);
 }
 
-std::string Complaint(const std::string& pointer, const json& value) {
+std::string ErrorFor(const std::string& pointer, const json& value) {
   std::ifstream file(std::string(EXCHANGES) + "/base.json");
   json base = json::parse(file);
   base["discovery"] = "127.0.0.1:1";
@@ -117,24 +119,24 @@
   return {};
 }
 
-// Whoever writes a configuration must be told which key is at fault.
-TEST_CASE("messages of the configuration name the faulty key") {
-  CHECK(Complaint("/name", "n1").empty());
+// Operators must learn from the error message which key of their configuration is invalid.
+TEST_CASE("configuration errors name the invalid key") {
+  CHECK(ErrorFor("/name", "n1").empty());
   const auto names = [](const std::string& text, const char* key) {
     return text.find(key) != std::string::npos;
   };
-  CHECK(names(Complaint("/listen", "nowhere"), "'listen'"));
-  CHECK(names(Complaint("/discovery", nullptr), "'discovery'"));
-  CHECK(names(Complaint("/seed", "xyz"), "'seed'"));
-  CHECK(names(Complaint("/peers", json::array({"1.2.3"})), "'peers'"));
-  CHECK(names(Complaint("/limits/disk_mb", 0), "'limits.disk_mb'"));
-  CHECK(names(Complaint("/limits/sockets", 10), "'limits.sockets'"));
-  CHECK(names(Complaint("/settings/tickS", 0), "'tickS'"));
-  CHECK(names(Complaint("/settings/classes/0/effect", "other"), "'effect'"));
-  CHECK(names(Complaint("/settings/limits/connIdleS", -1), "connIdleS"));
+  CHECK(names(ErrorFor("/listen", "nowhere"), "'listen'"));
+  CHECK(names(ErrorFor("/discovery", nullptr), "'discovery'"));
+  CHECK(names(ErrorFor("/seed", "xyz"), "'seed'"));
+  CHECK(names(ErrorFor("/peers", json::array({"1.2.3"})), "'peers'"));
+  CHECK(names(ErrorFor("/limits/disk_mb", 0), "'limits.disk_mb'"));
+  CHECK(names(ErrorFor("/limits/sockets", 10), "'limits.sockets'"));
+  CHECK(names(ErrorFor("/settings/tickS", 0), "'tickS'"));
+  CHECK(names(ErrorFor("/settings/classes/0/effect", "other"), "'effect'"));
+  CHECK(names(ErrorFor("/settings/limits/connIdleS", -1), "connIdleS"));
 }
 
-TEST_CASE("variables of the environment stand over the file") {
+TEST_CASE("environment variables override the configuration file") {
   std::ifstream file(std::string(EXCHANGES) + "/base.json");
   const json base = json::parse(file);
   const Config config = config::Parse(base, [](const char* name) -> std::optional<std::string> {
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,4 +1,4 @@
-// The program as the platform runs it: signals, and a configuration that changes under it.
+// The relay program as the platform runs it: signals, configuration reload, and system calls that are denied.
 #include "tests/support/program.h"
 
 #include <doctest/doctest.h>
@@ -24,8 +24,9 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-// Guards against a SIGHUP that ends the program, or that reads the address from its old environment.
-TEST_CASE("SIGHUP reads the configuration anew, and SIGTERM ends the program") {
+// Guards against a SIGHUP that ends the program, or that takes the discovery address from the environment of
+// the program's start instead of the changed file.
+TEST_CASE("SIGHUP reloads the configuration, and SIGTERM ends the program") {
   const fs::path folder = fs::temp_directory_path() / ("opalroute-program-" + std::to_string(getpid()));
   fs::create_directories(folder);
   json config;
@@ -53,31 +54,32 @@
   fs::remove_all(folder);
 }
 
-// What the call answers from here on, in this process and those that it starts.
-void RefuseDatagramSocketsAndWhatNoneUses() {
+// Installs a seccomp filter that fails datagram sockets with ENOSYS, as well as some system calls that the
+// relay must not depend on. It applies to this process and its children.
+void DenyDatagramSocketsAndUnusedCalls() {
   const auto load = [](std::uint32_t at) { return sock_filter BPF_STMT(BPF_LD | BPF_W | BPF_ABS, at); };
   constexpr std::uint32_t kNumber = offsetof(seccomp_data, nr);
   std::vector<sock_filter> filter = {load(kNumber)};
-  const sock_filter refuse = BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | ENOSYS);
-  // Not clone: the leak check of a sanitized build runs in a task of its own.
+  const sock_filter deny = BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | ENOSYS);
+  // clone is not denied: the leak check of a sanitizer build runs in a task of its own.
   for (const std::uint32_t call : {SYS_io_uring_setup, SYS_splice, SYS_sendfile}) {
     filter.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, call, 0, 1));
-    filter.push_back(refuse);
+    filter.push_back(deny);
   }
   filter.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SYS_socket, 0, 6));
   filter.push_back(load(offsetof(seccomp_data, args[0])));
   filter.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, AF_INET, 0, 3));
   filter.push_back(load(offsetof(seccomp_data, args[1])));
-  filter.push_back(BPF_STMT(BPF_ALU | BPF_AND | BPF_K, 0xf));  // without SOCK_CLOEXEC and its like
+  filter.push_back(BPF_STMT(BPF_ALU | BPF_AND | BPF_K, 0xf));  // without flags such as SOCK_CLOEXEC
   filter.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, SOCK_STREAM, 1, 0));
-  filter.push_back(refuse);
+  filter.push_back(deny);
   filter.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));
   const sock_fprog program{static_cast<unsigned short>(filter.size()), filter.data()};
   prctl(PR_SET_NO_NEW_PRIVS, 1, 0, 0, 0);
   prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program);
 }
 
-TEST_CASE("a feature whose calls are refused stays off and says so, and the relay serves") {
+TEST_CASE("a feature whose system calls are denied is logged as off, and the relay still starts") {
   const fs::path folder = fs::temp_directory_path() / ("opalroute-refused-" + std::to_string(getpid()));
   fs::create_directories(folder);
   json config;
@@ -87,7 +89,7 @@
   std::ofstream(folder / "config.json") << config.dump();
   {
     Program program(folder / "config.json", "127.0.0.1:1", {}, RELAY_PROGRAM,
-                    RefuseDatagramSocketsAndWhatNoneUses);
+                    DenyDatagramSocketsAndUnusedCalls);
     CHECK(program.Says("feature_off feature=\"gossip between relays\" why=\"datagram socket: Function not"));
     CHECK(program.Says("listening"));
     program.Signal(SIGTERM);
--- a/tests/relay/zones_page_test.cpp
+++ b/tests/relay/zones_page_test.cpp
@@ -1,4 +1,4 @@
-// The page GET /zones: its keys and values are read by operators' programs.
+// The page GET /zones, whose keys and values are read by operators' programs.
 #include "relay/zones_page.h"
 
 #include <doctest/doctest.h>
@@ -8,7 +8,7 @@
 namespace opalroute {
 namespace {
 
-TEST_CASE("zone failover: the page of /zones has the documented keys, in their order") {
+TEST_CASE("zone failover: the /zones page has the documented keys in the documented order") {
   SimulatedFleet fleet(OptionsFor(6), {}, 41);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 103 ? Failing(Outcome::kReset) : CallResult{};
