--- a/include/opalroute/actions.h
+++ b/include/opalroute/actions.h
@@ -1,4 +1,4 @@
-// Actions: what a RequestRouter asks for. Plain values, to be carried out in the order in which they come.
+// Actions: the requests of a RequestRouter to its caller. Plain values, to be carried out in the order given.
 #pragma once
 
 #include <cstdint>
@@ -11,24 +11,24 @@
 
 namespace opalroute {
 
-// Sends one more attempt of a request; its index is the number of earlier ones. Sends of one batch to one
-// endpoint share a call, up to EndpointKind::max_batch.
+// Sends one more attempt of a request; its index is the number of earlier attempts. Sends to the same
+// endpoint in the same batch share a call, up to EndpointKind::max_batch.
 struct Send {
   RequestId request_id{};
   EndpointId endpoint{};
-  Seconds timeout_at{};  // 0: until the client gives the request up
-  // The first byte leaves before this or never: later, the deduplication window of the request's key may be
-  // over.
+  Seconds timeout_at{};  // 0: no timeout but the request's deadline
+  // The attempt must not be sent at or after this time, as the deduplication window of the request's
+  // idempotency key may have ended by the time it arrives.
   Seconds send_deadline = std::numeric_limits<Seconds>::infinity();
 };
 
-// Ends a request that surely has no effect; the client may send it again.
+// Ends a request that is known to have had no effect or is safe to repeat; the client may send it again.
 struct Reject {
   RequestId request_id{};
-  Seconds retry_after{};  // 0: not stated
+  Seconds retry_after{};  // 0: not specified
 };
 
-// Ends a request as failed.
+// Ends a request as failed; it may have had an effect.
 struct Fail {
   RequestId request_id{};
 };
@@ -38,7 +38,7 @@
   int attempt{};
 };
 
-// Checks the health of an endpoint with a call that carries no request.
+// Sends a call without a request to an endpoint, to check its health.
 struct HealthCheck {
   EndpointId endpoint{};
 };
@@ -48,8 +48,8 @@
   std::uint64_t timer_id{};
 };
 
-// Opens a watch on the endpoint list, or ends all watching. A watch that stands or is being opened goes on
-// until another one has brought the list.
+// Opens a watch on the endpoint list, or ends all watches. An existing watch, open or being opened, continues
+// until the new one has delivered the list.
 struct WatchEndpointList {
   bool enabled{};
 };
@@ -59,7 +59,7 @@
 };
 
 struct SendGossip {
-  std::optional<int> peer;  // index of the peer; none: all of them
+  std::optional<int> peer;  // index of the peer; empty: all peers
   std::string payload;
 };
 
--- a/include/opalroute/events.h
+++ b/include/opalroute/events.h
@@ -1,6 +1,6 @@
-// Events: what a RequestRouter is notified of. Plain values, handled in the order in which they happened.
+// Events: the input of a RequestRouter. Plain values, to be handed in in the order in which they happened.
 //
-// Outcomes, aborts and timers that are no longer known are ignored.
+// Outcomes of unknown attempts, aborts of unknown requests and superseded timers are ignored.
 #pragma once
 
 #include <cstdint>
@@ -18,10 +18,10 @@
 enum class EndpointStatus { kInService, kDraining, kRemoved };
 
 enum class ListScope {
-  kComplete,     // all endpoints; those that it does not name are removed
-  kCached,       // the same, as an earlier process last held it: it may be out of date
-  kChanges,      // the endpoints that have changed
-  kWatchFailed,  // no endpoints: an attempt to watch the list has failed, or the watch has ended
+  kComplete,     // all endpoints; those that are not named are removed
+  kCached,       // all endpoints as last known to an earlier process of this relay; may be outdated
+  kChanges,      // only the endpoints that have changed
+  kWatchFailed,  // no endpoints: a watch could not be opened, or has ended
 };
 
 struct ListedEndpoint {
@@ -30,51 +30,51 @@
   int kind{};  // index into Settings::kinds
   DestinationId destination{};
   EndpointStatus status{};
-  double listed_rate{};  // calls a second that it takes from all relays together; 0: not listed
-  // Hash of the endpoint's name, the same at every relay; 0: it has none, and gossip leaves it out.
+  double listed_rate{};  // rate limit in calls per second, for all relays together; 0: not listed
+  // Hash of the endpoint's name, the same at every relay; 0: no name, and gossip does not mention it.
   std::uint32_t name_hash{};
 };
 
 struct ListUpdate {
   ListScope scope{};
   std::vector<ListedEndpoint> entries;
-  // Else it is from another source (operators, DNS), which says nothing of how current the list is.
+  // False: from an operator or DNS, which does not show that the list is current.
   bool from_discovery = true;
 };
 
-// The watch has brought a line that names no change: the list is still current.
+// The watch has delivered a line without changes: the list is still current.
 struct ListConfirmed {};
 
-// Discovery has moved to another address: its list has to be watched there.
+// The discovery service has moved to another address, where the list has to be watched from now on.
 struct DiscoveryMoved {};
 
 // ---- requests ------------------------------------------------------------------------------------
 
 struct NewRequest {
-  RequestId request_id{};     // not in use
+  RequestId request_id{};     // not used by any request that the router knows
   int request_class{};        // index into Settings::classes
   std::optional<int> tenant;  // index into Settings::tenants
-  std::string key;            // ordering key; used by classes with ordered_by_key
-  Seconds remaining_time{};   // until the client gives the request up
+  std::string key;            // ordering key; ignored unless the class is ordered_by_key
+  Seconds remaining_time{};   // until the request's deadline
   DestinationId destination{};
 };
 
-// An attempt that an earlier process of this relay had made.
+// An attempt that an earlier process of this relay made.
 struct EarlierAttempt {
   EndpointId endpoint{};
   int zone{};
-  Seconds age{};  // since it was sent
+  Seconds age{};  // since the attempt was sent
   bool may_have_run{};
 };
 
-// A request that an earlier process of this relay held when it ended. Its attempts count, and those that may
-// have run bind further ones as the class says.
+// A request that an earlier process of this relay had accepted and not finished. Its attempts count against
+// the limit, and one that may have run restricts further attempts by the class's idempotency.
 struct RecoveredRequest {
   NewRequest request;
   std::vector<EarlierAttempt> attempts;
 };
 
-// The client has left before it had an answer.
+// The client has disconnected before it got a response.
 struct RequestAborted {
   RequestId request_id{};
 };
@@ -84,20 +84,20 @@
 enum class Outcome {
   kServed,
   kError,             // the endpoint failed the request
-  kRejected,          // over a limit: it surely did not run
-  kTimeout,           // no answer by Send::timeout_at
-  kConnectFailed,     // no connection: it surely did not run
-  kReset,             // the connection broke after the request had been sent
-  kCancelled,         // by CancelAttempt
-  kNotSent,           // it never left this relay, and that says nothing of the endpoint
-  kOutOfConnections,  // rejected for want of connections: neither a limit nor an outage
-  kLocalShortage,     // this relay lacked a socket or disk space: it is no attempt
+  kRejected,          // over a limit; the request did not run
+  kTimeout,           // no response by Send::timeout_at
+  kConnectFailed,     // no connection; the request did not run
+  kReset,             // the connection broke after the request was sent
+  kCancelled,         // because of CancelAttempt
+  kNotSent,           // it never left this relay, for a reason unrelated to the endpoint
+  kOutOfConnections,  // the endpoint has no free connections: neither a rate limit nor an outage
+  kLocalShortage,     // this relay lacked a socket or disk space; not counted as an attempt
 };
 
-// What an endpoint reports of itself with an answer.
+// What an endpoint reports about its rate limit in a response.
 struct LoadReport {
-  std::optional<double> remaining_share;   // part of its rate limit that is left, 0 to 1
-  std::optional<double> calls_per_second;  // its rate limit; 0: none
+  std::optional<double> remaining_share;   // unused fraction of the rate limit, 0 to 1
+  std::optional<double> calls_per_second;  // the rate limit; 0: none
 };
 
 struct AttemptOutcome {
@@ -105,13 +105,13 @@
   int attempt{};  // index into the request's attempts, in the order of their Send actions
   EndpointId endpoint{};
   Outcome outcome{};
-  Seconds duration{};     // since it was sent
-  Seconds retry_after{};  // with a rejection; 0: none
-  bool request_ended{};   // the request has ended, by this attempt or before
+  Seconds duration{};     // since the attempt was sent
+  Seconds retry_after{};  // of a rejection; 0: none
+  bool request_ended{};   // the request has ended, through this attempt or earlier
   LoadReport load_report;
 };
 
-// The answer of a streamed class has begun: the attempt now belongs to the client.
+// A streamed response has begun to arrive: the router no longer ends the request at its deadline.
 struct ResponseStarted {
   RequestId request_id{};
   int attempt{};
@@ -131,55 +131,56 @@
   std::string payload;  // of SendGossip
 };
 
-// Replaces Settings::relay_count wherever relays share a limit or a budget.
+// The number of relays among which limits and budgets are divided; replaces Settings::relay_count there.
 struct FleetSize {
-  double share_count = 1;  // 1 or more; more than there are relays where this one is to hold back
+  double share_count = 1;  // 1 or more; above the number of relays if this one has to take a smaller share
 };
 
-// What the fleet has decided for a zone. At 0 the zone gets recovery trials of health-check relays only;
-// above 0 again, all of it starts slowly.
+// The fleet's decision on a zone. With a share of 0 the zone gets only recovery trials, from the health-check
+// relays; when the share rises above 0 again, endpoints with a route of their own go through slow start.
 struct ZoneTrafficShare {
   int zone{};
-  double traffic_share = 1;  // 0 to 1, of the requests that could go elsewhere
+  double traffic_share = 1;  // 0 to 1, of the requests that another zone could serve
   bool is_health_check_relay = false;
 };
 
-// What a relay knows of an upstream route, for one that knows nothing yet. Ages are those of the observations
-// themselves, however often the state was passed on.
+// What a relay knows about an upstream route, for a relay that has just started. Ages count from the
+// observation itself, no matter how many relays have passed the state on.
 struct RouteState {
   DestinationId destination{};
-  EndpointId endpoint{};                          // where it has limits of its own; 0: the destination
-  Seconds retry_after{};                          // what is left of it; 0: none
-  std::optional<Seconds> failure_age{};           // the route is failing: age of the latest failure
-  std::optional<Seconds> recovery_age{};          // the route is in slow start: since when
-  std::optional<Seconds> success_age{};           // of the latest success
-  std::optional<Seconds> rejection_age{};         // of the rejection that reduced the send rate
-  double send_rate{};                             // calls a second of one relay, after that rejection
-  std::optional<Seconds> latency_age{};           // of the latest measurement
-  Seconds latency{};                              // mean duration of a call
-  std::optional<Seconds> hedging_disabled_age{};  // of the rejection that disabled hedging
-};
-
-// State of other relays. It only makes this one more careful: no Retry-After gets shorter, no suspected
-// outage or slow start ends sooner, and nothing is sent that would not be sent without it.
+  EndpointId endpoint{};                   // if it has limits of its own; 0: the destination as a whole
+  Seconds retry_after{};                   // remaining; 0: none
+  std::optional<Seconds> failure_age{};    // age of the latest failure; empty: the route is not failing
+  std::optional<Seconds> recovery_age{};   // time since slow start began; empty: not in slow start
+  std::optional<Seconds> success_age{};    // age of the latest success
+  std::optional<Seconds> rejection_age{};  // age of the rejection that reduced the send rate
+  double send_rate{};                      // calls per second of one relay, after that rejection
+  std::optional<Seconds> latency_age{};    // age of the latest measurement
+  Seconds latency{};                       // mean duration of a call
+  std::optional<Seconds> hedging_disabled_age{};  // age of the rejection that disabled hedging
+};
+
+// Route states from other relays. Merging them only makes this relay more cautious: it shortens no
+// Retry-After, ends no suspected outage or slow start early, and causes no send that would not have happened
+// anyway.
 struct TransferredState {
   std::vector<RouteState> routes;
 };
 
 // ---- time ----------------------------------------------------------------------------------------
 
-// The timer of a SetTimer action is due.
+// The timer set by a SetTimer action has fired.
 struct TimerFired {
   std::uint64_t timer_id{};
 };
 
-// The process is about to end: only calls that can come back before are still sent.
+// The process is shutting down: only calls that are expected to complete in the time left are still sent.
 struct ShutdownStarted {
   Seconds time_left{};
 };
 
-// Nothing more has happened for now. Sends leave only with this, so that requests for one endpoint share a
-// call.
+// No more events are pending. Sends are emitted only in response to this event, so that requests for the same
+// endpoint can share a call.
 struct BatchEnd {};
 
 using Event =
--- a/include/opalroute/request_router.h
+++ b/include/opalroute/request_router.h
@@ -1,9 +1,9 @@
 // The decision library: one RequestRouter decides for one relay process which endpoint gets a request, and
 // when.
 //
-// Events go in, actions come out. The router is pure: it does no I/O, has no clock but the times that it is
-// handed, and draws random numbers from the settings' seed. It is not thread-safe. Nothing throws on the
-// content of an event.
+// Events go in, actions come out. The router is deterministic: it does no I/O, reads the time only from its
+// arguments, and seeds its random numbers from the settings. It is not thread-safe. The content of an event
+// never makes it throw.
 #pragma once
 
 #include <memory>
@@ -26,16 +26,17 @@
   RequestRouter(const RequestRouter&) = delete;
   RequestRouter& operator=(const RequestRouter&) = delete;
 
-  // Handles one event at the time `now` and appends the actions that follow, in order.
+  // Handles one event at the time `now` and appends the resulting actions, in order.
   void Handle(Seconds now, const Event& event, std::vector<Action>& actions);
 
-  // Whether a Send that has waited for its connection may still leave: the endpoint is in service, and no
-  // Retry-After of its route is in force.
+  // Whether a Send that has waited for a connection may still be sent: the endpoint is in service, and its
+  // route has no Retry-After in effect.
   bool MaySend(Seconds now, EndpointId endpoint) const;
 
-  // The state of the routes of up to `most` destinations, from the number `from` on; `from` is then where to
-  // go on, or nothing after the last.
-  std::vector<RouteState> ExportRouteStates(Seconds now, std::optional<DestinationId>& from, int most) const;
+  // Returns the route states of up to `max_destinations` destinations, in the order of their ids, starting at
+  // `from`. Sets `from` to the id to continue at, or to nothing after the last destination.
+  std::vector<RouteState> ExportRouteStates(Seconds now, std::optional<DestinationId>& from,
+                                            int max_destinations) const;
 
  private:
   class Impl;
--- a/include/opalroute/settings.h
+++ b/include/opalroute/settings.h
@@ -1,5 +1,5 @@
-// Settings of the decisions: the deployment's request classes, tenants, limits and rules. Constant for the
-// life of a RequestRouter.
+// Settings of the decision library: the deployment's request classes, tenants, limits and rules. Constant
+// during the lifetime of a RequestRouter.
 #pragma once
 
 #include <cstdint>
@@ -10,86 +10,88 @@
 
 namespace opalroute {
 
-// What a repeated request does at an endpoint.
+// The effect of sending a request to an endpoint more than once.
 enum class Idempotency {
-  kIdempotent,      // no harm: it may be sent again at any time
-  kIdempotencyKey,  // no harm inside the deduplication window of its key and its scope
-  kNonIdempotent,   // a second effect: never sent again once an attempt may have run
+  kIdempotent,      // none: it may be sent again at any time
+  kIdempotencyKey,  // none within the deduplication window and scope of its key
+  kNonIdempotent,   // duplicated: never sent again once an attempt may have run
 };
 
-// The endpoints that recognise a repeated idempotency key.
+// The endpoints among which a repeated idempotency key is recognised.
 enum class DeduplicationScope {
-  kAll,          // all; such a request may also be rejected after an attempt that may have run
-  kDestination,  // those of the destination
-  kZone,         // those in the zone of the first attempt
+  kAll,          // all endpoints; a request may then be rejected even after an attempt that may have run
+  kDestination,  // the endpoints of the destination
+  kZone,         // the endpoints in the zone of the first attempt
 };
 
-// How a request's priority weight falls between its latency objective and its deadline.
+// How a request's priority weight declines between its latency objective and its deadline.
 enum class LateDecay {
-  kLinear,   // evenly, to the weight at the deadline
-  kHalving,  // by half with each further latency objective, and not under the weight at the deadline
+  kLinear,   // linearly, down to the weight at the deadline
+  kHalving,  // by half for each further latency objective, but not below the weight at the deadline
 };
 
-// How well the rates in the endpoint list tell the rate limits.
+// How closely the rates in the endpoint list match the actual rate limits.
 enum class ListedRateAccuracy { kNone, kExact, kRough };
 
 struct RequestClass {
   Idempotency idempotency{};
   DeduplicationScope deduplication_scope{};  // with kIdempotencyKey
   Seconds deduplication_window{};            // with kIdempotencyKey: how long a key is recognised
-  Seconds latency_objective{};               // since it was handed in; full weight inside it
-  Seconds deadline{};                        // since it was handed in; no weight after it
-  double weight_at_deadline{};               // part of the priority weight left at the deadline, 0 to 1
+  Seconds latency_objective{};               // since receipt; full weight until then
+  Seconds deadline{};                        // since receipt; no weight from then on
+  double weight_at_deadline{};               // fraction of the priority weight left at the deadline, 0 to 1
   double priority_weight{};
-  bool ordered_by_key{};  // requests of one key go one at a time, in the order in which they came
+  bool ordered_by_key{};  // requests of one key are sent one at a time, in the order of receipt
 };
 
 struct Tenant {
-  double quota{};  // requests a second over all relays; those beyond it weigh less
+  double quota{};  // requests per second over all relays; excess requests get a lower priority weight
 };
 
 struct EndpointKind {
   bool limits_per_endpoint{};  // each endpoint has a rate limit and outages of its own
-  int max_batch{};             // requests that may share a call
+  int max_batch{};             // maximum number of requests in a call
 };
 
 struct Settings {
   std::vector<RequestClass> classes;
   std::vector<Tenant> tenants;
   std::vector<EndpointKind> kinds;
-  int relay_count{};        // of the fleet, this one among them; 1 or more
-  int concurrency_limit{};  // calls in flight at once
-  int request_capacity{};   // requests held at once
-  int max_attempts{};       // for one request
+  int relay_count{};        // in the fleet, including this one; 1 or more
+  int concurrency_limit{};  // maximum number of calls in flight
+  int request_capacity{};   // maximum number of requests held
+  int max_attempts{};       // per request
   bool may_cancel{};
   bool may_hedge{};
   bool may_health_check{};
-  bool may_send_retry_after{};  // a rejection may say when to come back
+  bool may_send_retry_after{};  // a rejection may carry a Retry-After
   bool may_gossip{};
-  bool poll_endpoint_list{};  // the list comes only when it is asked for
+  bool poll_endpoint_list{};  // changes to the list are not pushed, so it has to be polled
   LateDecay late_decay{};
   ListedRateAccuracy listed_rate_accuracy{};
-  double over_quota_weight{};  // factor on the weight of requests above their tenant's quota
-  Seconds max_retry_after{};   // the longest that clients keep to
-  Seconds tick{};              // batches end on a grid of this
-  // A relay that has not asked for the list for so long counts as notified of each change; 0: never.
+  double over_quota_weight{};  // factor on the priority weight of requests above their tenant's quota
+  Seconds max_retry_after{};   // the longest Retry-After that clients comply with
+  Seconds tick{};              // batches end at multiples of this
+  // A relay that has not polled the list for this long counts as notified of every change; 0: no such rule.
   Seconds max_poll_interval{};
-  // A change to the endpoint list binds so long after discovery had it, whether or not it has arrived.
+  // A change to the endpoint list takes effect this long after discovery got it, even if the relay has not
+  // received it.
   Seconds list_notification_time = 6;
-  // The same after discovery has moved to another address.
+  // The same, after discovery has moved to another address.
   Seconds list_notification_time_after_move = 4;
-  // A watch brings a line at least so often; 0: the end of a watch is always notified.
+  // A watch delivers a line at least this often; 0: no heartbeat, as the end of a watch is always reported.
   Seconds list_heartbeat = 0;
-  // From the notification that an endpoint drains or is removed to the last new call there.
+  // How long after the notification that an endpoint drains or is removed it may still get new calls.
   Seconds drain_grace = 2;
-  // A recovering destination must not get more than factor x present capacity x window in any window.
+  // In any overload window, a recovering destination must get no more calls than
+  // overload_factor * current capacity * overload_window.
   Seconds overload_window{};
   double overload_factor{};
-  double slow_start_initial_share{};  // of capacity, right after an outage
-  Seconds slow_start_duration{};      // until full capacity is back
-  // Pause of an ordering key after an attempt that may still run; none: keys need no pause.
+  double slow_start_initial_share{};  // of the capacity, at the end of an outage
+  Seconds slow_start_duration{};      // until the full capacity is available
+  // How long an ordering key pauses after an attempt that may still be running; empty: no pause.
   std::optional<Seconds> ordered_key_pause;
-  std::uint64_t seed{};  // of all random draws
+  std::uint64_t seed{};  // of the random numbers
 };
 
 }  // namespace opalroute
--- a/include/opalroute/types.h
+++ b/include/opalroute/types.h
@@ -5,7 +5,7 @@
 
 namespace opalroute {
 
-// Seconds on one clock that never goes back. All times of the interface are read off that clock.
+// A time in seconds on a monotonic clock, or a duration. All times of the interface are on the same clock.
 using Seconds = double;
 
 using RequestId = std::uint64_t;
--- a/src/decision/admission.cpp
+++ b/src/decision/admission.cpp
@@ -6,8 +6,8 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kQuotaBurst = 4;           // seconds of a quota that may come at once
-constexpr double kReservedCapacity = 0.05;  // of the request capacity: kept free for new requests
+constexpr double kQuotaBurst = 4;           // seconds of a tenant's quota that may arrive at once
+constexpr double kReservedCapacity = 0.05;  // fraction of the request capacity kept free for new requests
 
 }  // namespace
 
@@ -40,14 +40,14 @@
   return requests_held_ > capacity - std::max(1, static_cast<int>(kReservedCapacity * capacity));
 }
 
-Seconds Admission::RetryAfterAdvice(const Destination& destination) const {
+Seconds Admission::EstimateRetryAfter(const Destination& destination) const {
   double rate = 0;
   for (const Endpoint* endpoint : destination.endpoints) {
     const double send_rate = endpoint->route->rate_limiter.send_rate();
     if (endpoint->IsInService() && endpoint->circuit.IsClosed() && send_rate < kNever) rate += send_rate;
   }
-  const Seconds longest = context_.settings.max_retry_after;
-  return rate > 0 ? std::min(longest, destination.waiting_count / rate) : longest;
+  const Seconds max_retry_after = context_.settings.max_retry_after;
+  return rate > 0 ? std::min(max_retry_after, destination.waiting_count / rate) : max_retry_after;
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/admission.h
+++ b/src/decision/admission.h
@@ -1,4 +1,4 @@
-// How many requests this relay holds, and which of them are within their tenant's quota.
+// Admission control: counts the requests that this relay holds, and applies the tenants' quotas.
 #pragma once
 
 #include <optional>
@@ -16,15 +16,17 @@
  public:
   explicit Admission(const DecisionContext& context);
 
-  // Whether one more request of the tenant is above this relay's part of the quota.
+  // Whether one more request of the tenant exceeds this relay's share of the quota; counts the request
+  // against it if not.
   bool IsOverQuota(std::optional<int> tenant);
+  // Counts a request of the destination as held.
   void Hold(Destination& destination);
-  // The request counts as held no longer.
+  // Stops counting the request as held; later calls for the same request have no effect.
   void Release(Request& request, Destination& destination);
-  // Whether waiting requests have to be rejected, so that new ones find capacity.
+  // Whether waiting requests have to be rejected to keep capacity for new ones.
   bool MustShedLoad() const;
-  // When a request that is rejected now may come back: when the waiting ones could have gone.
-  Seconds RetryAfterAdvice(const Destination& destination) const;
+  // The Retry-After for a request that is rejected now: the estimated time to send all waiting requests.
+  Seconds EstimateRetryAfter(const Destination& destination) const;
 
  private:
   const DecisionContext& context_;
--- a/src/decision/attempt_outcome_handler.cpp
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -32,19 +32,21 @@
   if (outcome.outcome == Outcome::kLocalShortage) ++request->local_shortages;
   --request->in_flight;
   Call& call = calls_.At(attempt.call);
-  const bool is_first = !std::exchange(call.judged, true);
+  const bool is_first_of_call = !std::exchange(call.has_outcome, true);
   const int batch_size = static_cast<int>(call.attempts.size());
-  Endpoint& endpoint = table_.EndpointAt(attempt.endpoint);  // stays while a call is in flight there
+  Endpoint& endpoint = table_.EndpointAt(attempt.endpoint);  // not removed while a call to it is in flight
   calls_.EndAttempt(attempt.call, table_.FindOrAddDestination(request->destination), endpoint);
-  Judge(endpoint, *request, outcome, is_first, batch_size);
+  UpdateEndpoint(endpoint, *request, outcome, is_first_of_call, batch_size);
   idle_connections_.OnCallEnded(endpoint);
   lifecycle_.OnAttemptEnded(*request, outcome.outcome, outcome.request_ended);
 }
 
-// The requests of a batch have one fate, so a failure or rejection counts once for the endpoint and its
-// route: with the batch's first outcome. Counted for each request, one lost batch would open the circuit.
-void AttemptOutcomeHandler::Judge(Endpoint& endpoint, const Request& request, const AttemptOutcome& outcome,
-                                  bool is_first, int batch_size) {
+// The requests of a batch usually fail or are rejected together, so only the first outcome of a call counts
+// as a failure or rejection of the endpoint and its route. Counted per request, one lost batch would open the
+// circuit.
+void AttemptOutcomeHandler::UpdateEndpoint(Endpoint& endpoint, const Request& request,
+                                           const AttemptOutcome& outcome, bool is_first_of_call,
+                                           int batch_size) {
   table_.LearnLimit(endpoint, outcome.load_report.calls_per_second.value_or(0));
   if (outcome.retry_after > 0) {
     endpoint.route->rate_limiter.ExtendRetryAfter(context_.now + outcome.retry_after +
@@ -53,10 +55,10 @@
   if (outcome.outcome == Outcome::kServed) {
     OnServed(endpoint, request, outcome, batch_size);
   } else if (outcome.outcome == Outcome::kRejected) {
-    if (is_first) OnRejected(endpoint, outcome);
+    if (is_first_of_call) OnRejected(endpoint, outcome);
   } else if (outcome.outcome == Outcome::kOutOfConnections) {
     OnOutOfConnections(endpoint);
-  } else if (is_first && !IsInconclusive(outcome.outcome)) {
+  } else if (is_first_of_call && !IsInconclusive(outcome.outcome)) {
     OnFailed(endpoint, outcome, batch_size);
   }
 }
@@ -77,16 +79,17 @@
   health_.OnRejected(endpoint, outcome.retry_after, context_.now - outcome.duration);
 }
 
-// Neither a limit nor an outage: the send rate and the suspicion stay as they are.
+// A shortage of connections is neither a rate limit nor an outage: it changes neither the send rate nor the
+// route's health.
 void AttemptOutcomeHandler::OnOutOfConnections(Endpoint& endpoint) {
   endpoint.SetLatestInObjective(false);
   const bool is_new = idle_connections_.MarkOutOfConnections(endpoint);
   if (is_new && context_.settings.relay_count > kLargeFleet)
-    gossip_.Notify(endpoint, RouteGossip::Kind::kOutOfConnections);
+    gossip_.NotifyPeers(endpoint, RouteGossip::Kind::kOutOfConnections);
 }
 
 void AttemptOutcomeHandler::OnFailed(Endpoint& endpoint, const AttemptOutcome& outcome, int batch_size) {
-  if (outcome.outcome == Outcome::kTimeout)  // the next timeout is longer
+  if (outcome.outcome == Outcome::kTimeout)  // raises the mean latency, and so the next timeout
     endpoint.latency.Add(outcome.duration / BatchStretch(batch_size), context_.now);
   const bool never_ran = outcome.outcome == Outcome::kConnectFailed;
   health_.OnFailed(endpoint, never_ran, context_.now - outcome.duration);
--- a/src/decision/attempt_outcome_handler.h
+++ b/src/decision/attempt_outcome_handler.h
@@ -1,4 +1,4 @@
-// What follows from the outcome of an attempt, for its endpoint and for its request.
+// Applies the outcome of an attempt to its endpoint and to its request.
 #pragma once
 
 #include "decision/call_table.h"
@@ -13,7 +13,7 @@
 
 namespace opalroute::decision {
 
-// Has no state of its own: it notifies the parts that an outcome concerns, in a fixed order.
+// Has no state of its own: passes an outcome to the modules that it affects, in a fixed order.
 class AttemptOutcomeHandler {
  public:
   AttemptOutcomeHandler(DecisionContext& context, EndpointTable& table, RequestTable& requests,
@@ -23,8 +23,8 @@
   void Handle(const AttemptOutcome& outcome);
 
  private:
-  void Judge(Endpoint& endpoint, const Request& request, const AttemptOutcome& outcome, bool is_first,
-             int batch_size);
+  void UpdateEndpoint(Endpoint& endpoint, const Request& request, const AttemptOutcome& outcome,
+                      bool is_first_of_call, int batch_size);
   void OnServed(Endpoint& endpoint, const Request& request, const AttemptOutcome& outcome, int batch_size);
   void OnRejected(Endpoint& endpoint, const AttemptOutcome& outcome);
   void OnOutOfConnections(Endpoint& endpoint);
--- a/src/decision/call_pacer.cpp
+++ b/src/decision/call_pacer.cpp
@@ -17,7 +17,8 @@
   return std::max(wait, route.health.TimeUntilSlowStartCall(SlowStartRate(endpoint), context_.now));
 }
 
-// A trial that was not sent in time lapses, so that relays do not save them up.
+// A trial that was not sent in time lapses and is rescheduled, so that overdue trials of many relays do not
+// accumulate.
 Seconds CallPacer::TimeUntilTrial(Endpoint& endpoint, Seconds wait) {
   RouteHealth& health = endpoint.route->health;
   if (health.next_trial_at() < context_.now - budget_.TrialLapse())
@@ -25,7 +26,8 @@
   return std::max(wait, health.next_trial_at() - context_.now);
 }
 
-// The budget binds relays that have seen a fault; silence alone binds none.
+// The full interval of the recovery budget applies only if this relay has seen a fault on the route. Without
+// one, for example when the circuit opened because of a stall, the interval is at most the overload window.
 Seconds CallPacer::TrialInterval(const Endpoint& endpoint) const {
   const UpstreamRoute& route = *endpoint.route;
   const double capacity = budget_.EstimateCapacity(route.rate_limiter.limit(), endpoint.kind);
--- a/src/decision/call_pacer.h
+++ b/src/decision/call_pacer.h
@@ -1,5 +1,5 @@
-// When an endpoint may get its next call or health check: Retry-After, backoff, rate limit, recovery trials
-// and slow start together.
+// Determines when an endpoint may get its next call or health check, from Retry-After, backoff, rate limit,
+// recovery trials and slow start.
 #pragma once
 
 #include "decision/context.h"
@@ -9,13 +9,14 @@
 
 namespace opalroute::decision {
 
-// Has no state of its own: it combines the limits that a route and an endpoint hold.
+// Has no state of its own: combines the limits kept in routes and endpoints.
 class CallPacer {
  public:
   CallPacer(DecisionContext& context, EndpointHealth& health, const RecoveryBudget& budget,
             const ZoneTraffic& zones);
 
-  // 0: at once. Draws the moment of the next recovery trial where one is needed.
+  // How long until the endpoint may be called; 0: now. Schedules the next recovery trial if one is needed and
+  // the scheduled one has lapsed.
   Seconds TimeUntilCall(Endpoint& endpoint);
   // Counts a call or a health check against all limits.
   void Charge(Endpoint& endpoint);
--- a/src/decision/call_sender.cpp
+++ b/src/decision/call_sender.cpp
@@ -26,11 +26,11 @@
   if (both_look_idle && MayHedgeNow(destination, *pair.second)) SendHedged(destination, pair, batch);
 }
 
-// Differs from NetClone: a recovery trial carries a single request.
+// A recovery trial carries a single request, unlike in NetClone.
 std::vector<Request*> CallSender::TakeBatch(Destination& destination, Endpoint& endpoint) {
   const bool is_trial = endpoint.NeedsTrial();
   const int max_batch = is_trial ? 1 : std::max(1, context_.settings.kinds[endpoint.kind].max_batch);
-  const bool prefers_idempotent = is_trial && !endpoint.circuit.latest_never_ran();
+  const bool prefers_idempotent = is_trial && !endpoint.circuit.last_failure_never_ran();
   std::vector<Request*> batch;
   while (static_cast<int>(batch.size()) < max_batch) {
     const auto bucket = queue_.BestBucket(destination, {&endpoint}, prefers_idempotent);
@@ -54,7 +54,7 @@
   lifecycle_.SendAttempt(request, endpoint, call, stretch);
 }
 
-// Hedged calls use free slots only: none leaves while a request waits.
+// Hedged calls only use slots that nothing else needs: none is sent while any request is waiting.
 bool CallSender::MayHedgeNow(const Destination& destination, Endpoint& second) {
   if (!context_.settings.may_hedge || destination.hedging.disabled()) return false;
   if (!queue_.active_destinations().empty() || calls_.FreeSlots() < 1) return false;
@@ -63,7 +63,7 @@
 
 void CallSender::SendHedged(Destination& destination, EndpointPair pair, const std::vector<Request*>& batch) {
   const double stretch = BatchStretch(static_cast<int>(batch.size()));
-  std::uint64_t call = 0;  // none is open yet
+  std::uint64_t call = 0;  // 0: the hedged call is not open yet
   for (Request* request : batch) {
     if (!MayHedge(*request, *pair.first, *pair.second, context_.settings)) continue;
     if (!destination.hedging.AllowsAnother()) break;
--- a/src/decision/call_sender.h
+++ b/src/decision/call_sender.h
@@ -1,4 +1,4 @@
-// Fills a call with waiting requests and sends it, with a hedged call beside it where that is allowed.
+// Fills a call with waiting requests and sends it, together with a hedged call if allowed.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,8 @@
   CallSender(DecisionContext& context, RequestTable& requests, RequestQueue& queue,
              RequestLifecycle& lifecycle, CallTable& calls, CallPacer& pacer, EndpointHealth& health);
 
-  // At least one waiting request may go to `pair.first`.
+  // Sends a call to `pair.first`, to which at least one waiting request may go, and possibly a hedged call to
+  // `pair.second`.
   void SendCall(Destination& destination, EndpointPair pair);
 
  private:
--- a/src/decision/call_table.cpp
+++ b/src/decision/call_table.cpp
@@ -8,8 +8,8 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kLostCallTimeouts = 1.5;  // call timeouts after which a call counts as lost
-constexpr double kOutlierSlots = 0.3;      // of the concurrency limit: for all outliers together
+constexpr double kLostCallTimeouts = 1.5;  // call timeouts; a call that takes longer counts as lost
+constexpr double kOutlierSlots = 0.3;      // fraction of the concurrency limit that all outliers share
 
 }  // namespace
 
@@ -47,20 +47,20 @@
   return context_.settings.concurrency_limit - static_cast<int>(calls_.size());
 }
 
-bool CallTable::MayHoldAnotherCall(const Endpoint& endpoint) const {
+bool CallTable::MayOpenCall(const Endpoint& endpoint) const {
   if (!endpoint.IsOutlier()) return true;
   std::set<EndpointId> outliers;
   for (const auto& [id, call] : calls_) {
     if (table_.EndpointAt(call.endpoint).IsOutlier()) outliers.insert(call.endpoint);
   }
   const Seconds lost_before = context_.now - kLostCallTimeouts * latency_.CallTimeout(endpoint);
-  const auto live = std::distance(endpoint.in_flight.upper_bound(lost_before), endpoint.in_flight.end());
+  const auto not_lost = std::distance(endpoint.in_flight.upper_bound(lost_before), endpoint.in_flight.end());
   const int slots = static_cast<int>(kOutlierSlots * context_.settings.concurrency_limit);
-  return live < std::max(1, slots / std::max(1, static_cast<int>(outliers.size())));
+  return not_lost < std::max(1, slots / std::max(1, static_cast<int>(outliers.size())));
 }
 
 void CallTable::ReclaimSlot(EndpointHealth& health) {
-  for (auto& [id, call] : calls_) {  // in the order sent
+  for (auto& [id, call] : calls_) {  // in the order in which they were sent
     Endpoint& endpoint = table_.EndpointAt(call.endpoint);
     health.DetectStall(endpoint);
     if (CancelIfOverdue(id, call, endpoint)) return;
@@ -68,9 +68,9 @@
 }
 
 bool CallTable::CancelIfOverdue(std::uint64_t id, Call& call, const Endpoint& endpoint) {
-  const Seconds longest = kLostCallTimeouts * latency_.CallTimeout(endpoint) *
-                          BatchStretch(static_cast<int>(call.attempts.size()));
-  if (!context_.settings.may_cancel || context_.now - call.sent < longest) return false;
+  const Seconds max_duration = kLostCallTimeouts * latency_.CallTimeout(endpoint) *
+                               BatchStretch(static_cast<int>(call.attempts.size()));
+  if (!context_.settings.may_cancel || context_.now - call.sent < max_duration) return false;
   if (std::exchange(call.cancelled, true)) return false;
   for (const AttemptId& attempt_id : call.attempts) {
     Attempt* attempt = FindCancellable(id, attempt_id);
@@ -81,12 +81,13 @@
   return true;
 }
 
-// A batch's requests end one by one: some may have their outcomes, and be forgotten, while others still wait.
-// The attempts of a request that has ended were cancelled with its end.
+// The requests of a batch end one at a time: some may have ended and been removed while others are still
+// pending. When a request ends, its remaining attempts are cancelled with it.
 Attempt* CallTable::FindCancellable(std::uint64_t call, const AttemptId& id) {
   Request* request = requests_.Find(id.request_id);
   if (request == nullptr || request->ended) return nullptr;
-  if (id.index >= static_cast<int>(request->attempts.size())) return nullptr;  // another request of that id
+  if (id.index >= static_cast<int>(request->attempts.size()))
+    return nullptr;  // another request has reused the id
   Attempt& attempt = request->attempts[static_cast<std::size_t>(id.index)];
   return attempt.call == call && attempt.in_flight && !attempt.cancelled ? &attempt : nullptr;
 }
--- a/src/decision/call_table.h
+++ b/src/decision/call_table.h
@@ -1,4 +1,4 @@
-// The calls that are in flight, and how many more an endpoint may hold.
+// The calls in flight, and the limits on how many there may be.
 #pragma once
 
 #include <cstdint>
@@ -13,23 +13,23 @@
 
 namespace opalroute::decision {
 
-// An attempt of a request.
+// Identifies an attempt of a request.
 struct AttemptId {
   RequestId request_id = 0;
   int index = 0;  // into the request's attempts
 };
 
-// One call carries as many requests as were batched.
+// A call in flight, with one attempt for each request in its batch.
 struct Call {
   EndpointId endpoint = 0;
   Seconds sent = 0;
   int pending = 0;  // attempts without an outcome
   bool cancelled = false;
-  bool judged = false;  // an outcome has counted for its endpoint
+  bool has_outcome = false;  // of at least one attempt
   std::vector<AttemptId> attempts;
 };
 
-// Owns the calls in flight, and the counts of them in Endpoint and Destination.
+// Owns the calls in flight, and maintains their counts in Endpoint and Destination.
 class CallTable {
  public:
   CallTable(DecisionContext& context, EndpointTable& table, RequestTable& requests,
@@ -39,19 +39,20 @@
   std::uint64_t Open(Destination& destination, Endpoint& endpoint);
   void AddAttempt(std::uint64_t call, AttemptId attempt);
   Call& At(std::uint64_t call) { return calls_.at(call); }
-  // One attempt has come to its outcome; the call ends with the last one.
+  // Counts one attempt of the call as ended; the call ends with its last attempt.
   void EndAttempt(std::uint64_t call, Destination& destination, Endpoint& endpoint);
 
   int FreeSlots() const;
   std::uint64_t latest_call() const { return latest_call_; }
-  // Outliers share a part of the slots evenly, each with at least one call, else none would recover.
-  bool MayHoldAnotherCall(const Endpoint& endpoint) const;
-  // Lost calls hold slots: cancels the oldest call that has taken much longer than usual.
+  // Whether the endpoint may get one more call. All outliers evenly share a part of the slots; each may have
+  // at least one call, as it could not recover otherwise.
+  bool MayOpenCall(const Endpoint& endpoint) const;
+  // Frees a slot that a lost call occupies: cancels the oldest call that has taken much longer than usual.
   void ReclaimSlot(EndpointHealth& health);
 
  private:
   bool CancelIfOverdue(std::uint64_t id, Call& call, const Endpoint& endpoint);
-  // Null: the attempt has its outcome, or is cancelled already.
+  // Returns null if the attempt already has its outcome or is being cancelled.
   Attempt* FindCancellable(std::uint64_t call, const AttemptId& id);
 
   DecisionContext& context_;
--- a/src/decision/circuit_breaker.cpp
+++ b/src/decision/circuit_breaker.cpp
@@ -3,7 +3,7 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr int kFailuresToOpen = 3;  // in a row
+constexpr int kFailuresToOpen = 3;  // consecutive
 
 }  // namespace
 
@@ -20,11 +20,12 @@
   if (state_ == State::kHalfOpen) state_ = State::kClosed;
 }
 
-// Hundreds of relays find an outage by failed calls, so one failure opens a circuit that is not closed or
-// whose endpoint has served nothing lately; else each relay would lose several calls to it.
-bool CircuitBreaker::CountFailure(bool never_ran, bool served_lately) {
-  latest_never_ran_ = never_ran;
-  return !(++failures_in_row_ < kFailuresToOpen && state_ == State::kClosed && served_lately);
+// A single failure opens a circuit that is not closed or whose endpoint has not served a call recently. With
+// hundreds of relays detecting the same outage, each of them would otherwise lose several calls to the
+// endpoint.
+bool CircuitBreaker::CountFailure(bool never_ran, bool served_recently) {
+  last_failure_never_ran_ = never_ran;
+  return !(++consecutive_failures_ < kFailuresToOpen && state_ == State::kClosed && served_recently);
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -1,4 +1,5 @@
-// What all parts of the decision module share: settings, clock, random draws and the list of actions.
+// The state that all parts of the decision module share: settings, current time, random numbers and output
+// actions.
 #pragma once
 
 #include <utility>
@@ -11,11 +12,11 @@
 
 namespace opalroute::decision {
 
-// One for each router; the parts keep a reference to it.
+// Each router has one; its parts keep a reference to it.
 struct DecisionContext {
   explicit DecisionContext(const Settings& settings);
 
-  // Appends an action of the event that is being handled.
+  // Appends an action in response to the current event.
   template <typename T>
   void Emit(T&& action) {
     actions->emplace_back(std::forward<T>(action));
@@ -23,9 +24,9 @@
 
   const Settings settings;
   Random random;
-  Seconds now = 0;                         // of the event that is being handled
-  std::vector<Action>* actions = nullptr;  // of the event that is being handled
-  double share_count;                      // relays that limits and budgets are divided by; 1 or more
+  Seconds now = 0;                         // time of the current event
+  std::vector<Action>* actions = nullptr;  // output of the current event
+  double share_count;                      // number of relays that share limits and budgets; 1 or more
 };
 
 }  // namespace opalroute::decision
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -11,20 +11,21 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kShutdownLatencies = 2;           // expected latencies that a call needs before the shutdown
-constexpr double kDiversionRedrawsPerWindow = 10;  // in an overload window
+constexpr double kShutdownLatencies = 2;  // expected latencies that must fit before the shutdown
+constexpr double kDiversionRedrawsPerWindow =
+    10;  // how often a diversion is reconsidered per overload window
 
-// A destination's place in the rotation: fewest calls in flight first, then the longest without a call.
-struct Turn {
+// A destination's position in the dispatch order: fewest calls in flight first, then the least recent call.
+struct DispatchPosition {
   int calls_in_flight = 0;
   std::uint64_t latest_call = 0;
   DestinationId id = 0;
   Destination* destination = nullptr;
 
-  explicit Turn(Destination& of)
+  explicit DispatchPosition(Destination& of)
       : calls_in_flight(of.calls_in_flight), latest_call(of.latest_call), id(of.id), destination(&of) {}
 
-  bool operator>(const Turn& other) const {
+  bool operator>(const DispatchPosition& other) const {
     return std::tie(calls_in_flight, latest_call, id) >
            std::tie(other.calls_in_flight, other.latest_call, other.id);
   }
@@ -49,20 +50,20 @@
   if (queue_.active_destinations().empty()) return next_due;
   if (calls_.FreeSlots() <= 0) calls_.ReclaimSlot(health_);
   if (calls_.FreeSlots() <= 0) return next_due;
-  std::priority_queue<Turn, std::vector<Turn>, std::greater<>> turns;
-  for (const auto& [id, destination] : queue_.active_destinations()) turns.emplace(*destination);
-  while (!turns.empty() && calls_.FreeSlots() > 0) {
-    Destination& destination = *turns.top().destination;
-    turns.pop();
+  std::priority_queue<DispatchPosition, std::vector<DispatchPosition>, std::greater<>> order;
+  for (const auto& [id, destination] : queue_.active_destinations()) order.emplace(*destination);
+  while (!order.empty() && calls_.FreeSlots() > 0) {
+    Destination& destination = *order.top().destination;
+    order.pop();
     const std::uint64_t latest_call = calls_.latest_call();
-    next_due = std::min(next_due, SendOne(destination));
-    if (calls_.latest_call() > latest_call && destination.waiting_count > 0) turns.emplace(destination);
+    next_due = std::min(next_due, SendOneCall(destination));
+    if (calls_.latest_call() > latest_call && destination.waiting_count > 0) order.emplace(destination);
   }
   return next_due;
 }
 
-// Returns when it may be tried again, if nothing could leave.
-Seconds Dispatcher::SendOne(Destination& destination) {
+// Returns when to try again if no call could be sent; kNever: a call was sent, or time alone changes nothing.
+Seconds Dispatcher::SendOneCall(Destination& destination) {
   const Seconds now = context_.now;
   if (now + kShutdownLatencies * latency_.Expected(destination) >= shutdown_at_) return kNever;
   Seconds next_due = kNever;
@@ -79,7 +80,7 @@
       if (!MaySendTrial(destination, *endpoint)) continue;
       sender_.SendCall(destination, {endpoint, nullptr});
       return kNever;
-    } else if (calls_.MayHoldAnotherCall(*endpoint)) {
+    } else if (calls_.MayOpenCall(*endpoint)) {
       ready.push_back(endpoint);
     }
   }
@@ -90,8 +91,8 @@
 }
 
 bool Dispatcher::MaySendTrial(const Destination& destination, Endpoint& endpoint) const {
-  if (IsHealthChecked(endpoint, context_.settings)) return false;  // a health check goes instead
-  return calls_.MayHoldAnotherCall(endpoint) && queue_.BestBucket(destination, {&endpoint}, true);
+  if (NeedsHealthCheck(endpoint, context_.settings)) return false;  // recovers by health checks instead
+  return calls_.MayOpenCall(endpoint) && queue_.BestBucket(destination, {&endpoint}, true);
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/dispatcher.h
+++ b/src/decision/dispatcher.h
@@ -1,4 +1,4 @@
-// Gives free slots to destinations with waiting requests, and chooses the endpoints.
+// Assigns free slots to destinations with waiting requests, and chooses the endpoints of their calls.
 #pragma once
 
 #include <vector>
@@ -14,20 +14,20 @@
 
 namespace opalroute::decision {
 
-// Owns the time of the shutdown.
+// Owns the shutdown time.
 class Dispatcher {
  public:
   Dispatcher(DecisionContext& context, const RequestQueue& queue, const LatencyEstimator& latency,
              ZoneTraffic& zones, EndpointHealth& health, CallPacer& pacer, CallTable& calls,
              CallSender& sender);
 
-  // Sends what may leave now. Returns when more may leave; kNever: not by time alone.
+  // Sends all calls that may be sent now. Returns when to try again; kNever: not before another event.
   Seconds Dispatch();
-  // The process ends at `at`: calls that would usually come back later are left to the next process.
+  // The process ends at `at`: calls that are unlikely to complete by then are left to the next process.
   void ShutDownAt(Seconds at) { shutdown_at_ = at; }
 
  private:
-  Seconds SendOne(Destination& destination);
+  Seconds SendOneCall(Destination& destination);
   bool MaySendTrial(const Destination& destination, Endpoint& endpoint) const;
 
   DecisionContext& context_;
--- a/src/decision/endpoint_health.cpp
+++ b/src/decision/endpoint_health.cpp
@@ -5,7 +5,7 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kServedLately = 2;  // overload windows
+constexpr double kRecentServeWindow = 2;  // overload windows
 
 }  // namespace
 
@@ -33,8 +33,8 @@
   if (endpoint.circuit.IsOpen()) return;
   if (!IsInRecovery(endpoint)) endpoint.route->health.ScheduleFirstTrial(context_.now, budget_);
   endpoint.circuit.Open(context_.now);
-  table_.AddToMaintenance(endpoint.endpoint);
-  LogState(endpoint, after_failure ? "circuit open, calls fail" : "circuit open, nothing comes back");
+  table_.MarkForCheck(endpoint.endpoint);
+  LogState(endpoint, after_failure ? "circuit opened, calls fail" : "circuit opened, no responses");
 }
 
 void EndpointHealth::StartSlowStart(UpstreamRoute& route) {
@@ -48,30 +48,31 @@
   endpoint.last_served = context_.now;
   endpoint.circuit.OnServed();
   route.rate_limiter.OnServed();
-  IsInRecovery(endpoint);  // brings the suspicion up to date
-  // Calls that hung in an outage, or were in flight as a route closed, are served late and to many relays at
-  // once. They must not end the suspicion, else all these relays would call the route together.
+  IsInRecovery(endpoint);  // updates the route's health
+  // Calls that hung during an outage, or were in flight when the route started to reject with a long
+  // Retry-After, are served late, and for many relays at once. They must not end the suspected outage, or all
+  // these relays would call the route at the same time.
   const Seconds window = context_.settings.overload_window;
-  const bool is_closed = route.rate_limiter.retry_after_until() > context_.now + window;
-  if (sent < health.fault_at() && (health.IsSuspectedOut() || is_closed)) return;
+  const bool has_long_retry_after = route.rate_limiter.retry_after_until() > context_.now + window;
+  if (sent < health.fault_at() && (health.IsSuspectedOut() || has_long_retry_after)) return;
   const bool was_out =
       health.in_recovery() || (health.has_faults() && context_.now - endpoint.circuit.opened_at() >= window);
   const bool has_recovered = was_out && endpoint.NeedsTrial();
   health.OnServed(context_.now);
   if (has_recovered) {
     StartSlowStart(route);
-    gossip_.Notify(endpoint, RouteGossip::Kind::kRecovered);
+    gossip_.NotifyPeers(endpoint, RouteGossip::Kind::kRecovered);
   }
   if (endpoint.circuit.IsOpen()) CloseCircuits(endpoint, has_recovered);
 }
 
 void EndpointHealth::CloseCircuits(Endpoint& endpoint, bool after_outage) {
   const auto state = after_outage ? CircuitBreaker::State::kHalfOpen : CircuitBreaker::State::kClosed;
-  endpoint.circuit.SetRecovered(state);
-  LogState(endpoint, after_outage ? "served again, slow start" : "served again, circuit closed");
-  for (Endpoint* other : table_.DestinationOf(endpoint).endpoints) {  // those that were only suspected
+  endpoint.circuit.RecoverTo(state);
+  LogState(endpoint, after_outage ? "serves calls again, slow start" : "serves calls again, circuit closed");
+  for (Endpoint* other : table_.DestinationOf(endpoint).endpoints) {  // opened without failures of their own
     if (other->route == endpoint.route && !other->circuit.has_failures() && other->circuit.IsOpen())
-      other->circuit.SetRecovered(state);
+      other->circuit.RecoverTo(state);
   }
 }
 
@@ -79,19 +80,21 @@
   UpstreamRoute& route = *endpoint.route;
   route.health.CountFault(sent, context_.now);
   route.rate_limiter.OnRejected(context_);
-  if (route.rate_limiter.ReduceSendRate(context_)) gossip_.Notify(endpoint, RouteGossip::Kind::kRejected);
-  // A route that is closed rejects like a full limit, but for longer.
+  if (route.rate_limiter.ReduceSendRate(context_))
+    gossip_.NotifyPeers(endpoint, RouteGossip::Kind::kRejected);
+  // A Retry-After longer than the overload window indicates an outage rather than an exceeded rate limit.
   if (retry_after > context_.settings.overload_window) route.health.CountLongRetryAfter();
 }
 
 void EndpointHealth::OnFailed(Endpoint& endpoint, bool never_ran, Seconds sent) {
   endpoint.route->health.CountFault(sent, context_.now);
   endpoint.SetLatestInObjective(false);
-  const Seconds lately = context_.now - kServedLately * context_.settings.overload_window;
-  if (!endpoint.circuit.CountFailure(never_ran, endpoint.last_served > lately)) return;
+  const Seconds recently = context_.now - kRecentServeWindow * context_.settings.overload_window;
+  if (!endpoint.circuit.CountFailure(never_ran, endpoint.last_served > recently)) return;
   OpenCircuit(endpoint, true);
-  for (Endpoint* other : table_.DestinationOf(endpoint).endpoints) {  // an outage mostly takes a whole route
-    if (other->route == endpoint.route && other->last_served <= lately) OpenCircuit(*other, true);
+  for (Endpoint* other :
+       table_.DestinationOf(endpoint).endpoints) {  // an outage usually affects the whole route
+    if (other->route == endpoint.route && other->last_served <= recently) OpenCircuit(*other, true);
   }
 }
 
--- a/src/decision/endpoint_health.h
+++ b/src/decision/endpoint_health.h
@@ -1,5 +1,5 @@
-// Moves endpoints and their routes between served, suspected to be out, recovering and slow start, as calls
-// and health checks end.
+// Moves endpoints and their routes between healthy, suspected outage and slow start, by the outcomes of calls
+// and health checks.
 #pragma once
 
 #include "decision/context.h"
@@ -10,22 +10,24 @@
 
 namespace opalroute::decision {
 
-// Has no state of its own: it moves RouteHealth and CircuitBreaker together.
+// Has no state of its own: keeps the states of RouteHealth and CircuitBreaker consistent.
 class EndpointHealth {
  public:
   EndpointHealth(DecisionContext& context, EndpointTable& table, RecoveryBudget& budget,
                  const LatencyEstimator& latency, GossipSender& gossip);
 
-  // Whether calls to the endpoint are limited to recovery trials or slow start. Brings its state up to date.
+  // Whether the endpoint may only get recovery trials or calls at the rate of slow start. Updates its state
+  // first.
   bool IsInRecovery(Endpoint& endpoint);
-  // Opens the circuit where nothing has come back for much longer than usual, whatever the cause.
+  // Opens the circuit if the oldest call in flight takes much longer than usual and nothing has been served
+  // since it was sent, whatever the cause.
   void DetectStall(Endpoint& endpoint);
-  // Opens the circuit, after a failure or (false) because nothing comes back.
+  // Opens the circuit, after a failure or, if `after_failure` is false, for lack of responses.
   void OpenCircuit(Endpoint& endpoint, bool after_failure);
-  // Starts the slow start of a route that serves again.
+  // Starts slow start on a route that serves calls again.
   void StartSlowStart(UpstreamRoute& route);
 
-  // Outcomes of calls and health checks that were sent at `sent`.
+  // Handle the outcome of a call or health check that was sent at `sent`.
   void OnServed(Endpoint& endpoint, Seconds sent);
   void OnRejected(Endpoint& endpoint, Seconds retry_after, Seconds sent);
   void OnFailed(Endpoint& endpoint, bool never_ran, Seconds sent);
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -6,14 +6,14 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kRenewalsPerTerm = 4;       // in the shortest term, if the spread leaves time for them
-constexpr double kSpacingJitter = 0.25;      // of a spacing, at most added: relays drift apart
-constexpr double kHeartbeatTolerance = 1.4;  // heartbeats without a line after which the watch is silent
+constexpr double kRenewalsPerTerm = 4;   // per shortest term, unless the spread is longer than their spacing
+constexpr double kSpacingJitter = 0.25;  // maximum, as a fraction of the spacing; desynchronizes the relays
+constexpr double kHeartbeatTolerance = 1.4;  // heartbeat intervals without a line before the list is renewed
 constexpr int kSmallFleet = 8;               // relays
-constexpr Seconds kSpreadPerRelay = 0.05;    // so that discovery gets calls evenly
+constexpr Seconds kSpreadPerRelay = 0.05;    // spreads the calls to discovery evenly
 
-// A relay that has not polled for Settings::max_poll_interval counts as notified, too.
-Seconds Term(const Settings& settings) {
+// A relay that has not polled the list for Settings::max_poll_interval also counts as notified.
+Seconds LeaseTerm(const Settings& settings) {
   const Seconds notified = settings.list_notification_time;
   const Seconds poll = settings.max_poll_interval;
   return poll > 0 ? std::min(notified, poll) : notified;
@@ -21,13 +21,14 @@
 
 }  // namespace
 
-// A drain binds whether or not it was received, so the spread is never longer than the drain's grace.
+// A drain takes effect even if the relay has not received it, so the spread is at most the drain grace
+// period.
 EndpointListLease::EndpointListLease(const Settings& settings)
-    : term_(Term(settings)),
+    : term_(LeaseTerm(settings)),
       term_after_move_(std::min(settings.list_notification_time_after_move, term_)),
       heartbeat_(settings.list_heartbeat),
       is_small_fleet_(settings.relay_count <= kSmallFleet),
-      changes_are_sent_(!settings.poll_endpoint_list),
+      changes_are_pushed_(!settings.poll_endpoint_list),
       spread_(std::min(settings.drain_grace, kSpreadPerRelay * settings.relay_count)),
       random_(settings.seed) {}
 
@@ -44,21 +45,21 @@
 }
 
 void EndpointListLease::BeginFromCache(Seconds now) {
-  if (changes_are_sent_ && heartbeat_ <= 0) return;
-  next_renewal_ = is_small_fleet_ || changes_are_sent_ ? now : now + DrawDelay();
+  if (changes_are_pushed_ && heartbeat_ <= 0) return;
+  next_renewal_ = is_small_fleet_ || changes_are_pushed_ ? now : now + DrawSpreadDelay();
   expires_at_ = now + term_;
 }
 
 void EndpointListLease::Confirm(Seconds now) {
   const bool end_is_notified = heartbeat_ <= 0;
-  next_renewal_ = end_is_notified ? kNever : now + kHeartbeatTolerance * heartbeat_ + DrawDelay();
+  next_renewal_ = end_is_notified ? kNever : now + kHeartbeatTolerance * heartbeat_ + DrawSpreadDelay();
   expires_at_ = end_is_notified ? kNever : now + term_;
 }
 
-// The spacing counts from the attempt before, so one that fails at once does not bring the next one forward.
+// The spacing counts from the previous attempt, so a quick failure does not advance the next attempt.
 void EndpointListLease::OnWatchFailed(Seconds now) {
   const Seconds spaced = latest_renewal_ + DrawSpacing();
-  const Seconds delayed = now + DrawDelay();
+  const Seconds delayed = now + DrawSpreadDelay();
   next_renewal_ = std::min(next_renewal_, std::max(delayed, spaced));
   expires_at_ = std::min(expires_at_, now + term_);
 }
@@ -75,13 +76,13 @@
   return true;
 }
 
-std::optional<bool> EndpointListLease::TakeChange(Seconds now) {
+std::optional<bool> EndpointListLease::TakeExpiryChange(Seconds now) {
   const bool expired = now > expires_at_;
   if (std::exchange(was_expired_, expired) == expired) return std::nullopt;
   return expired;
 }
 
-Seconds EndpointListLease::DrawDelay() { return spread_ * random_.Unit(); }
+Seconds EndpointListLease::DrawSpreadDelay() { return spread_ * random_.Unit(); }
 
 Seconds EndpointListLease::DrawSpacing() {
   const Seconds spacing = std::max(term_after_move_ / kRenewalsPerTerm, spread_);
--- a/src/decision/endpoint_list_lease.h
+++ b/src/decision/endpoint_list_lease.h
@@ -1,10 +1,11 @@
 // The lease on the endpoint list: how long the list counts as current, and when to renew it.
 //
-// A change to the list binds a relay a fixed time after discovery had it, whether or not it has arrived. So
-// attempts to renew overlap: the next one begins at its time, whatever became of those before, and no failure
-// delays it. Attempts keep a fixed spacing, a part of the shortest term: discovery that comes back after an
-// outage is called within one spacing, and overloaded discovery gets no more than one call a spacing. A lease
-// that has expired stops nothing: the list stays in use, and the attempts go on.
+// A change to the list takes effect for a relay a fixed time after discovery got it, even if the relay has
+// not received it. Renewal attempts may therefore overlap: the next one starts on schedule regardless of the
+// outcome of earlier ones, and no failure delays it. The spacing of attempts is a fraction of the shortest
+// term, plus jitter, so discovery gets an attempt within one spacing after it comes back from an outage, and
+// an overloaded discovery service gets at most one per spacing. An expired lease stops nothing: the list
+// stays in use, and the attempts continue.
 #pragma once
 
 #include <optional>
@@ -16,40 +17,40 @@
 
 namespace opalroute::decision {
 
-// Owns the term of the list and the times of renewals; draws from a generator of its own.
+// Owns the term of the lease and the times of renewal attempts; uses a random number generator of its own.
 class EndpointListLease {
  public:
-  // Takes the terms, the grace of drains, the size of the fleet and the seed from the settings.
+  // Uses the settings on the endpoint list, the drain grace period, the fleet size and the seed.
   explicit EndpointListLease(const Settings& settings);
 
-  // Discovery has sent a list, or an attempt to watch it has failed. A cached list, of an earlier process,
-  // has to be renewed; where changes come by themselves and no watch brings them there is nothing to renew.
+  // Discovery has sent a list, or a watch has failed or ended. A list cached by an earlier process has to be
+  // renewed, unless changes are pushed and there is no watch heartbeat.
   void OnListUpdate(ListScope scope, Seconds now);
-  // The watch has brought a line: the list is current.
+  // The watch has delivered a line: the list is current.
   void Confirm(Seconds now);
-  // Discovery has another address now: an attempt to renew is due at once.
+  // Discovery has a new address: a renewal is due immediately.
   void OnDiscoveryMoved(Seconds now);
 
-  // True once for each attempt to renew that is due; the caller begins it.
+  // Returns true once for each renewal attempt that is due; the caller starts it.
   bool TakeDueRenewal(Seconds now);
-  // When the next attempt is due; kNever: none, as a watch stands whose end is always notified.
+  // When the next attempt is due; kNever: none, as the end of the watch or a change is always notified.
   Seconds next_renewal() const { return next_renewal_; }
-  // Whether the lease has expired, so that an unknown change may bind; nothing if that has not changed since
-  // the last call.
-  std::optional<bool> TakeChange(Seconds now);
+  // Returns whether the lease has expired, so that an unknown change may be in effect; nothing if that has
+  // not changed since the last call.
+  std::optional<bool> TakeExpiryChange(Seconds now);
 
  private:
   void BeginFromCache(Seconds now);
   void OnWatchFailed(Seconds now);
-  Seconds DrawDelay();
+  Seconds DrawSpreadDelay();
   Seconds DrawSpacing();
 
   const Seconds term_;  // of the lease
   const Seconds term_after_move_;
-  const Seconds heartbeat_;      // of the watch; 0: none
-  const bool is_small_fleet_;    // all relays may call discovery at once
-  const bool changes_are_sent_;  // without being polled for
-  const Seconds spread_;         // over which the relays of a fleet draw the times of their attempts
+  const Seconds heartbeat_;        // of the watch; 0: none
+  const bool is_small_fleet_;      // so small that all relays may call discovery at once
+  const bool changes_are_pushed_;  // not only delivered when polled
+  const Seconds spread_;           // time over which the relays of a fleet spread their attempts
   Random random_;
   Seconds latest_renewal_ = -kNever;
   Seconds next_renewal_ = kNever;
--- a/src/decision/endpoint_table.cpp
+++ b/src/decision/endpoint_table.cpp
@@ -10,15 +10,15 @@
 void EndpointTable::Apply(const ListUpdate& update) {
   if (update.scope == ListScope::kWatchFailed) return;
   if (update.scope != ListScope::kChanges) {
-    for (auto& [id, endpoint] : endpoints_) {  // those that the list names are placed again below
+    for (auto& [id, endpoint] : endpoints_) {  // listed ones get their status back below
       endpoint.status = EndpointStatus::kRemoved;
-      AddToMaintenance(id);
+      MarkForCheck(id);
     }
   }
-  for (const ListedEndpoint& entry : update.entries) Place(entry);
+  for (const ListedEndpoint& entry : update.entries) AddOrUpdate(entry);
 }
 
-void EndpointTable::Place(const ListedEndpoint& entry) {
+void EndpointTable::AddOrUpdate(const ListedEndpoint& entry) {
   const auto [it, is_new] = endpoints_.try_emplace(entry.endpoint);
   Endpoint& endpoint = it->second;
   static_cast<ListedEndpoint&>(endpoint) = entry;
@@ -29,7 +29,7 @@
     std::vector<Endpoint*>& endpoints = destination.endpoints;
     endpoints.insert(std::upper_bound(endpoints.begin(), endpoints.end(), &endpoint, by_id), &endpoint);
   }
-  if (endpoint.status == EndpointStatus::kRemoved) AddToMaintenance(entry.endpoint);
+  if (endpoint.status == EndpointStatus::kRemoved) MarkForCheck(entry.endpoint);
   const bool has_own_route = context_.settings.kinds[endpoint.kind].limits_per_endpoint;
   endpoint.route = has_own_route ? &endpoint.own_route : &destination.route;
   if (context_.settings.listed_rate_accuracy != ListedRateAccuracy::kNone)
--- a/src/decision/gossip_receiver.cpp
+++ b/src/decision/gossip_receiver.cpp
@@ -33,7 +33,7 @@
 void GossipReceiver::OnRecovered(Endpoint& endpoint) {
   if (!endpoint.NeedsTrial()) return;
   UpstreamRoute& route = *endpoint.route;
-  if (route.health.slow_start_at() != context_.now) health_.StartSlowStart(route);  // once for a route
+  if (route.health.slow_start_at() != context_.now) health_.StartSlowStart(route);  // once per route
   endpoint.circuit.HalfOpenIfOpen();
 }
 
--- a/src/decision/gossip_receiver.h
+++ b/src/decision/gossip_receiver.h
@@ -1,4 +1,4 @@
-// What follows from another relay's datagram on an upstream route.
+// Applies another relay's datagram about an upstream route.
 #pragma once
 
 #include "decision/context.h"
--- a/src/decision/gossip_sender.cpp
+++ b/src/decision/gossip_sender.cpp
@@ -12,10 +12,10 @@
 GossipSender::GossipSender(DecisionContext& context, EndpointTable& table)
     : context_(context), table_(table), budget_{kBurst, 0} {}
 
-// One datagram spares each of hundreds of relays a rejected call of its own. The budget holds while relays
-// are cut off from one another and each would notify all: a relay's part of one datagram per span and
-// endpoint.
-void GossipSender::Notify(const Endpoint& endpoint, RouteGossip::Kind kind) {
+// One datagram saves each of hundreds of relays a rejected call of its own. If relays cannot reach one
+// another, each notifies all of them, so the budget allows a relay only its share of one datagram per
+// endpoint and rate control span.
+void GossipSender::NotifyPeers(const Endpoint& endpoint, RouteGossip::Kind kind) {
   const Settings& settings = context_.settings;
   const double rate = static_cast<int>(table_.endpoints().size()) /
                       (settings.relay_count * kRateControlSpan * settings.overload_window);
--- a/src/decision/gossip_sender.h
+++ b/src/decision/gossip_sender.h
@@ -1,4 +1,4 @@
-// Notifies the other relays of events on upstream routes, within a budget.
+// Notifies the other relays of events on upstream routes, limited by a budget.
 #pragma once
 
 #include "decision/context.h"
@@ -8,13 +8,13 @@
 
 namespace opalroute::decision {
 
-// Owns the budget of datagrams.
+// Owns the budget for datagrams.
 class GossipSender {
  public:
   GossipSender(DecisionContext& context, EndpointTable& table);
 
-  // Sends one datagram to all relays, unless the settings or the budget forbid it.
-  void Notify(const Endpoint& endpoint, RouteGossip::Kind kind);
+  // Sends one datagram to all peers, unless the settings or the budget forbid it.
+  void NotifyPeers(const Endpoint& endpoint, RouteGossip::Kind kind);
 
  private:
   DecisionContext& context_;
--- a/src/decision/health_check.cpp
+++ b/src/decision/health_check.cpp
@@ -8,17 +8,18 @@
 namespace opalroute::decision {
 namespace {
 
-// A removed endpoint stays until its last call has ended, another one until its circuit is no longer open.
-bool NeedsMaintenance(const Endpoint& endpoint) {
+// Whether the endpoint has to be looked at again in the next batch: a removed endpoint until its last call
+// has ended, any other until its circuit is no longer open.
+bool MustStayMarked(const Endpoint& endpoint) {
   if (endpoint.status != EndpointStatus::kRemoved) return endpoint.circuit.IsOpen();
   return !endpoint.in_flight.empty() || endpoint.health_check_in_flight;
 }
 
 }  // namespace
 
-bool IsHealthChecked(const Endpoint& endpoint, const Settings& settings) {
+bool NeedsHealthCheck(const Endpoint& endpoint, const Settings& settings) {
   return settings.may_health_check && !endpoint.health_check_in_flight &&
-         !endpoint.circuit.latest_never_ran();
+         !endpoint.circuit.last_failure_never_ran();
 }
 
 HealthChecker::HealthChecker(DecisionContext& context, EndpointTable& table, EndpointHealth& health,
@@ -27,16 +28,16 @@
 
 Seconds HealthChecker::OnBatchEnd() {
   Seconds next_due = kNever;
-  std::set<EndpointId>& under_maintenance = table_.under_maintenance();
-  for (auto it = under_maintenance.begin(); it != under_maintenance.end();) {
+  std::set<EndpointId>& marked = table_.endpoints_to_check();
+  for (auto it = marked.begin(); it != marked.end();) {
     Endpoint& endpoint = table_.EndpointAt(*it);
-    if (NeedsMaintenance(endpoint)) {
-      if (IsHealthChecked(endpoint, context_.settings) && endpoint.IsInService())
+    if (MustStayMarked(endpoint)) {
+      if (NeedsHealthCheck(endpoint, context_.settings) && endpoint.IsInService())
         next_due = std::min(next_due, CheckIfDue(endpoint));
       ++it;
     } else {
       if (endpoint.status == EndpointStatus::kRemoved) table_.Remove(endpoint);
-      it = under_maintenance.erase(it);
+      it = marked.erase(it);
     }
   }
   return next_due;
@@ -60,7 +61,7 @@
   table_.LearnLimit(*endpoint, outcome.load_report.calls_per_second.value_or(0));
   const Seconds sent = context_.now - outcome.duration;
   if (outcome.outcome == Outcome::kServed && endpoint->circuit.IsOpen()) {
-    endpoint->circuit.HalfOpenIfOpen();  // a health check shows little: calls start slowly
+    endpoint->circuit.HalfOpenIfOpen();  // a passed health check proves little, so calls start slowly
     health_.StartSlowStart(*endpoint->route);
   } else if (outcome.outcome == Outcome::kRejected) {
     health_.OnRejected(*endpoint, 0, sent);
--- a/src/decision/health_check.h
+++ b/src/decision/health_check.h
@@ -1,4 +1,4 @@
-// Health checks of endpoints whose circuit is open, and the removal of endpoints that have left.
+// Health checks of endpoints whose circuit is open, and the deletion of endpoints removed from the list.
 #pragma once
 
 #include "decision/call_pacer.h"
@@ -9,18 +9,18 @@
 
 namespace opalroute::decision {
 
-// Whether a health check takes the place of recovery trials with requests. Not where the latest failure
-// proved that the call had not run: there a request risks nothing.
-bool IsHealthChecked(const Endpoint& endpoint, const Settings& settings);
+// Whether a health check replaces recovery trials with requests. False if one is already in flight, or if the
+// last failure proves that the call did not run, as a request then risks nothing.
+bool NeedsHealthCheck(const Endpoint& endpoint, const Settings& settings);
 
-// Owns which endpoints have a health check in flight.
+// Owns Endpoint::health_check_in_flight.
 class HealthChecker {
  public:
   HealthChecker(DecisionContext& context, EndpointTable& table, EndpointHealth& health, CallPacer& pacer,
                 ZoneTraffic& zones);
 
-  // Removes endpoints that have left and starts the health checks that are due. Returns when the next one
-  // is due; kNever: none.
+  // Deletes removed endpoints that are no longer in use, and starts the health checks that are due. Returns
+  // when the next check is due; kNever: none.
   Seconds OnBatchEnd();
   void OnOutcome(const HealthCheckOutcome& outcome);
 
--- a/src/decision/hedging.cpp
+++ b/src/decision/hedging.cpp
@@ -7,7 +7,7 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kHedgedShare = 0.1;  // hedged requests per first send of a destination
+constexpr double kHedgedShare = 0.1;  // maximum ratio of hedged requests to first sends
 
 }  // namespace
 
@@ -29,9 +29,9 @@
   const RequestClass& request_class = settings.classes[request.request_class];
   if (request_class.idempotency == Idempotency::kNonIdempotent) return false;
   if (request.attempts.size() > 1 || settings.max_attempts < 2) return false;
-  const bool bound_to_zone = request_class.idempotency == Idempotency::kIdempotencyKey &&
-                             request_class.deduplication_scope == DeduplicationScope::kZone;
-  return !bound_to_zone || second.zone == first.zone;
+  const bool is_bound_to_zone = request_class.idempotency == Idempotency::kIdempotencyKey &&
+                                request_class.deduplication_scope == DeduplicationScope::kZone;
+  return !is_bound_to_zone || second.zone == first.zone;
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/hedging.h
+++ b/src/decision/hedging.h
@@ -1,4 +1,4 @@
-// Hedged requests: their budget at one destination, and which requests may be hedged.
+// Hedged requests: the budget of a destination, and which requests may be hedged.
 #pragma once
 
 #include "decision/never.h"
@@ -9,17 +9,17 @@
 
 struct Endpoint;
 
-// Counts first sends and hedged requests of one destination; hedging is disabled after a rejection.
+// Counts the first sends and hedged requests of one destination, and whether hedging is disabled there.
 class HedgingBudget {
  public:
   void CountFirstSend() { ++first_sends_; }
-  // Whether one more hedged request stays within the budget.
+  // Whether the budget allows one more hedged request.
   bool AllowsAnother() const;
   void CountHedged() { ++hedged_; }
-  // After a rejection, until a request is served.
+  // Disables hedging after a rejection, until a request is served.
   void Disable(Seconds now);
   void Enable() { disabled_ = false; }
-  // Another relay disabled hedging at `disabled_at`.
+  // Disables hedging because another relay did so at `disabled_at`; no effect if it is disabled already.
   void MergeDisabled(Seconds disabled_at);
 
   bool disabled() const { return disabled_; }
@@ -32,7 +32,7 @@
   Seconds disabled_at_ = -kNever;
 };
 
-// Whether a second attempt at `second` may run beside the one just sent to `first`.
+// Whether the request may be hedged with an attempt at `second`, right after its attempt at `first` was sent.
 bool MayHedge(const Request& request, const Endpoint& first, const Endpoint& second,
               const Settings& settings);
 
--- a/src/decision/idle_connections.cpp
+++ b/src/decision/idle_connections.cpp
@@ -7,7 +7,7 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kShortageTime = 4;  // slow start durations for which a shortage of connections lasts
+constexpr double kShortageDuration = 4;  // slow start durations for which a shortage of connections counts
 
 }  // namespace
 
@@ -22,11 +22,11 @@
 void IdleConnections::OnCallEnded(const Endpoint& endpoint) {
   const Settings& settings = context_.settings;
   if (!endpoint.in_flight.empty()) return;
-  // Without gossip nobody who holds a connection hears that others find none.
+  // Without gossip, a relay that holds connections does not learn that others cannot get one.
   const bool is_large_fleet_without_gossip = settings.relay_count > kLargeFleet && !settings.may_gossip;
-  const bool is_short =
-      context_.now - endpoint.out_of_connections_at < kShortageTime * settings.slow_start_duration;
-  if (is_large_fleet_without_gossip || zones_.IsEvacuated(endpoint.zone) || is_short)
+  const bool lacks_connections =
+      context_.now - endpoint.out_of_connections_at < kShortageDuration * settings.slow_start_duration;
+  if (is_large_fleet_without_gossip || zones_.IsEvacuated(endpoint.zone) || lacks_connections)
     CloseAtBatchEnd(endpoint.endpoint);
 }
 
--- a/src/decision/idle_connections.h
+++ b/src/decision/idle_connections.h
@@ -1,4 +1,5 @@
-// Decides where idle connections are closed: idle connections of many relays fill an endpoint's table.
+// Decides which idle connections to close: those of many relays together can use up an endpoint's connection
+// limit.
 #pragma once
 
 #include <set>
@@ -9,17 +10,18 @@
 
 namespace opalroute::decision {
 
-// Owns the endpoints whose idle connections are to be closed.
+// Owns the set of endpoints whose idle connections are to be closed.
 class IdleConnections {
  public:
   IdleConnections(DecisionContext& context, EndpointTable& table, const ZoneTraffic& zones);
 
-  // The endpoint is short of connections. Whether that was not known: relays that start later have not heard
-  // of it.
+  // Records that the endpoint is out of connections. Returns whether that was unknown or last seen longer ago
+  // than the overload window: relays that have started since then have not been notified.
   bool MarkOutOfConnections(Endpoint& endpoint);
-  // A call to the endpoint has ended.
+  // Handles the end of a call to the endpoint.
   void OnCallEnded(const Endpoint& endpoint);
-  // Closes idle connections to the endpoint at the end of the batch if no call is in flight there.
+  // Closes idle connections to the endpoint at the end of the batch, unless a call is in flight there by
+  // then.
   void CloseAtBatchEnd(EndpointId endpoint) { to_close_.insert(endpoint); }
   void OnBatchEnd();
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -128,7 +128,7 @@
   const Destination& destination = table_.FindOrAddDestination(request.destination);
   const bool gives_advice = context_.settings.may_send_retry_after;
   if (retry_policy_.MayReject(request)) {
-    const Seconds retry_after = gives_advice ? admission_.RetryAfterAdvice(destination) : 0;
+    const Seconds retry_after = gives_advice ? admission_.EstimateRetryAfter(destination) : 0;
     context_.Emit(Reject{request.request_id, retry_after});
   } else {
     context_.Emit(Fail{request.request_id});
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -67,7 +67,7 @@
 
   void RenewList() {
     if (list_lease_.TakeDueRenewal(context_.now)) context_.Emit(WatchEndpointList{true});
-    const auto expired = list_lease_.TakeChange(context_.now);
+    const auto expired = list_lease_.TakeExpiryChange(context_.now);
     if (!expired) return;
     context_.Emit(Log{*expired ? "endpoint list not confirmed in time, the one held serves on"
                                : "endpoint list is current again"});
@@ -166,8 +166,8 @@
 bool RequestRouter::MaySend(Seconds now, EndpointId endpoint) const { return impl_->MaySend(now, endpoint); }
 
 std::vector<RouteState> RequestRouter::ExportRouteStates(Seconds now, std::optional<DestinationId>& from,
-                                                         int most) const {
-  return decision::ExportRouteStates(impl_->table(), now, from, most);
+                                                         int max_destinations) const {
+  return decision::ExportRouteStates(impl_->table(), now, from, max_destinations);
 }
 
 }  // namespace opalroute
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -161,20 +161,20 @@
   const std::vector<Seconds> renewals = RenewalsOf(lease, 100, 110);
   EXPECT_GE(CountWithin(renewals, 102), 4);
   EXPECT_LE(renewals.size(), 21U);
-  EXPECT_EQ(lease.TakeChange(102.1), true);
+  EXPECT_EQ(lease.TakeExpiryChange(102.1), true);
 }
 
 TEST(EndpointListLeaseTest, ReportsEachChangeOfExpiryOnce) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kComplete, 100);
-  EXPECT_EQ(lease.TakeChange(105.9), std::nullopt);
-  EXPECT_EQ(lease.TakeChange(106.1), true);
-  EXPECT_EQ(lease.TakeChange(107), std::nullopt);
+  EXPECT_EQ(lease.TakeExpiryChange(105.9), std::nullopt);
+  EXPECT_EQ(lease.TakeExpiryChange(106.1), true);
+  EXPECT_EQ(lease.TakeExpiryChange(107), std::nullopt);
   lease.Confirm(108);
-  EXPECT_EQ(lease.TakeChange(108), false);
+  EXPECT_EQ(lease.TakeExpiryChange(108), false);
   lease.OnDiscoveryMoved(109);
-  EXPECT_EQ(lease.TakeChange(112.9), std::nullopt);
-  EXPECT_EQ(lease.TakeChange(113.1), true);
+  EXPECT_EQ(lease.TakeExpiryChange(112.9), std::nullopt);
+  EXPECT_EQ(lease.TakeExpiryChange(113.1), true);
 }
 
 }  // namespace
