--- a/tests/decision/action_target_test.cpp
+++ b/tests/decision/action_target_test.cpp
@@ -1,6 +1,5 @@
-// Guards against actions that name what is no longer there: a request that has ended, an attempt that has
-// come to its outcome, or an endpoint that the list has removed. Drawn runs with batched calls, few slots and
-// lost calls.
+// Guards against actions with stale targets: a request that has ended, an attempt that has its outcome, or an
+// endpoint that was removed from the list. Randomized runs with batched calls, few slots and lost calls.
 #include <algorithm>
 #include <functional>
 #include <map>
@@ -20,7 +19,7 @@
     EndpointId endpoint = 0;
     bool in_flight = true;
     bool cancelled = false;
-    bool lost = false;  // the endpoint never answers
+    bool lost = false;  // the endpoint rarely responds
   };
   struct RequestRecord {
     Seconds deadline = 0;
@@ -29,8 +28,8 @@
     std::vector<AttemptRecord> attempts;
   };
 
-  void Draw(int seed) {
-    draw_.seed(static_cast<std::uint64_t>(seed));
+  void StartWithSeed(int seed) {
+    random_.seed(static_cast<std::uint64_t>(seed));
     Settings settings = TestSettings();
     settings.concurrency_limit = 3;
     settings.max_attempts = 4;
@@ -48,8 +47,8 @@
     return entries;
   }
 
-  // Hands the event in and checks the actions that follow from it.
-  void Play(const Event& event) {
+  // Passes the event to the router and checks the resulting actions.
+  void HandleAndCheck(const Event& event) {
     for (auto& [id, request] : requests_) request.ended_before_event = request.ended;
     actions_.clear();
     Handle(event);
@@ -57,43 +56,44 @@
   }
 
   template <typename T>
-  void Check(const T&) {}  // names neither a request nor an endpoint
+  void Check(const T&) {}  // refers to neither a request nor an endpoint
   void Check(const SetTimer& timer) { timers_.push_back(timer); }
   void Check(const Send& send) {
     RequestRecord& request = requests_.at(send.request_id);
-    EXPECT_FALSE(request.ended) << "a send of request " << send.request_id << ", which has ended";
-    EXPECT_EQ(listed_.count(send.endpoint), 1U) << "a send to endpoint " << send.endpoint;
+    EXPECT_FALSE(request.ended) << "sent request " << send.request_id << ", which has ended";
+    EXPECT_EQ(listed_.count(send.endpoint), 1U)
+        << "sent to endpoint " << send.endpoint << ", which is not listed";
     AttemptRecord attempt;
     attempt.endpoint = send.endpoint;
-    attempt.lost = lossy_calls_.try_emplace({send.endpoint, now_}, draw_() % 2 == 0).first->second;
+    attempt.lost = lost_calls_.try_emplace({send.endpoint, now_}, random_() % 2 == 0).first->second;
     request.attempts.push_back(attempt);
   }
   void Check(const Reject& reject) { CheckEnd(reject.request_id); }
   void Check(const Fail& fail) { CheckEnd(fail.request_id); }
   void CheckEnd(RequestId id) {
-    EXPECT_FALSE(requests_.at(id).ended) << "a second end of request " << id;
+    EXPECT_FALSE(requests_.at(id).ended) << "request " << id << " was ended twice";
     requests_.at(id).ended = true;
   }
   void Check(const CancelAttempt& cancel) {
     RequestRecord& request = requests_.at(cancel.request_id);
     EXPECT_FALSE(request.ended_before_event)
-        << "a cancel of request " << cancel.request_id << ", which had ended";
+        << "cancelled an attempt of request " << cancel.request_id << ", which had ended";
     AttemptRecord& attempt = request.attempts.at(static_cast<std::size_t>(cancel.attempt));
-    EXPECT_TRUE(attempt.in_flight) << "a cancel of an attempt with an outcome";
-    EXPECT_FALSE(attempt.cancelled) << "a second cancel of an attempt";
+    EXPECT_TRUE(attempt.in_flight) << "cancelled an attempt that has its outcome";
+    EXPECT_FALSE(attempt.cancelled) << "cancelled an attempt twice";
     attempt.cancelled = true;
     ++cancels_;
   }
   void Check(const HealthCheck& check) { CheckKnown(check.endpoint); }
   void Check(const CloseIdleConnections& close) { CheckKnown(close.endpoint); }
-  // One that is removed stays known as long as a call is in flight there.
+  // A removed endpoint stays known while a call to it is in flight.
   void CheckKnown(EndpointId id) {
     const bool in_use = std::any_of(requests_.begin(), requests_.end(), [id](const auto& entry) {
       const auto& attempts = entry.second.attempts;
       return std::any_of(attempts.begin(), attempts.end(),
                          [id](const AttemptRecord& a) { return a.in_flight && a.endpoint == id; });
     });
-    EXPECT_TRUE(listed_.count(id) == 1 || in_use) << "an action for endpoint " << id << ", which was removed";
+    EXPECT_TRUE(listed_.count(id) == 1 || in_use) << "action for endpoint " << id << ", which was removed";
   }
 
   void End(RequestId id, int index, Outcome outcome) {
@@ -108,19 +108,19 @@
     event.duration = 0.1;
     event.request_ended = request.ended || outcome == Outcome::kServed;
     const bool ended = event.request_ended;
-    Play(event);
+    HandleAndCheck(event);
     request.ended = request.ended || ended;
   }
 
-  // A lost attempt ends by its cancel alone, which takes a while to come back; of a batch, some may have
-  // ended.
+  // A cancelled attempt gets its outcome after a random delay, as does a lost one, with a much longer delay.
+  // The attempts of a batch end independently.
   std::optional<Outcome> DrawOutcome(const AttemptRecord& attempt) {
     static const std::vector<Outcome> kOutcomes = {Outcome::kServed, Outcome::kServed, Outcome::kError,
                                                    Outcome::kRejected, Outcome::kReset};
-    if (attempt.cancelled) return draw_() % 20 == 0 ? std::optional(Outcome::kCancelled) : std::nullopt;
-    if (attempt.lost && draw_() % 100 != 0) return std::nullopt;
-    if (draw_() % 10 != 0) return std::nullopt;
-    return kOutcomes[draw_() % kOutcomes.size()];
+    if (attempt.cancelled) return random_() % 20 == 0 ? std::optional(Outcome::kCancelled) : std::nullopt;
+    if (attempt.lost && random_() % 100 != 0) return std::nullopt;
+    if (random_() % 10 != 0) return std::nullopt;
+    return kOutcomes[random_() % kOutcomes.size()];
   }
 
   void EndSomeAttempts() {
@@ -132,26 +132,26 @@
     }
   }
 
-  void ReceiveSome() {
-    if (draw_() % 3 == 0) return;
+  void MaybeReceiveRequest() {
+    if (random_() % 3 == 0) return;
     const RequestId id = next_id_++;
-    const Seconds remaining_time = 1 + static_cast<double>(draw_() % 60) / 10;
+    const Seconds remaining_time = 1 + static_cast<double>(random_() % 60) / 10;
     requests_[id].deadline = now_ + remaining_time;
-    Play(NewRequest{id,
-                    static_cast<int>(draw_() % 3),
-                    {},
-                    "",
-                    remaining_time,
-                    static_cast<DestinationId>(1 + draw_() % 2)});
+    HandleAndCheck(NewRequest{id,
+                              static_cast<int>(random_() % 3),
+                              {},
+                              "",
+                              remaining_time,
+                              static_cast<DestinationId>(1 + random_() % 2)});
   }
 
-  void ChangeListSometimes() {
-    if (draw_() % 200 != 0) return;
+  void MaybeChangeList() {
+    if (random_() % 200 != 0) return;
     listed_.clear();
     for (EndpointId id = 1; id <= kEndpoints; ++id) {
-      if (draw_() % 4 != 0) listed_.insert(id);
+      if (random_() % 4 != 0) listed_.insert(id);
     }
-    Play(ListUpdate{ListScope::kComplete, EntriesOf(listed_)});
+    HandleAndCheck(ListUpdate{ListScope::kComplete, EntriesOf(listed_)});
   }
 
   void FireDueTimers() {
@@ -159,10 +159,10 @@
     const auto due = std::stable_partition(timers_.begin(), timers_.end(), std::not_fn(is_due));
     const std::vector<SetTimer> fired(due, timers_.end());
     timers_.erase(due, timers_.end());
-    for (const SetTimer& timer : fired) Play(TimerFired{timer.timer_id});
+    for (const SetTimer& timer : fired) HandleAndCheck(TimerFired{timer.timer_id});
   }
 
-  void ForgetEnded() {
+  void RemoveEndedRequests() {
     for (auto it = requests_.begin(); it != requests_.end();) {
       const auto& attempts = it->second.attempts;
       const bool done = it->second.ended && std::none_of(attempts.begin(), attempts.end(),
@@ -172,25 +172,25 @@
   }
 
   static constexpr EndpointId kEndpoints = 6;
-  std::mt19937_64 draw_;
+  std::mt19937_64 random_;
   std::set<EndpointId> listed_;
   std::map<RequestId, RequestRecord> requests_;
-  std::map<std::pair<EndpointId, Seconds>, bool> lossy_calls_;
+  std::map<std::pair<EndpointId, Seconds>, bool> lost_calls_;
   std::vector<SetTimer> timers_;
   RequestId next_id_ = 1;
   int cancels_ = 0;
 };
 
-TEST_P(ActionTargetTest, NamesOnlyWhatIsThere) {
-  Draw(GetParam());
+TEST_P(ActionTargetTest, ActionsHaveNoStaleTargets) {
+  StartWithSeed(GetParam());
   for (int step = 0; step < 3000 && !HasFailure(); ++step) {
     now_ += 0.01;
     FireDueTimers();
-    ReceiveSome();
-    ChangeListSometimes();
+    MaybeReceiveRequest();
+    MaybeChangeList();
     EndSomeAttempts();
-    Play(BatchEnd{});
-    ForgetEnded();
+    HandleAndCheck(BatchEnd{});
+    RemoveEndedRequests();
   }
   EXPECT_GT(cancels_, 10);
 }
--- a/tests/decision/admission_test.cpp
+++ b/tests/decision/admission_test.cpp
@@ -1,4 +1,4 @@
-// Load shedding and the quotas of tenants.
+// Load shedding and tenant quotas.
 #include "tests/decision/fixture.h"
 
 namespace opalroute::decision {
--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -1,4 +1,4 @@
-// Outages and recoveries as one relay sees them.
+// Detection of outages and recoveries by a single relay.
 #include <algorithm>
 #include <optional>
 #include <vector>
@@ -36,14 +36,16 @@
       EndAttempt(all[answered].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
   }
-  // Capacity is 2 calls a second at the recovery and 4.4 after 3 s; overload_factor 2 allows 19 calls in 3 s.
+  // Capacity is 2 calls per second at the recovery and 4.4 after 3 s; overload_factor 2 allows 19 calls in 3
+  // s.
   const auto early = std::count_if(arrived.begin(), arrived.end(), [](Seconds t) { return t < 118; });
   EXPECT_GT(early, 0);
   EXPECT_LE(early, 19);
   EXPECT_GT(arrived.size(), 50U);
 }
 
-// With many relays the interval of recovery trials is tens of seconds; a wrong suspicion must end sooner.
+// With many relays, the interval between recovery trials is tens of seconds; a wrongly suspected outage must
+// end sooner, through an early first trial.
 TEST_F(CircuitBreakerTest, AWronglySuspectedOutageEndsSoon) {
   Settings s = TestSettings();
   s.relay_count = 12;
@@ -65,8 +67,8 @@
   EXPECT_EQ(SendsFor(id).size(), 1U);
 }
 
-// If each of hundreds of relays learnt of an outage at each endpoint by itself, they would send the
-// destination many times its traffic.
+// If each of hundreds of relays detected an outage separately at each endpoint, together they would send the
+// destination many times its usual traffic.
 TEST_F(CircuitBreakerTest, ARelayWithLittleTrafficSendsFewRecoveryTrials) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -83,11 +85,11 @@
                  0.05);
     RunUntil(now_ + 0.01);
   }
-  EXPECT_GE(answered, 2U);  // the first trial comes soon
+  EXPECT_GE(answered, 2U);  // the first trial is sent soon
   EXPECT_LE(answered, 3U);
 }
 
-TEST_F(CircuitBreakerTest, AServedTrialClosesCircuitsThatWereOnlySuspected) {
+TEST_F(CircuitBreakerTest, AServedTrialClosesCircuitsThatOpenedWithoutOwnFailures) {
   Settings s = TestSettings();
   s.relay_count = 400;
   Start(s);
@@ -103,8 +105,8 @@
   for (RequestId id = 2; id <= 4; ++id) EXPECT_EQ(SendsFor(id).size(), 1U) << id;
 }
 
-// The requests of a batch fail together; counted one by one, a lost batch would open the circuit.
-TEST_F(CircuitBreakerTest, AFailedBatchIsOneFailure) {
+// The requests of a batch fail together; counted per request, one lost batch would open the circuit.
+TEST_F(CircuitBreakerTest, AFailedBatchCountsAsOneFailure) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
@@ -118,7 +120,8 @@
   EXPECT_EQ(SendsFor(6).size(), 1U);
 }
 
-// A lack of connections at this relay, or a drain in the meantime, is no failure of the endpoint.
+// A health check that was not sent, for lack of connections at this relay or because the endpoint drains by
+// now, must not count as a failure of the endpoint.
 TEST_F(CircuitBreakerTest, AHealthCheckThatWasNotSentIsInconclusive) {
   Settings s = TestSettings();
   s.may_health_check = true;
@@ -141,9 +144,9 @@
   EXPECT_GT(Emitted<HealthCheck>().size(), 1U);
 }
 
-// Calls that were in flight when a destination closed may still be served. Taken for a recovery, they would
-// lead to a burst at the end of the Retry-After.
-TEST_F(CircuitBreakerTest, ACallServedAfterALongRetryAfterIsNoRecovery) {
+// Calls that were in flight when a destination began to reject with a long Retry-After may still be served.
+// If they counted as a recovery, there would be a burst at the end of the Retry-After.
+TEST_F(CircuitBreakerTest, ALateServedCallIsNotARecovery) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -1,4 +1,4 @@
-// How free call slots are shared, and how lost calls give theirs back.
+// How free call slots are assigned, and how the slots of lost calls are reclaimed.
 #include "tests/decision/fixture.h"
 
 namespace opalroute::decision {
@@ -20,8 +20,9 @@
   EXPECT_EQ(SendsFor(9).size(), 1U);
 }
 
-// Calls of non-idempotent requests have no timeout; stalled ones must not keep every slot until the deadline.
-TEST_F(DispatcherTest, AStalledCallLosesItsSlotToAnotherDestination) {
+// Calls of non-idempotent requests have no timeout; stalled ones must not occupy all slots until the
+// deadline.
+TEST_F(DispatcherTest, TheSlotOfAStalledCallGoesToAnotherDestination) {
   Settings s = TestSettings();
   s.concurrency_limit = 3;
   s.may_hedge = false;
@@ -34,7 +35,7 @@
   now_ += 3;
   Receive(30, kNonIdempotentClass, 1);
   Receive(31, kNonIdempotentClass, 2);
-  EndBatch();  // no slot is free: the stall is detected, or a call is cancelled at once
+  EndBatch();  // no slot is free: the router detects the stall or cancels a call immediately
   EndBatch();
   ASSERT_GE(Emitted<CancelAttempt>().size(), 1U);
   const CancelAttempt cancel = Emitted<CancelAttempt>().front();
@@ -43,8 +44,9 @@
   EXPECT_EQ(SendsFor(31).size(), 1U);
 }
 
-// A lost call at an endpoint that serves others leaves its circuit closed; its slot must become free as well.
-TEST_F(DispatcherTest, ALostCallLosesItsSlotThoughItsEndpointServes) {
+// A lost call does not open the circuit of an endpoint that serves other calls; its slot must be reclaimed
+// nevertheless.
+TEST_F(DispatcherTest, ALostCallIsCancelledEvenIfItsEndpointServesOthers) {
   Settings s = TestSettings();
   s.concurrency_limit = 2;
   s.may_hedge = false;
@@ -62,7 +64,7 @@
   EXPECT_EQ(Emitted<CancelAttempt>()[0].request_id, 20U);
 }
 
-// Outliers share a part of the slots; each of them must get at least one call, or it would never recover.
+// Outliers share a part of the slots; each must get at least one call, as it could not recover otherwise.
 TEST_F(DispatcherTest, AnOutlierIsStillTriedWhileOthersAreStalled) {
   Settings s = TestSettings();
   s.classes[kNonIdempotentClass].latency_objective =
--- a/tests/decision/endpoint_list_lease_test.cpp
+++ b/tests/decision/endpoint_list_lease_test.cpp
@@ -1,4 +1,4 @@
-// The lease on the endpoint list: renewals come in time, whatever fails, and keep their spacing.
+// The lease on the endpoint list: renewals are on time and keep their spacing, whatever fails.
 #include "decision/endpoint_list_lease.h"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 
 constexpr Seconds kStep = 0.005;  // of the test's clock
 constexpr int kSeeds = 200;
-constexpr Seconds kLongestSpacing = 2.5;  // between two renewals, in a fleet of any size: 2 s and its jitter
+constexpr Seconds kLongestSpacing = 2.5;  // between two renewals, for any fleet size: 2 s plus jitter
 
 Settings ListSettings(int relays, std::uint64_t seed) {
   Settings s = TestSettings();
@@ -24,8 +24,8 @@
   return s;
 }
 
-// The renewals that the lease asks for between `from` and `to`. Each one fails `fails_after` seconds later;
-// negative: it gets no answer.
+// Returns the times of the renewals that the lease asks for between `from` and `to`. Each fails `fails_after`
+// seconds later; negative: it never gets a response.
 std::vector<Seconds> RenewalsOf(EndpointListLease& lease, Seconds from, Seconds to,
                                 Seconds fails_after = -1) {
   std::vector<Seconds> renewals;
@@ -48,13 +48,13 @@
 
 class EndpointListLeaseTest : public testing::TestWithParam<int> {};  // by the number of relays
 
-TEST_P(EndpointListLeaseTest, AfterAMoveRenewalsKeepTheirSpacingWhateverTheirOutcome) {
+TEST_P(EndpointListLeaseTest, AfterAMoveRenewalsKeepTheirSpacingWhateverTheOutcome) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     for (const Seconds fails_after : {-1.0, 0.0, 0.5, 1.0, 3.0}) {
       const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
       EndpointListLease lease(s);
       lease.OnListUpdate(ListScope::kCached, 100);
-      RenewalsOf(lease, 100, 130, 0.5);  // a long outage of discovery, then four moves
+      RenewalsOf(lease, 100, 130, 0.5);  // a long outage of discovery, followed by four moves
       for (const Seconds at : {130.0, 130.3, 130.7}) {
         lease.OnDiscoveryMoved(at);
         EXPECT_TRUE(lease.TakeDueRenewal(at));
@@ -70,7 +70,7 @@
   }
 }
 
-TEST_P(EndpointListLeaseTest, ASilentWatchIsRenewedBeforeAChangeBinds) {
+TEST_P(EndpointListLeaseTest, ASilentWatchIsRenewedBeforeAChangeTakesEffect) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     const Settings s = ListSettings(GetParam(), static_cast<std::uint64_t>(seed));
     EndpointListLease lease(s);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_P(EndpointListLeaseTest, NoFailureMovesTheNextRenewal) {
+TEST_P(EndpointListLeaseTest, AFailureDoesNotShiftTheNextRenewal) {
   for (int seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 draw(static_cast<unsigned>(seed));
     std::uniform_real_distribution<double> after(0, 4);
@@ -116,8 +116,8 @@
   }
 }
 
-// Discovery that sends its list and closes the watch must not be called without a pause.
-TEST(EndpointListLeaseTest, WatchesThatEndAtOnceAreRenewedWithSpacing) {
+// A discovery service that closes each watch right after sending the list must not be called in a tight loop.
+TEST(EndpointListLeaseTest, WatchesThatEndImmediatelyAreRenewedWithSpacing) {
   EndpointListLease lease(ListSettings(6, 1));
   lease.OnListUpdate(ListScope::kCached, 100);
   int renewals = 0;
@@ -146,7 +146,7 @@
   s.poll_endpoint_list = false;
   EndpointListLease watched(s);
   watched.OnListUpdate(ListScope::kCached, 100);
-  EXPECT_EQ(watched.next_renewal(), 100);  // published changes bind at once
+  EXPECT_EQ(watched.next_renewal(), 100);  // published changes take effect immediately
   s.list_heartbeat = 0;
   EndpointListLease pushed(s);
   pushed.OnListUpdate(ListScope::kCached, 100);
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -6,7 +6,7 @@
 
 class EndpointListTest : public StartedRouterTest {};
 
-TEST_F(EndpointListTest, NothingGoesToADrainingEndpoint) {
+TEST_F(EndpointListTest, ADrainingEndpointGetsNoRequests) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
   UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
   ServeRequests(1, 30);
@@ -34,7 +34,7 @@
   EXPECT_EQ(Emitted<WatchEndpointList>().size(), 2U);
 }
 
-// An operator's command or DNS changes endpoints, but says nothing of how current the list is.
+// A change from an operator or DNS does not show that the list from discovery is current.
 TEST_F(EndpointListTest, UpdatesFromOtherSourcesDoNotConfirmTheList) {
   Settings s = TestSettings();
   s.poll_endpoint_list = true;
--- a/tests/decision/fixture.h
+++ b/tests/decision/fixture.h
@@ -1,4 +1,4 @@
-// A router on a fake clock: tests hand it events and look at the actions.
+// Test fixtures: a router on a simulated clock. Tests pass events to it and check its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,22 +46,25 @@
   return s;
 }
 
-// One relay of a fleet: its router, its timer, and the numbers of its requests and attempts.
+// A relay of a simulated fleet, with the state that the test keeps for it.
 struct TestRelay {
   explicit TestRelay(const Settings& s) : router(s) {}
-  void SetWake(const SetTimer& wake) { std::tie(timer_due, timer_id) = std::tie(wake.due, wake.timer_id); }
-  // Its timer if that is due, once.
+  // Replaces the pending timer.
+  void OnSetTimer(const SetTimer& timer) {
+    std::tie(timer_due, timer_id) = std::tie(timer.due, timer.timer_id);
+  }
+  // Returns the timer once it is due, and clears it.
   std::optional<TimerFired> TakeDueTimer(Seconds now) {
     if (timer_due <= 0 || timer_due > now) return std::nullopt;
     timer_due = 0;
     return TimerFired{timer_id};
   }
   RequestRouter router;
-  Seconds timer_due = 0;
+  Seconds timer_due = 0;  // 0: no timer is set
   std::uint64_t timer_id = 0;
-  std::map<RequestId, int> attempts;
-  std::map<EndpointId, int> idle;  // connections
-  RequestId next = 1;
+  std::map<RequestId, int> attempts;  // number sent, by request
+  std::map<EndpointId, int> idle_connections;
+  RequestId next_request_id = 1;
 };
 
 class RouterTest : public ::testing::Test {
@@ -87,14 +90,14 @@
     Handle(NewRequest{id, request_class, {}, key, remaining_time, destination});
   }
 
-  // Advances the clock in ticks up to `time`; timers fire when they are due.
+  // Ends the batch, then advances the clock to `time` in ticks of 0.01 s; timers fire when they are due.
   void RunUntil(Seconds time) {
     EndBatch();
     while (now_ < time - 1e-9) {
       now_ += 0.01;
       std::vector<std::uint64_t> due;
-      for (const SetTimer& wake : Emitted<SetTimer>()) {
-        if (wake.due <= now_ && wake.due > now_ - 0.01) due.push_back(wake.timer_id);
+      for (const SetTimer& timer : Emitted<SetTimer>()) {
+        if (timer.due <= now_ && timer.due > now_ - 0.01) due.push_back(timer.timer_id);
       }
       for (const std::uint64_t timer_id : due) Handle(TimerFired{timer_id});
       if (!due.empty()) EndBatch();
@@ -114,11 +117,12 @@
     Handle(attempt_outcome);
   }
 
+  // The recorded actions of type T, in order.
   template <typename T>
   std::vector<T> Emitted() const {
     std::vector<T> found;
     for (const Action& action : actions_) {
-      if (const auto* hit = std::get_if<T>(&action)) found.push_back(*hit);
+      if (const auto* typed = std::get_if<T>(&action)) found.push_back(*typed);
     }
     return found;
   }
@@ -135,12 +139,12 @@
   std::vector<Action> actions_;
 };
 
-// Starts with the test's settings.
+// A RouterTest whose router starts with TestSettings().
 class StartedRouterTest : public RouterTest {
  protected:
   void SetUp() override { Start(TestSettings()); }
 
-  // Requests that are served one after the other, each by its first attempt.
+  // Sends `count` requests with ids from `from` on, one after the other; each is served by its first attempt.
   void ServeRequests(RequestId from, int count, DestinationId destination = 1) {
     for (RequestId id = from; id < from + static_cast<RequestId>(count); ++id) {
       Receive(id, kNonIdempotentClass, destination);
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -41,7 +41,8 @@
       for (; next <= now_; next += gap(random_)) {
         TestRelay& relay = relays_[any_relay(random_)];
         ++received;
-        Handle(relay, NewRequest{relay.next++, kIdempotentClass, {}, "", 20, list_.front().destination});
+        Handle(relay,
+               NewRequest{relay.next_request_id++, kIdempotentClass, {}, "", 20, list_.front().destination});
         Handle(relay, BatchEnd{});
       }
       EndDueCalls();
@@ -82,11 +83,12 @@
     relay.router.Handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* wake = std::get_if<SetTimer>(&action)) {
-        relay.SetWake(*wake);
+        relay.OnSetTimer(*wake);
       } else if (const auto* send = std::get_if<Send>(&action)) {
         StartCall(relay, *send);
       } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
-        open_[close->endpoint] -= static_cast<std::size_t>(std::exchange(relay.idle[close->endpoint], 0));
+        open_[close->endpoint] -=
+            static_cast<std::size_t>(std::exchange(relay.idle_connections[close->endpoint], 0));
       } else if (std::holds_alternative<HealthCheck>(action)) {
         ++health_checks;
       } else if (const auto* sent_gossip = std::get_if<SendGossip>(&action)) {
@@ -107,7 +109,7 @@
     outcome.outcome = Outcome::kServed;
     outcome.duration = kCall;
     bool connected = true;
-    if (int& idle = relay.idle[send.endpoint]; idle > 0) {
+    if (int& idle = relay.idle_connections[send.endpoint]; idle > 0) {
       --idle;
     } else if (open_[send.endpoint] < endpoint_.connections) {
       ++open_[send.endpoint];
@@ -314,7 +316,7 @@
     relay.router.Handle(now, BatchEnd{}, actions);
     for (const Action& action : actions) {
       if (std::holds_alternative<WatchEndpointList>(action)) polls.emplace_back(now, &relay);
-      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.SetWake(*wake);
+      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*wake);
       if (const auto* send = std::get_if<Send>(&action)) sent.emplace_back(now, send->endpoint);
     }
   }
@@ -325,7 +327,7 @@
     for (; now < end; now += kTick) {
       for (due_requests += rate * kTick; due_requests >= 1; due_requests -= 1) {
         TestRelay& relay = relays[any_relay(random)];
-        Handle(relay, NewRequest{relay.next++, kIdempotentClass, {}, "", 20, 1});
+        Handle(relay, NewRequest{relay.next_request_id++, kIdempotentClass, {}, "", 20, 1});
       }
       for (TestRelay& relay : relays)
         if (const auto wake = relay.TakeDueTimer(now)) Handle(relay, *wake);
--- a/tests/decision/hedging_test.cpp
+++ b/tests/decision/hedging_test.cpp
@@ -1,4 +1,4 @@
-// Hedged requests: when a second attempt is sent, and what becomes of it.
+// When requests are hedged, and how hedged attempts end.
 #include "tests/decision/fixture.h"
 
 namespace opalroute::decision {
@@ -34,7 +34,7 @@
   EXPECT_EQ(cancels[0].attempt, 0);
 }
 
-TEST_F(HedgingTest, AFailedAttemptWaitsForItsHedgedRequest) {
+TEST_F(HedgingTest, AFailedAttemptIsNotRetriedWhileTheHedgedOneIsInFlight) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
   ServeRequests(1, 20);
   Receive(50, kIdempotentClass);
--- a/tests/decision/idle_connections_test.cpp
+++ b/tests/decision/idle_connections_test.cpp
@@ -1,4 +1,4 @@
-// Where idle connections are closed.
+// When idle connections are closed.
 #include "decision/route_gossip.h"
 #include "tests/decision/fixture.h"
 
@@ -7,15 +7,16 @@
 
 class IdleConnectionsTest : public StartedRouterTest {};
 
-// Idle connections use up an endpoint's connections: they close with the last call, there and nowhere else.
-TEST_F(IdleConnectionsTest, ConnectionsCloseWithTheLastCallWhereTheyAreShort) {
+// Idle connections count against an endpoint's connection limit. After a shortage of connections they are
+// closed when the last call ends, at that endpoint only.
+TEST_F(IdleConnectionsTest, IdleConnectionsCloseAfterAShortage) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 2)});
   ServeRequests(1, 5, 1);
   Receive(20, kNonIdempotentClass, 1);
   EndBatch();
   EndAttempt(20, 0, 1, Outcome::kOutOfConnections, 0, 0.01);
   RunUntil(now_ + 0.2);
-  ASSERT_EQ(SendsFor(20).size(), 2U);  // it never ran, so it is retried after a short backoff
+  ASSERT_EQ(SendsFor(20).size(), 2U);  // the request did not run, so it is retried after a short backoff
   EndAttempt(20, 1, 1, Outcome::kServed);
   EndBatch();
   const std::size_t closed = Emitted<CloseIdleConnections>().size();
@@ -24,8 +25,8 @@
   EXPECT_EQ(Emitted<CloseIdleConnections>().size(), closed);
 }
 
-// An endpoint that is short of connections is neither out nor over its rate limit.
-TEST_F(IdleConnectionsTest, AConnectionShortageReducesNoRateAndSuspectsNoOutage) {
+// An endpoint without free connections neither has an outage nor has reached its rate limit.
+TEST_F(IdleConnectionsTest, AConnectionShortageNeitherReducesTheRateNorSuspectsAnOutage) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 100;
@@ -44,8 +45,8 @@
     EXPECT_EQ(DecodeRouteGossip(gossip.payload)->kind, RouteGossip::Kind::kOutOfConnections);
 }
 
-// An endpoint that is down refuses connections; that is no shortage.
-TEST_F(IdleConnectionsTest, AnEndpointAfterAnOutageKeepsItsConnections) {
+// An endpoint that is down refuses connections; that is not a shortage of connections.
+TEST_F(IdleConnectionsTest, IdleConnectionsStayOpenAfterAnOutage) {
   UpdateList({MakeEndpoint(1, 1)});
   ServeRequests(1, 5, 1);
   Receive(20, kNonIdempotentClass, 1);
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -47,7 +47,7 @@
     std::vector<Action> actions;
     relay.router.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.SetWake(*wake);
+      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*wake);
       if (const auto* send = std::get_if<Send>(&action)) {
         sent_.push_back(now_);
         senders_.push_back(&relay);
@@ -58,7 +58,7 @@
   }
 
   void Receive(TestRelay& relay, Seconds remaining_time = 1000) {
-    Handle(relay, NewRequest{relay.next++, kIdempotentClass, {}, "", remaining_time, 1});
+    Handle(relay, NewRequest{relay.next_request_id++, kIdempotentClass, {}, "", remaining_time, 1});
     Handle(relay, BatchEnd{});
   }
 
