--- a/include/opalroute/events.h
+++ b/include/opalroute/events.h
@@ -1,4 +1,4 @@
-// Events: the input of a RequestRouter. Plain values, to be handed in in the order in which they happened.
+// Events: the input of a RequestRouter. Plain values, to be passed in the order in which they happened.
 //
 // Outcomes of unknown attempts, aborts of unknown requests and superseded timers are ignored.
 #pragma once
--- a/src/decision/call_table.cpp
+++ b/src/decision/call_table.cpp
@@ -86,8 +86,7 @@
 Attempt* CallTable::FindCancellable(std::uint64_t call, const AttemptId& id) {
   Request* request = requests_.Find(id.request_id);
   if (request == nullptr || request->ended) return nullptr;
-  if (id.index >= static_cast<int>(request->attempts.size()))
-    return nullptr;  // another request has reused the id
+  if (id.index >= static_cast<int>(request->attempts.size())) return nullptr;  // the id has been reused
   Attempt& attempt = request->attempts[static_cast<std::size_t>(id.index)];
   return attempt.call == call && attempt.in_flight && !attempt.cancelled ? &attempt : nullptr;
 }
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -11,9 +11,8 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kShutdownLatencies = 2;  // expected latencies that must fit before the shutdown
-constexpr double kDiversionRedrawsPerWindow =
-    10;  // how often a diversion is reconsidered per overload window
+constexpr double kShutdownLatencies = 2;           // expected latencies that must fit before the shutdown
+constexpr double kDiversionRedrawsPerWindow = 10;  // new draws per overload window
 
 // A destination's position in the dispatch order: fewest calls in flight first, then the least recent call.
 struct DispatchPosition {
--- a/src/decision/endpoint_health.cpp
+++ b/src/decision/endpoint_health.cpp
@@ -92,8 +92,7 @@
   const Seconds recently = context_.now - kRecentServeWindow * context_.settings.overload_window;
   if (!endpoint.circuit.CountFailure(never_ran, endpoint.last_served > recently)) return;
   OpenCircuit(endpoint, true);
-  for (Endpoint* other :
-       table_.DestinationOf(endpoint).endpoints) {  // an outage usually affects the whole route
+  for (Endpoint* other : table_.DestinationOf(endpoint).endpoints) {  // outages mostly affect whole routes
     if (other->route == endpoint.route && other->last_served <= recently) OpenCircuit(*other, true);
   }
 }
--- a/src/decision/endpoint_health.h
+++ b/src/decision/endpoint_health.h
@@ -22,7 +22,7 @@
   // Opens the circuit if the oldest call in flight takes much longer than usual and nothing has been served
   // since it was sent, whatever the cause.
   void DetectStall(Endpoint& endpoint);
-  // Opens the circuit, after a failure or, if `after_failure` is false, for lack of responses.
+  // Opens the circuit. `after_failure` selects the reason that is logged: failed calls, or no responses.
   void OpenCircuit(Endpoint& endpoint, bool after_failure);
   // Starts slow start on a route that serves calls again.
   void StartSlowStart(UpstreamRoute& route);
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -9,8 +9,8 @@
 constexpr double kRenewalsPerTerm = 4;   // per shortest term, unless the spread is longer than their spacing
 constexpr double kSpacingJitter = 0.25;  // maximum, as a fraction of the spacing; desynchronizes the relays
 constexpr double kHeartbeatTolerance = 1.4;  // heartbeat intervals without a line before the list is renewed
-constexpr int kSmallFleet = 8;               // relays
-constexpr Seconds kSpreadPerRelay = 0.05;    // spreads the calls to discovery evenly
+constexpr int kSmallFleet = 8;               // maximum number of relays
+constexpr Seconds kSpreadPerRelay = 0.05;    // evenly distributes the calls to discovery
 
 // A relay that has not polled the list for Settings::max_poll_interval also counts as notified.
 Seconds LeaseTerm(const Settings& settings) {
