--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -36,8 +36,8 @@
       EndAttempt(all[answered].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
     }
   }
-  // Capacity is 2 calls per second at the recovery and 4.4 after 3 s; overload_factor 2 allows 19 calls in 3
-  // s.
+  // Capacity is 2 calls per second at the recovery and 4.4 after 3 s; with overload_factor 2, this allows 19
+  // calls in 3 s.
   const auto early = std::count_if(arrived.begin(), arrived.end(), [](Seconds t) { return t < 118; });
   EXPECT_GT(early, 0);
   EXPECT_LE(early, 19);
--- a/tests/decision/dispatcher_test.cpp
+++ b/tests/decision/dispatcher_test.cpp
@@ -67,8 +67,7 @@
 // Outliers share a part of the slots; each must get at least one call, as it could not recover otherwise.
 TEST_F(DispatcherTest, AnOutlierIsStillTriedWhileOthersAreStalled) {
   Settings s = TestSettings();
-  s.classes[kNonIdempotentClass].latency_objective =
-      0.05;  // every response is late: all endpoints are outliers
+  s.classes[kNonIdempotentClass].latency_objective = 0.05;  // all responses are late, all endpoints outliers
   s.may_hedge = false;
   Start(s);
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 2)});
