--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-// Printable ASCII without spaces: it can be forwarded in headers and in JSON as it is.
-bool IsName(const std::string& text, std::size_t max_bytes) {
+// Whether `text` is 1 to `max_bytes` of printable ASCII without spaces. Such a value can be copied into HTTP
+// headers without escaping.
+bool IsToken(const std::string& text, std::size_t max_bytes) {
   return !text.empty() && text.size() <= max_bytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
@@ -23,7 +24,8 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// Reads the one "dest=7" among fields that are separated by ',', ';' or spaces.
+// Parses the destination from a list of fields separated by commas, semicolons, spaces or tabs. Exactly one
+// field must have the form "dest=7"; others are ignored.
 bool ParseDestination(std::string_view text, DestinationId& destination) {
   int found = 0;
   while (!text.empty()) {
@@ -50,8 +52,8 @@
 
 void RequestListener::OnReject(net::HttpMessage& request) {
   ClientRequest rejected;
-  const bool sound = request.method == "POST" && Read(request, rejected).empty();
-  if (sound) ++counters_.Of(rejected.request_class).dropped;
+  const bool valid = request.method == "POST" && ParseRequest(request, rejected).empty();
+  if (valid) ++counters_.Of(rejected.request_class).dropped;
 }
 
 net::HttpAnswer RequestListener::OnRequest(net::HttpMessage& request) {
@@ -71,11 +73,11 @@
 net::HttpAnswer RequestListener::OnRequestPosted(net::HttpMessage& request) {
   ++counters_.requests;
   ClientRequest client_request;
-  const std::string fault = Read(request, client_request);
-  if (!fault.empty()) {
+  const std::string error = ParseRequest(request, client_request);
+  if (!error.empty()) {
     ++counters_.bad_requests;
-    log::Debug("bad_request", {{"why", fault}});  // counted; bad clients must not fill the log
-    return net::PlainAnswer(400, fault);
+    log::Debug("bad_request", {{"why", error}});  // debug only: a faulty client must not flood the log
+    return net::PlainAnswer(400, error);
   }
   std::uint64_t ticket = 0;
   const int request_class = client_request.request_class;
@@ -112,18 +114,18 @@
   return answer;
 }
 
-std::string RequestListener::Read(net::HttpMessage& request, ClientRequest& out) const {
+std::string RequestListener::ParseRequest(net::HttpMessage& request, ClientRequest& out) const {
   const Limits& limits = config_.limits;
   const auto text = [&request](const char* name) {
     const std::string* value = request.Header(name);
     return value == nullptr ? std::string() : *value;
   };
-  // A header that stands twice could be read differently by the endpoint.
+  // A repeated header is refused: the endpoint might read the other value than the relay does.
   for (const char* name :
        {"Host", "X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Addressing", "Idempotency-Key"})
     if (request.Count(name) > 1) return std::string(name) + ": stated more than once";
   out.id = text("X-Txn");
-  if (!IsName(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
+  if (!IsToken(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
   out.request_class = IndexOf(config_.classes, text("X-Lane"));
   if (out.request_class < 0) return "X-Lane: no such class";
   if (!config_.tenants.empty()) {
@@ -137,7 +139,7 @@
   if (!ParseDestination(text("X-Addressing"), out.destination)) return "X-Addressing: no dest=NUMBER";
   out.key = text("Idempotency-Key");
   const bool keyed = config_.settings.classes[out.request_class].idempotency == Idempotency::kIdempotencyKey;
-  if ((keyed || !out.key.empty()) && !IsName(out.key, limits.name_bytes))
+  if ((keyed || !out.key.empty()) && !IsToken(out.key, limits.name_bytes))
     return "Idempotency-Key: missing, or not plain";
   out.body = std::move(request.body);
   return {};
--- a/src/ingress/request_listener.h
+++ b/src/ingress/request_listener.h
@@ -1,5 +1,5 @@
-// The clients' HTTP side: reads and checks each request, and hands sound ones to the request handler. The
-// headers of clients' requests are named in request_listener.cpp and nowhere else in the relay.
+// The HTTP server for clients: parses and validates each request and passes valid ones to the request
+// handler. request_listener.cpp is the only place in the relay that names the headers of client requests.
 #pragma once
 
 #include <functional>
@@ -13,10 +13,10 @@
 
 namespace opalroute {
 
-// A request as a client has sent it.
+// A request as the client sent it.
 struct ClientRequest {
-  std::string id;   // the client's own
-  std::string key;  // idempotency key; empty: none
+  std::string id;   // chosen by the client
+  std::string key;  // idempotency key, or empty
   std::string body;
   int request_class = 0;      // index into the settings' classes
   std::optional<int> tenant;  // index into the settings' tenants
@@ -25,24 +25,24 @@
 };
 
 enum class AcceptResult {
-  kAccepted,            // now or before: the id, key, body and destination are those of an accepted request
-  kAtCapacity,          // too many requests are open
-  kNotRecorded,         // no disk space, or the journal can't be written
+  kAccepted,            // accepted now, or repeats an accepted request: same id, key, body and destination
+  kAtCapacity,          // too many open requests
+  kNotRecorded,         // no disk space, or writing to the journal failed
   kStopping,            // the relay is shutting down
-  kUnknownDestination,  // the current endpoint list does not name it
-  kListNotYetCurrent,   // it is not known, and the list may be out of date
-  kIdInUse              // the id is another request's
+  kUnknownDestination,  // not in the endpoint list, which is current
+  kListNotYetCurrent,   // destination not in the endpoint list, which may be out of date
+  kIdInUse              // the id belongs to a different request
 };
 
-// Accepts clients' requests.
+// Accepts client requests.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // Sets `ticket` for a request that is accepted now; it stays 0 for a repeat.
+  // Sets `ticket` if the request is newly accepted; a repeated request leaves it unchanged.
   virtual AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) = 0;
-  // The client has left before it had its answer.
+  // The client disconnected before the whole answer was written to it.
   virtual void Abort(std::uint64_t ticket) = 0;
-  // Whether the relay may be put to use.
+  // Whether the relay is ready to accept requests; answers the readiness check.
   virtual bool Ready() const = 0;
 };
 
@@ -57,8 +57,8 @@
   void OnAnswerLost(std::uint64_t ticket) override;
   void OnReject(net::HttpMessage& request) override;
   net::HttpAnswer OnRequestPosted(net::HttpMessage& request);
-  // Fills `out`; returns what is wrong with the request, or an empty text.
-  std::string Read(net::HttpMessage& request, ClientRequest& out) const;
+  // Fills `out`. Returns an error message, which is empty if the request is valid.
+  std::string ParseRequest(net::HttpMessage& request, ClientRequest& out) const;
   net::HttpAnswer Reject(int request_class, const char* why);
 
   const Config& config_;
--- a/src/ingress/server_bounds.h
+++ b/src/ingress/server_bounds.h
@@ -1,4 +1,5 @@
-// What bounds the relay's own HTTP server, for clients; the operators' one takes the same and narrows it.
+// The bounds of the HTTP server for clients. The operators' server starts from the same bounds and tightens
+// some of them.
 #pragma once
 
 #include "config/limits.h"
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -7,7 +7,7 @@
 
 namespace opalroute {
 
-// One HTTP request with the first notifications of the queue.
+// One HTTP request that carries the first `lines` notifications of the queue.
 class FailureNotifier::Attempt : public net::HttpClient::Call {
  public:
   Attempt(FailureNotifier& notifier, std::size_t lines)
@@ -18,14 +18,13 @@
       notifier_.OnNoAnswer(*this, "no answer in time");
     });
   }
-  // A retired attempt outlives its notifier until the loop's turn is over, so the timer must go through the
-  // loop.
+  // A retired attempt may be destroyed after its notifier, so the timer is cancelled through the loop itself.
   ~Attempt() override { loop_.Cancel(timer_); }
 
   std::size_t lines() const { return lines_; }
-  void Settle() { loop_.Cancel(timer_); }
+  void CancelTimer() { loop_.Cancel(timer_); }
   void Abandon() {
-    Settle();
+    CancelTimer();
     notifier_.client_.Abandon(*this);
   }
 
@@ -45,8 +44,8 @@
 };
 
 FailureNotifier::FailureNotifier(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to,
-                                 const Limits& limits, Arrived arrived)
-    : loop_(loop), client_(client), to_(to), limits_(limits), arrived_(std::move(arrived)) {}
+                                 const Limits& limits, OnAcknowledged on_acknowledged)
+    : loop_(loop), client_(client), to_(to), limits_(limits), on_acknowledged_(std::move(on_acknowledged)) {}
 
 FailureNotifier::~FailureNotifier() { AbandonAll(); }
 
@@ -55,7 +54,7 @@
   if (attempts_.empty() && next_attempt_ == 0) Send();
 }
 
-// Attempts in flight may have arrived: a repeated notification does no harm.
+// The old address may have received the attempts in flight already; repeating a notification is harmless.
 void FailureNotifier::MoveTo(const sockaddr_in& to) {
   AbandonAll();
   client_.CloseIdle({to_});
@@ -73,14 +72,14 @@
 
 void FailureNotifier::Send() {
   if (queue_.empty()) return;
-  // The kept connections may have fallen silent together, so each further attempt opens a new one.
+  // The idle connections may all be dead, so a further attempt opens a new one.
   if (!attempts_.empty()) client_.CloseIdle({to_});
   if (attempts_.size() < limits_.notice_tries) {
     attempts_.push_back(
-        std::make_unique<Attempt>(*this, std::min(queue_.size(), singly_ ? 1 : limits_.notice_lines)));
+        std::make_unique<Attempt>(*this, std::min(queue_.size(), one_by_one_ ? 1 : limits_.notice_lines)));
     Attempt& attempt = *attempts_.back();
     SendAfter(limits_.notice_time);
-    client_.Start({to_}, attempt);  // may fail at once, and then schedules the next attempt itself
+    client_.Start({to_}, attempt);  // may fail immediately and then schedules the next attempt itself
     return;
   }
   SendAfter(limits_.notice_time);
@@ -100,31 +99,32 @@
   const std::size_t lines = attempt.lines();
   const bool unreadable = status == kBadRequest;
   if (status != kNoContent && !(unreadable && lines == 1)) {
-    singly_ = true;  // until one has arrived
+    one_by_one_ = true;  // until one is acknowledged
     OnNoAnswer(attempt, ("answer " + std::to_string(status)).c_str());
     return;
   }
-  // A single line that the platform can't read never will be read; the others must not wait for it.
+  // A single line that the platform rejects as malformed is dropped: retrying can't succeed and would block
+  // the others.
   if (unreadable) log::Error("notification_unreadable", {{"line", queue_.front().line}});
-  Drop(attempt);
-  AbandonAll();  // the others hold the same lines
-  singly_ = singly_ && unreadable;
+  Remove(attempt);
+  AbandonAll();  // the other attempts carry the same lines
+  one_by_one_ = one_by_one_ && unreadable;
   failures_ = 0;
   for (std::size_t i = 0; i < lines; ++i) {
     const std::string request = queue_.front().request;
     queue_.pop_front();
-    arrived_(request);
+    on_acknowledged_(request);
   }
   if (attempts_.empty() && next_attempt_ == 0) Send();
 }
 
 void FailureNotifier::OnNoAnswer(Attempt& attempt, const char* why) {
-  Drop(attempt);
+  Remove(attempt);
   ScheduleRetry(why);
 }
 
-// The first failures in a row are retried soon, while a new notification may still be in time; then the
-// backoff doubles.
+// The first ten consecutive failures are retried after the shortest backoff, while a new notification may
+// still be in time. After that the backoff doubles with each failure up to its maximum.
 void FailureNotifier::ScheduleRetry(const char* why) {
   constexpr int kQuickRetries = 10;
   log::Warn("notifications_delayed", {{"lines", queue_.size()}, {"why", why}});
@@ -134,10 +134,10 @@
   SendAfter(backoff_);
 }
 
-void FailureNotifier::Drop(Attempt& attempt) {
+void FailureNotifier::Remove(Attempt& attempt) {
   const auto at = std::find_if(attempts_.begin(), attempts_.end(),
                                [&attempt](const auto& other) { return other.get() == &attempt; });
-  attempt.Settle();
+  attempt.CancelTimer();
   loop_.Retire(std::move(*at));
   attempts_.erase(at);
 }
--- a/src/notification/failure_notifier.h
+++ b/src/notification/failure_notifier.h
@@ -1,8 +1,9 @@
-// Notifies the platform of accepted requests that were not delivered, until it has acknowledged each.
+// Notifies the platform of accepted requests that were not delivered, and repeats each notification until the
+// platform has acknowledged it.
 //
-// A notification counts only shortly after its request's time, and a connection may be silent without a sign.
-// So attempts overlap: one that has no answer in time goes on, and the next one begins on a connection of its
-// own.
+// The platform accepts a notification only within a short time after the request's deadline, and a connection
+// may be dead without an error. So attempts overlap: if one has no answer in time, it stays open and the next
+// one starts on a new connection.
 #pragma once
 
 #include <cstddef>
@@ -21,15 +22,15 @@
 class FailureNotifier {
  public:
   // Called when the platform has acknowledged the notification of a request.
-  using Arrived = std::function<void(const std::string& request)>;
+  using OnAcknowledged = std::function<void(const std::string& request)>;
 
   FailureNotifier(net::EventLoop& loop, net::HttpClient& client, const sockaddr_in& to, const Limits& limits,
-                  Arrived arrived);
+                  OnAcknowledged on_acknowledged);
   ~FailureNotifier();
 
-  // `line`: of the platform's wire form, without the line end.
+  // `line`: the notification in the platform's wire format, without the newline.
   void Add(const std::string& request, const std::string& line);
-  // The platform has another address: what was not acknowledged goes there, at once.
+  // Changes the platform's address and immediately sends all unacknowledged notifications there.
   void MoveTo(const sockaddr_in& to);
   bool empty() const { return queue_.empty(); }
 
@@ -47,17 +48,18 @@
   void OnAnswer(Attempt& attempt, int status);
   void OnNoAnswer(Attempt& attempt, const char* why);
   void ScheduleRetry(const char* why);
-  void Drop(Attempt& attempt);
+  void Remove(Attempt& attempt);
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
   sockaddr_in to_;
   const Limits& limits_;
-  Arrived arrived_;
-  std::deque<Notification> queue_;  // in the order in which they came
-  Attempts attempts_;               // in flight; each holds the first notifications of the queue
-  bool singly_ = false;             // one notification a request: the platform could not read several
-  int failures_ = 0;                // in a row
+  OnAcknowledged on_acknowledged_;
+  std::deque<Notification> queue_;  // in the order of Add
+  Attempts attempts_;               // in flight; each carries the first notifications of the queue
+  bool one_by_one_ =
+      false;          // one notification per HTTP request, since the platform did not accept the last ones
+  int failures_ = 0;  // consecutive
   net::Seconds backoff_ = 0;
   net::EventLoop::TimerId next_attempt_ = 0;
 };
--- a/src/upstream/endpoint_protocol.cpp
+++ b/src/upstream/endpoint_protocol.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 constexpr double kMillisecondsPerSecond = 1000;
-constexpr double kMaxRetryAfterMs = 3.6e6;  // an hour
+constexpr double kMaxRetryAfterMs = 3.6e6;  // one hour
 
-// A plain decimal number that is the whole text, and no less than 0.
+// Parses a non-negative, finite number that spans the whole text.
 std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  const bool sound = error == std::errc() && end == text.data() + text.size() && std::isfinite(value);
-  if (!sound || value < 0) return std::nullopt;
+  const bool valid = error == std::errc() && end == text.data() + text.size() && std::isfinite(value);
+  if (!valid || value < 0) return std::nullopt;
   return value;
 }
 
@@ -36,8 +36,8 @@
 
 Outcome OutcomeOfUnavailable(const net::HttpMessage& answer) {
   if (IsOverSlots(answer)) return Outcome::kNotSent;
-  // An endpoint that also ends the connection it was just offered is short of connections, not over its
-  // limit.
+  // An endpoint that also closes the connection, and states no Retry-After, is out of connections rather than
+  // over its rate or concurrency limit.
   const bool over_limit = answer.keep_alive || RetryAfterOf(answer) > 0;
   return over_limit ? Outcome::kRejected : Outcome::kOutOfConnections;
 }
@@ -85,7 +85,7 @@
     default:
       log::Error("endpoint_answer_unknown",
                  {{"address", net::FormatAddress(from)}, {"status", answer.status}});
-      return {Outcome::kError, false};  // it may have run
+      return {Outcome::kError, false};  // the request may have run
   }
 }
 
@@ -100,8 +100,8 @@
     if (!item.is_object()) continue;
     const auto id = item.find("id");
     const auto state = item.find("state");
-    const bool sound = id != item.end() && id->is_string() && state != item.end() && state->is_string();
-    if (sound) states[id->get<std::string>()] = state->get<std::string>();
+    const bool valid = id != item.end() && id->is_string() && state != item.end() && state->is_string();
+    if (valid) states[id->get<std::string>()] = state->get<std::string>();
   }
   return states;
 }
@@ -132,7 +132,7 @@
   return std::min(ParseNumber(*text).value_or(0), kMaxRetryAfterMs) / kMillisecondsPerSecond;
 }
 
-// The form is "TEXT x0=0.4, x1=25".
+// Parses "TEXT x0=0.4, x1=25"; other fields are ignored.
 LoadReport LoadReportOf(const net::HttpMessage& answer) {
   LoadReport report;
   const std::string* text = answer.Header("X-Pressure");
--- a/src/upstream/endpoint_protocol.h
+++ b/src/upstream/endpoint_protocol.h
@@ -1,5 +1,5 @@
-// The endpoints' wire form: writes the requests of calls and health checks, and reads what the answers mean.
-// Headers, status codes and states of the protocol page stand here and nowhere else.
+// The wire protocol of the endpoints: formats calls and health checks, and interprets the answers. Header
+// names, status codes and batch states of this protocol are used only in this module.
 #pragma once
 
 #include <netinet/in.h>
@@ -13,40 +13,41 @@
 
 namespace opalroute::endpoint_protocol {
 
-// One request as it goes on the wire.
+// The parts of a request that are sent to an endpoint.
 struct OutgoingRequest {
   std::string id;
-  std::string key;  // idempotency key; empty: none
+  std::string key;  // idempotency key, or empty
   std::string body;
 };
 
-// `remaining_ms`: what is left of the time of the call, in milliseconds, 1 or more.
+// `remaining_ms`: remaining time of the call in milliseconds, at least 1.
 std::string WriteCall(const sockaddr_in& to, const OutgoingRequest& request, long remaining_ms);
-// Several requests in one call.
+// Formats a call that carries several requests.
 std::string WriteBatchCall(const sockaddr_in& to, const std::vector<const OutgoingRequest*>& requests,
                            long remaining_ms);
 std::string WriteHealthCheck(const sockaddr_in& to);
 
-// What an answer, or one entry of a batch answer, says of an attempt.
+// The result of an attempt according to an answer or to one entry of a batch answer.
 struct AttemptResult {
   Outcome outcome{};
-  bool request_ended = false;  // whatever the outcome: nothing more is owed for the request
+  bool request_ended = false;  // no further attempt is needed, whatever the outcome
 };
 
-// Of the whole call. Not for status 200 of a batch, whose entries have results of their own.
+// The result of a whole call. Not for status 200 of a batch, where each entry has its own result.
 AttemptResult ResultOf(const sockaddr_in& from, const net::HttpMessage& answer);
 
-// States by request id; an answer that can't be read gives none, and a log line.
+// Batch states by request id. For an answer that can't be parsed, logs an error and returns no states.
 using BatchStates = std::unordered_map<std::string, std::string>;
 BatchStates ReadBatchStates(const sockaddr_in& from, const net::HttpMessage& answer);
-// `state`: of one entry; empty: the answer does not name the request, which may have run.
+// `state`: the state of one batch entry. Empty if the answer does not list the request; the request may have
+// run.
 AttemptResult ResultOfState(const std::string& state);
 
 Outcome HealthCheckOutcomeOf(const net::HttpMessage& answer);
 
-// Seconds; 0: the answer states none.
+// Retry-After in seconds; 0 if the answer has none.
 Seconds RetryAfterOf(const net::HttpMessage& answer);
-// A report that can't be read as a whole is ignored as a whole.
+// Returns an empty report if any field of it is malformed.
 LoadReport LoadReportOf(const net::HttpMessage& answer);
 
 }  // namespace opalroute::endpoint_protocol
--- a/src/upstream/health_check_call.cpp
+++ b/src/upstream/health_check_call.cpp
@@ -44,8 +44,8 @@
   client_.Start({to_, endpoint_}, *this);
 }
 
-// A health check counts as a call: a drain or a Retry-After that came while its connection was opened binds
-// it too.
+// A health check counts as a call: it is not sent if the endpoint began to drain or sent a Retry-After while
+// the connection was being opened.
 std::string HealthCheckCall::OnReady() {
   if (!may_send_()) {
     Finish(Outcome::kNotSent);
--- a/src/upstream/health_check_call.h
+++ b/src/upstream/health_check_call.h
@@ -1,4 +1,4 @@
-// A health check of an endpoint: one call that carries no request.
+// One health check of an endpoint: a call that carries no request.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,10 +15,10 @@
 
 class HealthCheckCall : private net::HttpClient::Call {
  public:
-  using MaySend = std::function<bool()>;  // asked just before the first byte
+  using MaySend = std::function<bool()>;  // called just before the first byte is sent
   using Done = std::function<void(HealthCheckCall&, const HealthCheckOutcome&)>;
 
-  // `timeout`: seconds from now to the answer. `done` is called once.
+  // `timeout`: seconds from construction until the answer must have arrived. `done` is called once.
   HealthCheckCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
                   Seconds timeout, MaySend may_send, Done done);
   ~HealthCheckCall() override;
--- a/src/upstream/upstream_call.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -53,30 +53,30 @@
   if (member != members_.end()) Abandon(*member, Outcome::kCancelled, Outcome::kNotSent);
 }
 
-// The other members may still be pending. With the last one the call ends; what was not written as a whole by
-// then has not run.
-void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not) {
+// Gives up one member. The connection is given up only with the last pending member; a call that had not been
+// written completely by then has not run.
+void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not_written) {
   if (ended_ || !member.pending) return;
   const bool last = PendingMembers().size() == 1;
-  const auto state = last ? client_.Abandon(*this) : HttpClient::Abandoned{begun_, 0};
-  const bool served = state.status == kHttpOk && !batch_;
-  const Outcome outcome = state.written ? if_written : if_not;
-  Settle(member, {served ? Outcome::kServed : outcome});
-  EndIfSettled();
+  const auto state = last ? client_.Abandon(*this) : HttpClient::Abandoned{send_started_, 0};
+  const bool served = state.status == kHttpOk && !is_batch_;
+  const Outcome outcome = state.written ? if_written : if_not_written;
+  Complete(member, {served ? Outcome::kServed : outcome});
+  EndIfAllComplete();
 }
 
 std::string UpstreamCall::OnReady() {
-  RejectMembersThatMayNotBeSent();
+  WithholdUnsendableMembers();
   std::vector<const Member*> members = PendingMembers();
   if (members.empty()) {
-    EndIfSettled();
+    EndIfAllComplete();
     return {};
   }
-  begun_ = true;
+  send_started_ = true;
   requests_sent_ = static_cast<int>(members.size());
-  batch_ = members.size() > 1;
-  // The platform ends a call with the timeout of its first request, and a later answer is late for all of
-  // them. So the first is the one with the longest timeout, and the timeout stated is its own.
+  is_batch_ = members.size() > 1;
+  // The platform ends a call at the timeout of its first request, and an answer after that is late for all of
+  // them. So the request with the latest timeout goes first, and the call states that timeout.
   std::stable_sort(members.begin(), members.end(),
                    [](const Member* a, const Member* b) { return a->timeout_at > b->timeout_at; });
   const long remaining_ms = WholeMilliseconds(members.front()->timeout_at - loop_.Now());
@@ -84,12 +84,12 @@
   return WriteRequest(members, remaining_ms);
 }
 
-void UpstreamCall::RejectMembersThatMayNotBeSent() {
+void UpstreamCall::WithholdUnsendableMembers() {
   for (Member& member : members_) {
-    if (member.pending && !owner_.MaySend(*this, member)) Settle(member, {Outcome::kNotSent});
+    if (member.pending && !owner_.MaySend(*this, member)) Complete(member, {Outcome::kNotSent});
   }
   for (Member& member : members_) {
-    if (member.pending && !owner_.RecordAttempt(*this, member)) Settle(member, {Outcome::kLocalShortage});
+    if (member.pending && !owner_.RecordAttempt(*this, member)) Complete(member, {Outcome::kLocalShortage});
   }
 }
 
@@ -102,13 +102,13 @@
 }
 
 std::string UpstreamCall::WriteRequest(const std::vector<const Member*>& members, long remaining_ms) const {
-  if (!batch_) return endpoint_protocol::WriteCall(to_, *members.front(), remaining_ms);
+  if (!is_batch_) return endpoint_protocol::WriteCall(to_, *members.front(), remaining_ms);
   const std::vector<const endpoint_protocol::OutgoingRequest*> requests(members.begin(), members.end());
   return endpoint_protocol::WriteBatchCall(to_, requests, remaining_ms);
 }
 
 bool UpstreamCall::Suffices(int status) {
-  if (status != kHttpOk || batch_) return false;
+  if (status != kHttpOk || is_batch_) return false;
   answered_at_ = loop_.Now();
   return true;
 }
@@ -117,10 +117,10 @@
   const Seconds retry_after = endpoint_protocol::RetryAfterOf(answer);
   report_ = endpoint_protocol::LoadReportOf(answer);
   if (answered_at_ < 0) answered_at_ = loop_.Now();
-  if (answer.status == kHttpOk && batch_) {
+  if (answer.status == kHttpOk && is_batch_) {
     OnBatchAnswer(answer, retry_after);
   } else {
-    SettleAll(endpoint_protocol::ResultOf(to_, answer), retry_after);
+    CompleteAll(endpoint_protocol::ResultOf(to_, answer), retry_after);
   }
 }
 
@@ -129,31 +129,33 @@
   for (Member& member : members_) {
     const AttemptResult result = endpoint_protocol::ResultOfState(states[member.id]);
     if (member.pending) {
-      Settle(member, result, retry_after);
+      Complete(member, result, retry_after);
     } else if (result.outcome == Outcome::kServed) {
       owner_.OnServedLate(member.request_id);
     }
   }
-  EndIfSettled();
+  EndIfAllComplete();
 }
 
 void UpstreamCall::OnBroken(HttpClient::Broken how, int status) {
-  if (how == HttpClient::Broken::kNoRoom) return SettleAll({Outcome::kLocalShortage});
-  if (how != HttpClient::Broken::kReset) return SettleAll({Outcome::kConnectFailed});
-  // A status line with 200 is a delivery, whatever becomes of the rest; for a batch the whole answer counts.
-  const bool served = status == kHttpOk && !batch_;
-  SettleAll({served ? Outcome::kServed : Outcome::kReset});
+  if (how == HttpClient::Broken::kNoRoom) return CompleteAll({Outcome::kLocalShortage});
+  if (how != HttpClient::Broken::kReset) return CompleteAll({Outcome::kConnectFailed});
+  // A status line with 200 confirms the delivery even if the rest of the answer is lost. A batch needs its
+  // whole answer, which holds the state of each request.
+  const bool served = status == kHttpOk && !is_batch_;
+  CompleteAll({served ? Outcome::kServed : Outcome::kReset});
 }
 
-void UpstreamCall::SettleAll(AttemptResult result, Seconds retry_after) {
-  for (Member& member : members_) Settle(member, result, retry_after);
-  EndIfSettled();
+void UpstreamCall::CompleteAll(AttemptResult result, Seconds retry_after) {
+  for (Member& member : members_) Complete(member, result, retry_after);
+  EndIfAllComplete();
 }
 
-void UpstreamCall::Settle(Member& member, AttemptResult result, Seconds retry_after) {
+void UpstreamCall::Complete(Member& member, AttemptResult result, Seconds retry_after) {
   if (!member.pending) return;
-  // The loop reads sockets before it runs timers. An answer read in the turn in which its timeout ended is
-  // late for the platform, which then waits for an answer that nobody would give.
+  // The event loop reads sockets before it runs timers, so an answer may be read in the iteration in which
+  // its timeout expired. The platform treats that answer as late and goes on waiting for an outcome, so it
+  // must not count as served.
   const bool late = answered_at_ >= std::min(member.timeout_at, stated_timeout_at_);
   if (result.outcome == Outcome::kServed && late) result = {Outcome::kTimeout};
   member.pending = false;
@@ -170,7 +172,7 @@
   owner_.OnOutcome(*this, member, outcome);
 }
 
-void UpstreamCall::EndIfSettled() {
+void UpstreamCall::EndIfAllComplete() {
   const bool pending =
       std::any_of(members_.begin(), members_.end(), [](const Member& member) { return member.pending; });
   if (ended_ || pending) return;
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -1,4 +1,4 @@
-// One call to an endpoint, with one request or a batch of them, and the outcome of each.
+// One call to an endpoint that carries one request or a batch, and reports the outcome of each request.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,31 +15,30 @@
 
 class UpstreamCall : private net::HttpClient::Call {
  public:
-  // A request in the call.
+  // One request of the call.
   struct Member : endpoint_protocol::OutgoingRequest {
     RequestId request_id = 0;
     int attempt = 0;
     Seconds timeout_at = 0;
-    Seconds send_deadline = 0;  // its first byte leaves before this or never
-    bool pending = true;        // it has no outcome yet
+    Seconds send_deadline = 0;  // must not be sent at or after this time
+    bool pending = true;        // no outcome yet
     net::EventLoop::TimerId timer = 0;
   };
 
   class Owner {
    public:
     virtual ~Owner() = default;
-    // Asked just before the first byte. False: this attempt must not be sent any more.
+    // Called just before the first byte is sent. Returns false if the attempt must no longer be sent.
     virtual bool MaySend(const UpstreamCall& call, const Member& member) = 0;
-    // Asked next. False: the attempt could not be recorded, and must not be sent now.
+    // Called next. Returns false if the attempt could not be recorded; it is then not sent.
     virtual bool RecordAttempt(const UpstreamCall& call, const Member& member) = 0;
-    // So many requests have been written to the connection as a whole.
+    // All bytes of the call have been written to the connection; it carries this many requests.
     virtual void OnWritten(int requests) = 0;
     // Called once for each member.
     virtual void OnOutcome(const UpstreamCall& call, const Member& member, const AttemptOutcome& outcome) = 0;
-    // The endpoint has served a request that had had its outcome before.
+    // The endpoint has served a request whose outcome had already been reported.
     virtual void OnServedLate(RequestId request) = 0;
-    // All members have their outcomes. The call may be destroyed once the caller has returned to the event
-    // loop.
+    // All members have their outcomes. The owner may destroy the call only after returning to the event loop.
     virtual void OnCallEnded(UpstreamCall& call) = 0;
   };
 
@@ -59,14 +58,14 @@
   void OnBroken(net::HttpClient::Broken how, int status) override;
   bool Suffices(int status) override;
 
-  void RejectMembersThatMayNotBeSent();
+  void WithholdUnsendableMembers();
   std::vector<const Member*> PendingMembers() const;
   std::string WriteRequest(const std::vector<const Member*>& members, long remaining_ms) const;
   void OnBatchAnswer(const net::HttpMessage& answer, Seconds retry_after);
-  void Settle(Member& member, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
-  void SettleAll(endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
-  void Abandon(Member& member, Outcome if_written, Outcome if_not);
-  void EndIfSettled();
+  void Complete(Member& member, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
+  void CompleteAll(endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
+  void Abandon(Member& member, Outcome if_written, Outcome if_not_written);
+  void EndIfAllComplete();
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
@@ -76,11 +75,11 @@
   Owner& owner_;
   const Seconds started_;
   LoadReport report_;
-  Seconds stated_timeout_at_ = 0;  // the timeout that the request states, which is in whole milliseconds
-  Seconds answered_at_ = -1;       // when what says that it was served was read; negative: not yet
+  Seconds stated_timeout_at_ = 0;  // timeout as sent to the endpoint, rounded to whole milliseconds
+  Seconds answered_at_ = -1;  // when the answer, or a status line that suffices, was read; negative: not yet
   int requests_sent_ = 0;
-  bool begun_ = false;  // the request has been handed to the connection
-  bool batch_ = false;  // it holds several requests
+  bool send_started_ = false;  // the call has been handed to the connection
+  bool is_batch_ = false;      // the call carries several requests
   bool ended_ = false;
 };
 
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -1,4 +1,4 @@
-// Notifications for a platform that can't be reached, or takes connections and says nothing.
+// Tests FailureNotifier with a platform that refuses connections, or accepts them and never answers.
 #include "notification/failure_notifier.h"
 
 #include <doctest/doctest.h>
@@ -26,7 +26,7 @@
 constexpr int kBacklog = 16;
 constexpr std::size_t kBodyBytes = 65536;
 
-// A socket that is bound and does not listen: connections there are refused (ip(7)).
+// Returns a socket that is bound but does not listen, so that connections to it are refused (ip(7)).
 int BindWithoutListening() {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const sockaddr_in any = *net::ParseAddress("127.0.0.1:0");
@@ -44,7 +44,7 @@
   std::vector<std::string> bodies;
 };
 
-struct Notifying {
+struct NotifierFixture {
   net::HandClock clock;
   net::EventLoop loop{clock};
   Limits limits;
@@ -53,11 +53,11 @@
   Platform platform;
   std::unique_ptr<net::HttpServer> server;
   net::HttpClient client{loop, PlatformClientBounds(limits)};
-  std::map<std::string, int> arrived;
+  std::map<std::string, int> acknowledged;
   FailureNotifier notifier{loop, client, address, limits,
-                           [this](const std::string& request) { ++arrived[request]; }};
+                           [this](const std::string& request) { ++acknowledged[request]; }};
 
-  ~Notifying() {
+  ~NotifierFixture() {
     if (!server) close(fd);
   }
   void AddAll() {
@@ -87,38 +87,39 @@
     std::string expected;
     for (int i = 0; i < kNotifications; ++i) expected += "line " + std::to_string(1000 + i) + "\n";
     CHECK(AllBodies() == expected);
-    CHECK(arrived.size() == kNotifications);
-    for (const auto& [request, times] : arrived) CHECK(times == 1);
+    CHECK(acknowledged.size() == kNotifications);
+    for (const auto& [request, times] : acknowledged) CHECK(times == 1);
     CHECK(notifier.empty());
   }
 };
 
-// Guards against notifications that are dropped after so many failures, and against a relay that stops
-// trying, or tries without pause, while the platform is away.
-TEST_CASE("notifications: a platform that refuses connections is tried at a bounded rate until it is back") {
-  Notifying n;
+// Guards against dropping notifications after a number of failures, and against retries that stop, or run
+// without backoff, while the platform refuses connections.
+TEST_CASE(
+    "notifications: a platform that refuses connections is retried at a bounded rate until it recovers") {
+  NotifierFixture n;
   n.AddAll();
   n.RunFor(kOutage);
-  CHECK(n.arrived.empty());
+  CHECK(n.acknowledged.empty());
   const auto attempts = static_cast<double>(n.client.opened());
   CHECK(attempts >= kOutage / (n.limits.notice_backoff_most + kStep));
-  CHECK(attempts <= kOutage / n.limits.notice_backoff_most + 20);  // the quick retries come on top
+  CHECK(attempts <= kOutage / n.limits.notice_backoff_most + 20);  // plus the quick retries at the start
   n.Listen();
   n.RunFor(n.limits.notice_backoff_most + 0.1);
   n.CheckAllArrivedInOrder();
 }
 
-// Guards against attempts that pile up on connections that bring no answer.
-TEST_CASE("notifications: a platform that is silent has a bounded number of attempts open") {
-  Notifying n;
-  REQUIRE(listen(n.fd, kBacklog) == 0);  // the kernel takes connections, and nobody reads
+// Guards against attempts that accumulate on connections that never bring an answer.
+TEST_CASE("notifications: the number of open attempts is bounded while the platform does not answer") {
+  NotifierFixture n;
+  REQUIRE(listen(n.fd, kBacklog) == 0);  // the kernel accepts connections, but nothing reads from them
   n.AddAll();
   int most = 0;
   for (net::Seconds at = 0; at < kOutage; at += 0.1) {
     n.RunFor(0.1);
     most = std::max(most, n.client.connections());
   }
-  CHECK(n.arrived.empty());
+  CHECK(n.acknowledged.empty());
   CHECK(most >= 2);
   CHECK(most <= static_cast<int>(n.limits.notice_tries));
 }
