--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -123,16 +123,16 @@
   answer.id = query.id;
   answer.response = answer.recursion_available = true;
   answer.questions = query.questions;
-  if (entry.fault == Entry::Fault::kNoEdns && query.edns_bytes) {
+  if (entry.fault == Entry::Fault::kNoEdns && query.edns_udp_size) {
     answer.rcode = dns::Rcode::kFormErr;
     return dns::Encode(answer);
   }
   answer.rcode = entry.rcode;
   answer.answers = entry.answers;
   answer.authority = entry.authority;
-  if (query.edns_bytes) answer.edns_bytes = 1232;
+  if (query.edns_udp_size) answer.edns_udp_size = 1232;
   std::string bytes = dns::Encode(answer);
-  const std::size_t most = std::max<std::size_t>(kWithoutEdns, query.edns_bytes.value_or(0));
+  const std::size_t most = std::max<std::size_t>(kWithoutEdns, query.edns_udp_size.value_or(0));
   if (!tcp && (entry.truncated || bytes.size() > most)) {
     // What fits, as servers do: a part that must not be taken for the whole.
     while (!answer.answers.empty() && dns::Encode(answer).size() > most) answer.answers.pop_back();
--- a/src/discovery/merged_endpoint_source.cpp
+++ b/src/discovery/merged_endpoint_source.cpp
@@ -131,7 +131,7 @@
            {{"queries", counters.queries},
             {"tcp", counters.tcp},
             {"answers", counters.answers},
-            {"passed_over", counters.passed},
+            {"passed_over", counters.ignored},
             {"failures", counters.failures},
             {"stale", counters.stale}}}};
 }
--- a/src/discovery/srv_source.cpp
+++ b/src/discovery/srv_source.cpp
@@ -39,8 +39,8 @@
 
 SrvSource::~SrvSource() {
   for (const auto& lookup : lookups_) {
-    resolver_.Forget(lookup->ticket);
-    for (const auto ticket : lookup->address_tickets) resolver_.Forget(ticket);
+    resolver_.Cancel(lookup->ticket);
+    for (const auto ticket : lookup->address_tickets) resolver_.Cancel(ticket);
   }
 }
 
@@ -86,7 +86,7 @@
 
 // 'No such name' counts as no answer: a zone that was lost looks the same.
 void SrvSource::OnServices(Lookup& lookup, const dns::Outcome& outcome) {
-  if (!outcome.answer || outcome.stale) return ReportNoAnswer(lookup, outcome.why, outcome.refresh_at);
+  if (!outcome.answer || outcome.stale) return ReportNoAnswer(lookup, outcome.error, outcome.refresh_at);
   const Answer& answer = *outcome.answer;
   if (answer.kind == Answer::Kind::kNoName) {
     return ReportNoAnswer(lookup, "no such name", outcome.refresh_at);
--- a/src/dns/answer.cpp
+++ b/src/dns/answer.cpp
@@ -6,34 +6,39 @@
 
 namespace {
 
-constexpr Seconds kEndless = 1e18;  // longer than any lifetime
+constexpr Seconds kMaxTtl = 1e18;  // longer than any TTL
 
-const Record* AliasOf(const Message& response, const Name& name) {
+const Record* FindCname(const Message& response, const Name& name) {
   for (const Record& r : response.answers)
     if (r.type == Type::kCname && r.name == name && std::holds_alternative<Name>(r.data)) return &r;
   return nullptr;
 }
 
-Seconds NegativeLifetime(const Message& response) {
+Seconds NegativeTtl(const Message& response) {
   for (const Record& r : response.authority)
-    if (const auto* soa = std::get_if<Soa>(&r.data)) return std::min(r.lifetime, soa->minimum);
-  return 0;  // not to be kept (RFC 2308, 5); the cache has a least lifetime of its own
+    if (const auto* soa = std::get_if<Soa>(&r.data)) return std::min(r.ttl, soa->minimum);
+  return 0;  // must not be cached (RFC 2308, 5); the cache applies its own minimum
 }
 
-// Why the response is no answer to the question, if it is none.
-std::optional<Unfit> WhyUnfit(const Message& response, std::uint16_t id, const Question& question) {
-  const bool ours = response.response && response.id == id;
-  // Servers may leave the question out when they can't read it.
-  if (ours && response.rcode == Rcode::kFormErr && response.questions.empty()) return Unfit::kNoEdns;
-  if (!ours || response.questions.size() != 1 || !(response.questions[0] == question)) return Unfit::kOther;
-  if (response.rcode == Rcode::kFormErr || response.rcode == Rcode::kNotImp) return Unfit::kNoEdns;
-  if (response.rcode != Rcode::kNoError && response.rcode != Rcode::kNxDomain) return Unfit::kFailed;
-  if (response.truncated) return Unfit::kTruncated;
+// Returns why the response does not answer the question, or nothing if it does.
+std::optional<ResponseError> CheckResponse(const Message& response, std::uint16_t id,
+                                           const Question& question) {
+  const bool matches_id = response.response && response.id == id;
+  // Servers may omit the question if they can't parse the query.
+  if (matches_id && response.rcode == Rcode::kFormErr && response.questions.empty())
+    return ResponseError::kEdnsUnsupported;
+  if (!matches_id || response.questions.size() != 1 || !(response.questions[0] == question))
+    return ResponseError::kMismatch;
+  if (response.rcode == Rcode::kFormErr || response.rcode == Rcode::kNotImp)
+    return ResponseError::kEdnsUnsupported;
+  if (response.rcode != Rcode::kNoError && response.rcode != Rcode::kNxDomain)
+    return ResponseError::kServerFailure;
+  if (response.truncated) return ResponseError::kTruncated;
   return std::nullopt;
 }
 
-// Adds the records of `name` to the answer. Returns the least of their lifetimes and `least`.
-Seconds AddRecords(const Message& response, Type type, const Name& name, Seconds least, Answer& answer) {
+// Adds the records of `name` to the answer. Returns the lowest of their TTLs and `lowest_ttl`.
+Seconds AddRecords(const Message& response, Type type, const Name& name, Seconds lowest_ttl, Answer& answer) {
   for (const Record& r : response.answers) {
     if (r.type != type || r.name != name) continue;
     if (const auto* srv = std::get_if<Srv>(&r.data)) {
@@ -43,28 +48,29 @@
     } else {
       continue;
     }
-    least = std::min<Seconds>(least, r.lifetime);
+    lowest_ttl = std::min<Seconds>(lowest_ttl, r.ttl);
   }
-  return least;
+  return lowest_ttl;
 }
 
 }  // namespace
 
-std::variant<Answer, Unfit> ReadAnswer(const Message& response, std::uint16_t id, const Question& question) {
-  if (const auto unfit = WhyUnfit(response, id, question)) return *unfit;
+std::variant<Answer, ResponseError> ReadAnswer(const Message& response, std::uint16_t id,
+                                               const Question& question) {
+  if (const auto error = CheckResponse(response, id, question)) return *error;
   Answer answer;
   Name name = question.name;
-  Seconds least = kEndless;
+  Seconds lowest_ttl = kMaxTtl;
   int aliases = 0;
-  while (const Record* alias = AliasOf(response, name)) {
-    if (++aliases > kMostAliases) return Unfit::kFailed;  // a loop, or as good as one
-    least = std::min<Seconds>(least, alias->lifetime);
+  while (const Record* alias = FindCname(response, name)) {
+    if (++aliases > kMaxAliases) return ResponseError::kServerFailure;  // a loop, or too long to follow
+    lowest_ttl = std::min<Seconds>(lowest_ttl, alias->ttl);
     name = std::get<Name>(alias->data);
   }
-  least = AddRecords(response, question.type, name, least, answer);
+  lowest_ttl = AddRecords(response, question.type, name, lowest_ttl, answer);
   if (!answer.services.empty() || !answer.addresses.empty()) {
     answer.kind = Answer::Kind::kRecords;
-    answer.lifetime = least;
+    answer.ttl = lowest_ttl;
     return answer;
   }
   const bool negative =
@@ -73,11 +79,11 @@
   if (aliases > 0 && !negative) {
     answer.kind = Answer::Kind::kAlias;
     answer.alias = name;
-    answer.lifetime = least;
+    answer.ttl = lowest_ttl;
     return answer;
   }
   answer.kind = response.rcode == Rcode::kNxDomain ? Answer::Kind::kNoName : Answer::Kind::kNoData;
-  answer.lifetime = std::min(least, NegativeLifetime(response));
+  answer.ttl = std::min(lowest_ttl, NegativeTtl(response));
   return answer;
 }
 
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 255, kLongestLabel = 63;
-constexpr std::size_t kHeader = 12;
-// Bits of the header's third and fourth byte (RFC 1035, 4.1.1).
+constexpr std::size_t kMaxNameBytes = 255, kMaxLabelBytes = 63;
+constexpr std::size_t kHeaderBytes = 12;
+// Flags in the third and fourth byte of the header (RFC 1035, 4.1.1).
 constexpr std::uint16_t kResponse = 0x8000, kOpcode = 0x7800, kAuthoritative = 0x0400, kTruncated = 0x0200,
                         kRecursionDesired = 0x0100, kRecursionAvailable = 0x0080, kRcode = 0x000f;
 
@@ -21,127 +21,130 @@
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
 
   struct Failure {
-    Fault fault;
+    DecodeError error;
   };
 
   Message ReadMessage() {
     Message m;
-    m.id = Read16("a header of 12 bytes is expected");
-    const std::uint16_t flags = Read16("a header of 12 bytes is expected");
+    m.id = Read16("shorter than the header of 12 bytes");
+    const std::uint16_t flags = Read16("shorter than the header of 12 bytes");
     m.response = (flags & kResponse) != 0;
     m.authoritative = (flags & kAuthoritative) != 0;
     m.truncated = (flags & kTruncated) != 0;
     m.recursion_desired = (flags & kRecursionDesired) != 0;
     m.recursion_available = (flags & kRecursionAvailable) != 0;
     m.rcode = static_cast<Rcode>(flags & kRcode);
-    if ((flags & kOpcode) != 0) Fail(2, "only the opcode of a standard query is understood");
+    if ((flags & kOpcode) != 0) Fail(2, "unsupported opcode: not a standard query");
     std::uint16_t counts[4];
-    for (std::uint16_t& count : counts) count = Read16("a header of 12 bytes is expected");
+    for (std::uint16_t& count : counts) count = Read16("shorter than the header of 12 bytes");
     for (int i = 0; i < counts[0]; ++i) {
       Question question;
       question.name = ReadName();
-      question.type = static_cast<Type>(Read16("a question's type is expected"));
-      const std::size_t at = at_;
-      if (Read16("a question's class is expected") != kInternet)
-        Fail(at, "a question's class must be Internet");
+      question.type = static_cast<Type>(Read16("missing type of a question"));
+      const std::size_t class_offset = offset_;
+      if (Read16("missing class of a question") != kInternet)
+        Fail(class_offset, "the class of a question is not Internet");
       m.questions.push_back(std::move(question));
     }
     if (m.truncated) return m;
     std::vector<Record>* const sections[] = {&m.answers, &m.authority, &m.additional};
     for (int s = 0; s < 3; ++s)
       for (int i = 0; i < counts[s + 1]; ++i) ReadRecord(m, *sections[s], s == 2);
-    if (at_ != bytes_.size()) Fail(at_, "bytes stand behind the last record");
+    if (offset_ != bytes_.size()) Fail(offset_, "unexpected bytes after the last record");
     return m;
   }
 
  private:
-  [[noreturn]] static void Fail(std::size_t at, const char* what) { throw Failure{{at, what}}; }
+  [[noreturn]] static void Fail(std::size_t offset, const char* reason) { throw Failure{{offset, reason}}; }
 
-  std::uint8_t Read8(const char* expected) {
-    if (at_ >= bytes_.size()) Fail(at_, expected);
-    return static_cast<std::uint8_t>(bytes_[at_++]);
+  // `error`: reported if the bytes end before the value is complete.
+  std::uint8_t Read8(const char* error) {
+    if (offset_ >= bytes_.size()) Fail(offset_, error);
+    return static_cast<std::uint8_t>(bytes_[offset_++]);
   }
-  std::uint16_t Read16(const char* expected) {
-    const std::uint16_t high = Read8(expected);
-    return static_cast<std::uint16_t>(high << 8 | Read8(expected));
+  std::uint16_t Read16(const char* error) {
+    const std::uint16_t high = Read8(error);
+    return static_cast<std::uint16_t>(high << 8 | Read8(error));
   }
-  std::uint32_t Read32(const char* expected) {
-    const std::uint32_t high = Read16(expected);
-    return high << 16 | Read16(expected);
+  std::uint32_t Read32(const char* error) {
+    const std::uint32_t high = Read16(error);
+    return high << 16 | Read16(error);
   }
 
-  // Danger: pointers that lead forward or to themselves never end. Each must lead to before the part of the
-  // name that it stands in, so that every jump goes further back.
+  // Compression pointers that point forward or to themselves could form an endless loop. So each pointer must
+  // point to before the part of the name that contains it, and every jump goes further back.
   Name ReadName() {
     std::string wire;
-    std::size_t at = at_;
-    std::size_t begins = at_;
+    std::size_t at = offset_;
+    std::size_t part_begin = offset_;
     bool jumped = false;
     for (;;) {
-      if (at >= bytes_.size()) Fail(at, "a name goes on past the end");
+      if (at >= bytes_.size()) Fail(at, "a name extends past the end of the message");
       const auto length = static_cast<std::uint8_t>(bytes_[at]);
       if ((length & 0xc0) == 0xc0) {
-        if (at + 1 >= bytes_.size()) Fail(at, "a pointer has two bytes");
+        if (at + 1 >= bytes_.size()) Fail(at, "incomplete compression pointer");
         const std::size_t to =
             static_cast<std::size_t>(length & 0x3f) << 8 | static_cast<std::uint8_t>(bytes_[at + 1]);
-        if (to >= begins) Fail(at, "a pointer must lead back");
-        if (!std::exchange(jumped, true)) at_ = at + 2;
-        at = begins = to;
+        if (to >= part_begin) Fail(at, "a compression pointer does not point backward");
+        if (!std::exchange(jumped, true)) offset_ = at + 2;
+        at = part_begin = to;
         continue;
       }
-      if (length > kLongestLabel) Fail(at, "a label has at most 63 bytes");
-      if (at + 1 + length > bytes_.size()) Fail(at, "a label goes on past the end");
-      if (wire.size() + 1 + length > kLongestName) Fail(at, "a name has at most 255 bytes");
+      if (length > kMaxLabelBytes) Fail(at, "a label is longer than 63 bytes");
+      if (at + 1 + length > bytes_.size()) Fail(at, "a label extends past the end of the message");
+      if (wire.size() + 1 + length > kMaxNameBytes) Fail(at, "a name is longer than 255 bytes");
       wire += static_cast<char>(length);
       for (std::size_t i = 0; i < length; ++i) wire += Lower(bytes_[at + 1 + i]);
       at += 1 + static_cast<std::size_t>(length);
       if (length == 0) break;
     }
-    if (!jumped) at_ = at;
+    if (!jumped) offset_ = at;
     return Name::FromWire(std::move(wire));
   }
 
   void ReadRecord(Message& m, std::vector<Record>& section, bool additional) {
     Record record;
-    const std::size_t begins = at_;
+    const std::size_t record_begin = offset_;
     record.name = ReadName();
-    record.type = static_cast<Type>(Read16("a record's type is expected"));
-    record.record_class = Read16("a record's class is expected");
-    record.lifetime = Read32("a record's lifetime is expected");
-    if (record.lifetime >> 31 != 0 && record.type != Type::kOpt) record.lifetime = 0;
-    const std::size_t length = Read16("the length of a record's data is expected");
-    const std::size_t ends = at_ + length;
-    if (ends > bytes_.size()) Fail(at_, "a record's data goes on past the end");
+    record.type = static_cast<Type>(Read16("missing type of a record"));
+    record.record_class = Read16("missing class of a record");
+    record.ttl = Read32("missing TTL of a record");
+    if (record.ttl >> 31 != 0 && record.type != Type::kOpt) record.ttl = 0;
+    const std::size_t length = Read16("missing data length of a record");
+    const std::size_t data_end = offset_ + length;
+    if (data_end > bytes_.size()) Fail(offset_, "the data of a record extends past the end of the message");
     if (record.type == Type::kOpt) {
-      // Its class is a size (RFC 6891, 6.1.2); one, and only in the last section.
-      if (!additional || m.edns_bytes) Fail(begins, "one OPT record may stand among the additional ones");
-      if (!record.name.root()) Fail(begins, "an OPT record's name must be the root");
-      m.edns_bytes = record.record_class;
-      at_ = ends;
+      // Its class field holds the UDP payload size (RFC 6891, 6.1.2). At most one is allowed, and only in the
+      // additional section.
+      if (!additional || m.edns_udp_size)
+        Fail(record_begin, "a second OPT record, or one outside the additional section");
+      if (!record.name.root()) Fail(record_begin, "the name of an OPT record is not the root");
+      m.edns_udp_size = record.record_class;
+      offset_ = data_end;
       return;
     }
     if (record.record_class == kInternet) ReadData(record, length);
-    if (record.data.index() == 0) at_ = ends;
-    if (at_ != ends) Fail(at_, "a record's data has another length than it says");
+    if (record.data.index() == 0) offset_ = data_end;
+    if (offset_ != data_end) Fail(offset_, "the data of a record does not match its stated length");
     section.push_back(std::move(record));
   }
 
   void ReadData(Record& record, std::size_t length) {
-    const char* const too_short = "a record's data is too short";
+    const char* const too_short = "the data of a record is too short";
     switch (record.type) {
       case Type::kA: {
-        if (length != 4) Fail(at_, "an IPv4 address has 4 bytes");
+        if (length != 4) Fail(offset_, "the data of an A record is not 4 bytes long");
         in_addr address{};
-        std::memcpy(&address, bytes_.data() + at_, 4);
-        at_ += 4;
+        std::memcpy(&address, bytes_.data() + offset_, 4);
+        offset_ += 4;
         record.data = address;
         return;
       }
       case Type::kAaaa: {
-        Address6 address;
-        if (length != address.size()) Fail(at_, "an IPv6 address has 16 bytes");
-        std::memcpy(address.data(), bytes_.data() + at_, address.size());
-        at_ += address.size();
+        Ipv6Address address;
+        if (length != address.size()) Fail(offset_, "the data of an AAAA record is not 16 bytes long");
+        std::memcpy(address.data(), bytes_.data() + offset_, address.size());
+        offset_ += address.size();
         record.data = address;
         return;
       }
@@ -173,7 +176,7 @@
   }
 
   const std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
 void Put16(std::string& to, std::uint16_t value) {
@@ -185,11 +188,11 @@
   Put16(to, static_cast<std::uint16_t>(value & 0xffff));
 }
 
-struct PutData {
+struct DataEncoder {
   std::string& to;
   void operator()(std::monostate) const {}
   void operator()(const in_addr& address) const { to.append(reinterpret_cast<const char*>(&address), 4); }
-  void operator()(const Address6& address) const {
+  void operator()(const Ipv6Address& address) const {
     to.append(reinterpret_cast<const char*>(address.data()), address.size());
   }
   void operator()(const Name& name) const { to += name.wire(); }
@@ -208,9 +211,9 @@
   to += record.name.wire();
   Put16(to, static_cast<std::uint16_t>(record.type));
   Put16(to, record.record_class);
-  Put32(to, record.lifetime);
+  Put32(to, record.ttl);
   std::string data;
-  std::visit(PutData{data}, record.data);
+  std::visit(DataEncoder{data}, record.data);
   Put16(to, static_cast<std::uint16_t>(data.size()));
   to += data;
 }
@@ -223,15 +226,15 @@
   while (!text.empty()) {
     const std::size_t dot = text.find('.');
     const std::string_view label = text.substr(0, dot);
-    if (label.empty() || label.size() > kLongestLabel) return std::nullopt;
+    if (label.empty() || label.size() > kMaxLabelBytes) return std::nullopt;
     wire += static_cast<char>(label.size());
     for (const char c : label) wire += Lower(c);
     if (dot == std::string_view::npos) break;
     text.remove_prefix(dot + 1);
-    if (text.empty()) return std::nullopt;  // "a.." : an empty label
+    if (text.empty()) return std::nullopt;  // "a.." has an empty label
   }
   wire += '\0';
-  if (wire.size() > kLongestName) return std::nullopt;
+  if (wire.size() > kMaxNameBytes) return std::nullopt;
   return FromWire(std::move(wire));
 }
 
@@ -255,24 +258,24 @@
       }
       const int code = static_cast<std::uint8_t>(c);
       text += '\\';
-      for (const int place : {100, 10, 1}) text += static_cast<char>('0' + code / place % 10);
+      for (const int divisor : {100, 10, 1}) text += static_cast<char>('0' + code / divisor % 10);
     }
     at += 1 + static_cast<std::size_t>(length);
   }
   return text;
 }
 
-std::variant<Message, Fault> Decode(std::string_view bytes) {
+std::variant<Message, DecodeError> Decode(std::string_view bytes) {
   try {
     return Reader(bytes).ReadMessage();
   } catch (const Reader::Failure& failure) {
-    return failure.fault;
+    return failure.error;
   }
 }
 
 std::string Encode(const Message& m) {
   std::string to;
-  to.reserve(kHeader + 64 * (1 + m.answers.size() + m.authority.size() + m.additional.size()));
+  to.reserve(kHeaderBytes + 64 * (1 + m.answers.size() + m.authority.size() + m.additional.size()));
   Put16(to, m.id);
   std::uint16_t flags = static_cast<std::uint16_t>(m.rcode) & kRcode;
   if (m.response) flags |= kResponse;
@@ -282,7 +285,7 @@
   if (m.recursion_available) flags |= kRecursionAvailable;
   Put16(to, flags);
   for (const std::size_t count : {m.questions.size(), m.answers.size(), m.authority.size(),
-                                  m.additional.size() + (m.edns_bytes ? 1 : 0)})
+                                  m.additional.size() + (m.edns_udp_size ? 1 : 0)})
     Put16(to, static_cast<std::uint16_t>(count));
   for (const Question& question : m.questions) {
     to += question.name.wire();
@@ -291,7 +294,7 @@
   }
   for (const auto* section : {&m.answers, &m.authority, &m.additional})
     for (const Record& record : *section) PutRecord(to, record);
-  if (m.edns_bytes) PutRecord(to, {Name(), Type::kOpt, *m.edns_bytes, 0, {}});
+  if (m.edns_udp_size) PutRecord(to, {Name(), Type::kOpt, *m.edns_udp_size, 0, {}});
   return to;
 }
 
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -13,18 +13,19 @@
 
 namespace {
 
-CacheRules RulesOf(const Limits& limits) {
-  CacheRules rules;
-  rules.least = limits.dns_least_lifetime;
-  rules.most = limits.dns_most_lifetime;
-  rules.negative_most = limits.dns_negative_lifetime;
-  rules.stale_most = limits.dns_stale;
-  rules.entries = limits.dns_entries;
-  return rules;
+CacheConfig CacheConfigOf(const Limits& limits) {
+  CacheConfig config;
+  config.min_ttl = limits.dns_least_lifetime;
+  config.max_ttl = limits.dns_most_lifetime;
+  config.max_negative_ttl = limits.dns_negative_lifetime;
+  config.max_stale = limits.dns_stale;
+  config.max_entries = limits.dns_entries;
+  return config;
 }
 
-// A port of its own for each datagram, as the kernel draws it (RFC 5452, 9.2).
-sockaddr_in AnyPortTowards(const sockaddr_in& server) {
+// The local address for a query to `server`. Port 0 makes the kernel choose a random port for each query,
+// which makes responses harder to forge (RFC 5452, 9.2).
+sockaddr_in LocalAddressFor(const sockaddr_in& server) {
   constexpr std::uint32_t kLoopbackNet = 127;
   sockaddr_in from{};
   from.sin_family = AF_INET;
@@ -40,33 +41,34 @@
     : loop_(loop),
       addresses_(std::move(servers)),
       limits_(limits),
-      random_(seed),
+      random_state_(seed),
       servers_(addresses_.size()),
-      cache_(RulesOf(limits)),
+      cache_(CacheConfigOf(limits)),
       retries_(limits.dns_retry, limits.dns_retry_rate) {
   for (const sockaddr_in& address : addresses_)
     channels_.push_back(std::make_unique<TcpChannel>(loop, address, limits));
 }
 
 Resolver::~Resolver() {
-  for (auto& [question, flight] : flights_) EndAttempt(flight);
+  for (auto& [question, lookup] : lookups_) EndQuery(lookup);
 }
 
-// SplitMix64 (Steele et al. 2014); seeded from the system where it must not be guessed.
-double Resolver::Draw() {
-  std::uint64_t z = (random_ += 0x9e3779b97f4a7c15ULL);
+// SplitMix64 (Steele et al. 2014). Unpredictable only if the seed is, which the caller provides.
+double Resolver::NextRandom() {
+  std::uint64_t z = (random_state_ += 0x9e3779b97f4a7c15ULL);
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9ULL;
   z = (z ^ (z >> 27)) * 0x94d049bb133111ebULL;
   return static_cast<double>((z ^ (z >> 31)) >> 11) * 0x1p-53;
 }
 
-Resolver::Ticket Resolver::Ask(const Question& question, bool newer, Done done) {
+Resolver::Ticket Resolver::Ask(const Question& question, bool bypass_cache, Done done) {
   const Ticket ticket = ++last_ticket_;
   tickets_.emplace(ticket, question);
   cache_.Expire(loop_.Now());
   const auto found = cache_.Find(question, loop_.Now());
-  // Past its refresh it is asked for anew: else whoever looks again then would do so until its lifetime ends.
-  if (!newer && found && loop_.Now() < found->refresh_at) {
+  // From its refresh time on an answer is not served from the cache: a caller that asks again at that time
+  // would get the same refresh time, and ask again and again until the TTL ends.
+  if (!bypass_cache && found && loop_.Now() < found->refresh_at) {
     loop_.At(loop_.Now(),
              [this, alive = std::weak_ptr<bool>(alive_), ticket,
               outcome = Outcome{*found->answer, false, "", found->refresh_at}, done = std::move(done)] {
@@ -74,195 +76,198 @@
              });
     return ticket;
   }
-  const auto [it, fresh] = flights_.try_emplace(question);
-  it->second.askers.emplace_back(ticket, std::move(done));
-  if (fresh) {
-    it->second.asks = question;
-    it->second.asked.assign(addresses_.size(), 0);
-    line_.push_back(question);
+  const auto [it, is_new] = lookups_.try_emplace(question);
+  it->second.requests.emplace_back(ticket, std::move(done));
+  if (is_new) {
+    it->second.current_question = question;
+    it->second.attempts_by_server.assign(addresses_.size(), 0);
+    queue_.push_back(question);
     loop_.At(loop_.Now(), [this, alive = std::weak_ptr<bool>(alive_)] {
-      if (!alive.expired()) BeginSome();
+      if (!alive.expired()) StartQueued();
     });
   }
   return ticket;
 }
 
-void Resolver::Forget(Ticket ticket) {
+void Resolver::Cancel(Ticket ticket) {
   const auto it = tickets_.find(ticket);
   if (it == tickets_.end()) return;
-  const auto flight = flights_.find(it->second);
-  if (flight != flights_.end()) {
-    auto& askers = flight->second.askers;
-    askers.erase(
-        std::remove_if(askers.begin(), askers.end(), [&](const auto& a) { return a.first == ticket; }),
-        askers.end());
+  const auto lookup = lookups_.find(it->second);
+  if (lookup != lookups_.end()) {
+    auto& requests = lookup->second.requests;
+    requests.erase(std::remove_if(requests.begin(), requests.end(),
+                                  [&](const auto& request) { return request.first == ticket; }),
+                   requests.end());
   }
-  tickets_.erase(it);  // the flight goes on: what it brings is kept
+  tickets_.erase(it);  // the lookup continues, and its answer is cached
 }
 
-// Thousands of names may be due at once; their queries leave as others land.
-void Resolver::BeginSome() {
-  while (!line_.empty() && flying_ < limits_.dns_flights) {
-    const Question question = std::move(line_.front());
-    line_.pop_front();
-    ++flying_;
-    Try(question);
+// Thousands of names may be due at once. The number of active lookups is limited; queued ones start as others
+// finish.
+void Resolver::StartQueued() {
+  while (!queue_.empty() && active_lookups_ < limits_.dns_flights) {
+    const Question question = std::move(queue_.front());
+    queue_.pop_front();
+    ++active_lookups_;
+    StartAttempt(question);
   }
 }
 
-void Resolver::Try(const Question& question) {
-  Flight& flight = flights_.at(question);
-  if (flight.tries >= limits_.dns_tries)
-    return Land(question, {std::nullopt, false, "no server has answered", 0});
-  ++flight.tries;
-  flight.server = servers_.Pick(loop_.Now(), flight.asked);
-  ++flight.asked[flight.server];
-  SendDatagram(question, flight);
+void Resolver::StartAttempt(const Question& question) {
+  Lookup& lookup = lookups_.at(question);
+  if (lookup.attempts >= limits_.dns_tries)
+    return Finish(question, {std::nullopt, false, "no server has answered", 0});
+  ++lookup.attempts;
+  lookup.server = servers_.Select(loop_.Now(), lookup.attempts_by_server);
+  ++lookup.attempts_by_server[lookup.server];
+  SendDatagram(question, lookup);
 }
 
-std::string Resolver::QueryOf(const Flight& flight) const {
+std::string Resolver::EncodeQuery(const Lookup& lookup) const {
   Message query;
-  query.id = flight.id;
-  query.questions = {flight.asks};
-  if (flight.edns) query.edns_bytes = limits_.dns_datagram_asked;
+  query.id = lookup.id;
+  query.questions = {lookup.current_question};
+  if (lookup.edns) query.edns_udp_size = limits_.dns_datagram_asked;
   return Encode(query);
 }
 
-void Resolver::Arm(const Question& question, Flight& flight) {
-  flight.sent = loop_.Now();
-  flight.attempt = ++last_attempt_;
+void Resolver::BeginQuery(const Question& question, Lookup& lookup) {
+  lookup.sent_at = loop_.Now();
+  lookup.query_number = ++last_query_number_;
   ++counters_.queries;
-  const Seconds patience =
-      servers_.Patience(flight.server, flight.asked[flight.server] - 1) * (0.9 + 0.2 * Draw());
-  loop_.Cancel(flight.timer);
-  flight.timer = loop_.At(loop_.Now() + patience, [this, question] {
-    flights_.at(question).timer = 0;
-    Fail(question, "no answer in time");
+  const Seconds timeout = servers_.Timeout(lookup.server, lookup.attempts_by_server[lookup.server] - 1) *
+                          (0.9 + 0.2 * NextRandom());
+  loop_.Cancel(lookup.timer);
+  lookup.timer = loop_.At(loop_.Now() + timeout, [this, question] {
+    lookups_.at(question).timer = 0;
+    FailAttempt(question, "no answer in time");
   });
 }
 
-void Resolver::SendDatagram(const Question& question, Flight& flight) {
-  EndAttempt(flight);
-  flight.by_tcp = false;
-  flight.id = static_cast<std::uint16_t>(Draw() * 65536);
-  Arm(question, flight);
-  const sockaddr_in to = addresses_[flight.server];
+void Resolver::SendDatagram(const Question& question, Lookup& lookup) {
+  EndQuery(lookup);
+  lookup.over_tcp = false;
+  lookup.id = static_cast<std::uint16_t>(NextRandom() * 65536);
+  BeginQuery(question, lookup);
+  const sockaddr_in to = addresses_[lookup.server];
   try {
-    flight.socket = std::make_unique<net::DatagramSocket>(
-        loop_, AnyPortTowards(to), limits_.dns_datagram_bytes,
-        [this, question, attempt = flight.attempt, to](const sockaddr_in& from, const std::string& bytes) {
+    lookup.socket = std::make_unique<net::DatagramSocket>(
+        loop_, LocalAddressFor(to), limits_.dns_datagram_bytes,
+        [this, question, query_number = lookup.query_number, to](const sockaddr_in& from,
+                                                                 const std::string& bytes) {
           if (from.sin_addr.s_addr != to.sin_addr.s_addr || from.sin_port != to.sin_port) {
-            ++counters_.passed;
+            ++counters_.ignored;
             return;
           }
-          Take(question, attempt, bytes);
+          OnResponse(question, query_number, bytes);
         });
-    flight.socket->Send(to, QueryOf(flight));  // unsent is as good as lost
-  } catch (const std::system_error& error) {
+    lookup.socket->Send(to, EncodeQuery(lookup));  // a failed send counts as a lost datagram
+  } catch (const std::system_error& error) {       // the attempt then times out
     log::Warn("dns_no_socket", {{"why", error.what()}});
   }
 }
 
-// The same try: the server has answered, in a way that says that its answer is longer.
-void Resolver::SendByTcp(const Question& question, Flight& flight) {
-  EndAttempt(flight);
-  TcpChannel& channel = *channels_[flight.server];
-  flight.by_tcp = true;
-  do flight.id = static_cast<std::uint16_t>(Draw() * 65536);
-  while (channel.Asks(flight.id));
-  Arm(question, flight);
+// Continues the same attempt over TCP, after the server has answered over UDP with a truncated message.
+void Resolver::SendOverTcp(const Question& question, Lookup& lookup) {
+  EndQuery(lookup);
+  TcpChannel& channel = *channels_[lookup.server];
+  lookup.over_tcp = true;
+  do lookup.id = static_cast<std::uint16_t>(NextRandom() * 65536);
+  while (channel.IsPending(lookup.id));
+  BeginQuery(question, lookup);
   ++counters_.tcp;
-  channel.Ask(flight.id, QueryOf(flight),
-              [this, question, attempt = flight.attempt](const std::string* bytes) {
-                const auto it = flights_.find(question);
-                if (it == flights_.end() || it->second.attempt != attempt) return;
-                if (bytes == nullptr) return Fail(question, "the connection ended");
-                Take(question, attempt, *bytes);
-              });
+  channel.Query(lookup.id, EncodeQuery(lookup),
+                [this, question, query_number = lookup.query_number](const std::string* bytes) {
+                  const auto it = lookups_.find(question);
+                  if (it == lookups_.end() || it->second.query_number != query_number) return;
+                  if (bytes == nullptr) return FailAttempt(question, "TCP connection failed");
+                  OnResponse(question, query_number, *bytes);
+                });
 }
 
-// Nothing of it is taken any more.
-void Resolver::EndAttempt(Flight& flight) {
-  loop_.Cancel(flight.timer);
-  loop_.Retire(std::move(flight.socket));
-  if (flight.by_tcp && flight.attempt != 0) channels_[flight.server]->Forget(flight.id);
-  flight.attempt = 0;
+// Stops the query in flight, if any; its response will be ignored.
+void Resolver::EndQuery(Lookup& lookup) {
+  loop_.Cancel(lookup.timer);
+  loop_.Retire(std::move(lookup.socket));
+  if (lookup.over_tcp && lookup.query_number != 0) channels_[lookup.server]->Cancel(lookup.id);
+  lookup.query_number = 0;
 }
 
-void Resolver::Take(const Question& question, std::uint64_t attempt, const std::string& bytes) {
-  const auto it = flights_.find(question);
-  if (it == flights_.end() || it->second.attempt != attempt) return;
-  Flight& flight = it->second;
+void Resolver::OnResponse(const Question& question, std::uint64_t query_number, const std::string& bytes) {
+  const auto it = lookups_.find(question);
+  if (it == lookups_.end() || it->second.query_number != query_number) return;
+  Lookup& lookup = it->second;
   const auto decoded = Decode(bytes);
   const auto* message = std::get_if<Message>(&decoded);
-  auto read = message == nullptr ? std::variant<Answer, Unfit>(Unfit::kOther)
-                                 : ReadAnswer(*message, flight.id, flight.asks);
+  auto read = message == nullptr ? std::variant<Answer, ResponseError>(ResponseError::kMismatch)
+                                 : ReadAnswer(*message, lookup.id, lookup.current_question);
   if (auto* answer = std::get_if<Answer>(&read)) {
-    servers_.Answered(flight.server, loop_.Now(), loop_.Now() - flight.sent);
+    servers_.OnAnswer(lookup.server, loop_.Now(), loop_.Now() - lookup.sent_at);
     ++counters_.answers;
-    return TakeAnswer(question, flight, std::move(*answer));
+    return OnAnswer(question, lookup, std::move(*answer));
   }
-  switch (std::get<Unfit>(read)) {
-    case Unfit::kOther:  // the true one may still come, but by TCP nothing else does
-      ++counters_.passed;
-      return flight.by_tcp ? Fail(question, "an answer to something else") : void();
-    case Unfit::kTruncated:
-      return flight.by_tcp ? Fail(question, "truncated by TCP") : SendByTcp(question, flight);
-    case Unfit::kNoEdns:
-      if (std::exchange(flight.edns, false)) return SendDatagram(question, flight);
-      return Fail(question, "the server can't read the question");
-    case Unfit::kFailed:
-      return Fail(question, "the server failed or refused");
+  switch (std::get<ResponseError>(read)) {
+    case ResponseError::kMismatch:  // over UDP the real response may still arrive, but not over TCP
+      ++counters_.ignored;
+      return lookup.over_tcp ? FailAttempt(question, "unexpected response") : void();
+    case ResponseError::kTruncated:
+      return lookup.over_tcp ? FailAttempt(question, "truncated response over TCP")
+                             : SendOverTcp(question, lookup);
+    case ResponseError::kEdnsUnsupported:
+      if (std::exchange(lookup.edns, false)) return SendDatagram(question, lookup);
+      return FailAttempt(question, "the server can't parse the query");
+    case ResponseError::kServerFailure:
+      return FailAttempt(question, "the server failed or refused");
   }
 }
 
-void Resolver::TakeAnswer(const Question& question, Flight& flight, Answer answer) {
-  EndAttempt(flight);
-  flight.lifetime = std::min(flight.lifetime, answer.lifetime);
+void Resolver::OnAnswer(const Question& question, Lookup& lookup, Answer answer) {
+  EndQuery(lookup);
+  lookup.ttl = std::min(lookup.ttl, answer.ttl);
   if (answer.kind == Answer::Kind::kAlias) {
-    if (++flight.aliases > kMostAliases)
-      return Land(question, {std::nullopt, false, "a chain of aliases without end", 0});
-    flight.asks.name = answer.alias;
-    flight.tries = 0;
-    std::fill(flight.asked.begin(), flight.asked.end(), 0);
-    return Try(question);
+    if (++lookup.aliases > kMaxAliases)
+      return Finish(question, {std::nullopt, false, "too many aliases in a row", 0});
+    lookup.current_question.name = answer.alias;
+    lookup.attempts = 0;
+    std::fill(lookup.attempts_by_server.begin(), lookup.attempts_by_server.end(), 0);
+    return StartAttempt(question);
   }
-  answer.lifetime = flight.lifetime;
-  cache_.Put(question, answer, loop_.Now(), Draw());
-  const auto kept = cache_.Find(question, loop_.Now());
-  Land(question,
-       {std::move(answer), false, "", kept ? kept->refresh_at : loop_.Now() + limits_.dns_least_lifetime});
+  answer.ttl = lookup.ttl;
+  cache_.Put(question, answer, loop_.Now(), NextRandom());
+  const auto cached = cache_.Find(question, loop_.Now());
+  Finish(question, {std::move(answer), false, "",
+                    cached ? cached->refresh_at : loop_.Now() + limits_.dns_least_lifetime});
 }
 
-void Resolver::Fail(const Question& question, const char* why) {
-  Flight& flight = flights_.at(question);
-  log::Debug("dns_try_failed", {{"name", flight.asks.name.Text()},
-                                {"server", net::FormatAddress(addresses_[flight.server])},
-                                {"why", why}});
+void Resolver::FailAttempt(const Question& question, const char* error) {
+  Lookup& lookup = lookups_.at(question);
+  log::Debug("dns_try_failed", {{"name", lookup.current_question.name.Text()},
+                                {"server", net::FormatAddress(addresses_[lookup.server])},
+                                {"why", error}});
   ++counters_.failures;
-  servers_.Failed(flight.server, loop_.Now(), Draw());
-  EndAttempt(flight);
-  Try(question);
+  servers_.OnFailure(lookup.server, loop_.Now(), NextRandom());
+  EndQuery(lookup);
+  StartAttempt(question);
 }
 
-void Resolver::Land(const Question& question, const Outcome& outcome) {
-  const auto it = flights_.find(question);
-  EndAttempt(it->second);
-  auto askers = std::move(it->second.askers);
-  flights_.erase(it);
-  --flying_;
-  Outcome told = outcome;
-  if (!told.answer) {
-    told.refresh_at = retries_.NextFor(loop_.Now(), Draw());
+void Resolver::Finish(const Question& question, const Outcome& outcome) {
+  const auto it = lookups_.find(question);
+  EndQuery(it->second);
+  auto requests = std::move(it->second.requests);
+  lookups_.erase(it);
+  --active_lookups_;
+  Outcome reported = outcome;
+  if (!reported.answer) {
+    reported.refresh_at = retries_.NextRetry(loop_.Now(), NextRandom());
     if (const auto found = cache_.Find(question, loop_.Now())) {
-      told.answer = *found->answer;
-      told.stale = true;
+      reported.answer = *found->answer;
+      reported.stale = true;
       ++counters_.stale;
     }
   }
-  for (auto& [ticket, done] : askers)
-    if (tickets_.erase(ticket) > 0) done(told);
-  BeginSome();
+  for (auto& [ticket, done] : requests)
+    if (tickets_.erase(ticket) > 0) done(reported);
+  StartQueued();
 }
 
 }  // namespace opalroute::dns
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -1,5 +1,6 @@
-// A stub resolver on the event loop: asks recursive name servers for SRV and A records, keeps their answers,
-// and says what it still believes when they fail. One flight for equal questions, however many ask.
+// A stub resolver on the event loop. It asks recursive name servers for SRV and A records, caches the
+// answers, and serves stale answers when all servers fail. Concurrent requests for the same question share
+// one lookup.
 #pragma once
 
 #include <netinet/in.h>
@@ -24,19 +25,19 @@
 namespace opalroute::dns {
 
 struct Outcome {
-  std::optional<Answer> answer;  // never an alias: it has been followed
-  bool stale = false;            // the servers fail; this is what they said before
-  const char* why = "";          // they failed
+  std::optional<Answer> answer;  // never an alias: aliases have been followed
+  bool stale = false;            // the lookup failed, and `answer` is an earlier one from the cache
+  const char* error = "";        // why the lookup failed
   Seconds refresh_at = 0;        // when to ask again
 };
 
 struct ResolverCounters {
-  long queries = 0;   // datagrams and TCP queries sent
-  long tcp = 0;       // of these, by TCP
-  long answers = 0;   // that were taken
-  long passed = 0;    // forged, late or unreadable ones
-  long failures = 0;  // tries that ended without an answer
-  long stale = 0;     // times that an old answer had to do
+  long queries = 0;   // sent, over UDP and TCP
+  long tcp = 0;       // of these, sent over TCP
+  long answers = 0;   // accepted
+  long ignored = 0;   // messages that were forged, late or malformed
+  long failures = 0;  // attempts that ended without an answer
+  long stale = 0;     // lookups that were answered with a stale answer
 };
 
 class Resolver {
@@ -44,64 +45,66 @@
   using Ticket = std::uint64_t;
   using Done = std::function<void(const Outcome&)>;
 
-  // `limits` and the loop stay. `seed`: of ids, jitter and the order of nothing else.
+  // The loop and `limits` must outlive the resolver. `seed`: for query ids and jitter.
   Resolver(net::EventLoop& loop, std::vector<sockaddr_in> servers, const Limits& limits, std::uint64_t seed);
   ~Resolver();
 
-  // `done` is called once, never before this returns. The servers are asked if no answer is kept that is not
-  // yet due for a refresh, or if `newer`.
-  Ticket Ask(const Question& question, bool newer, Done done);
-  void Forget(Ticket ticket);  // it is not called any more
+  // `done` is called once, and never before Ask returns. The servers are asked if the cache has no answer, if
+  // its answer is due for a refresh, or if `bypass_cache`.
+  Ticket Ask(const Question& question, bool bypass_cache, Done done);
+  void Cancel(Ticket ticket);  // `done` will not be called
 
   const ResolverCounters& counters() const { return counters_; }
 
  private:
-  struct Flight {
-    std::vector<std::pair<Ticket, Done>> askers;
-    Question asks;  // what is asked now: an alias's name, after one
-    int aliases = 0, tries = 0;
-    Seconds lifetime = 1e18;  // the least of the aliases that led here
-    std::vector<int> asked;   // by server
+  // All requests for one question that are waiting for the same answer.
+  struct Lookup {
+    std::vector<std::pair<Ticket, Done>> requests;
+    Question current_question;  // after an alias, the question for its target
+    int aliases = 0, attempts = 0;
+    Seconds ttl = 1e18;  // the lowest TTL of the aliases followed so far
+    std::vector<int> attempts_by_server;
     bool edns = true;
     std::size_t server = 0;
     std::uint16_t id = 0;
-    bool by_tcp = false;
-    Seconds sent = 0;
-    std::uint64_t attempt = 0;
+    bool over_tcp = false;
+    Seconds sent_at = 0;
+    std::uint64_t query_number = 0;  // of the query in flight; 0: none
     std::unique_ptr<net::DatagramSocket> socket;
     net::EventLoop::TimerId timer = 0;
   };
-  using Flights = std::map<Question, Flight>;
+  using Lookups = std::map<Question, Lookup>;
 
-  void BeginSome();
-  void Try(const Question& question);
-  void SendDatagram(const Question& question, Flight& flight);
-  void SendByTcp(const Question& question, Flight& flight);
-  std::string QueryOf(const Flight& flight) const;
-  void Arm(const Question& question, Flight& flight);
-  void Take(const Question& question, std::uint64_t attempt, const std::string& bytes);
-  void TakeAnswer(const Question& question, Flight& flight, Answer answer);
-  void Fail(const Question& question, const char* why);
-  void EndAttempt(Flight& flight);
-  void Land(const Question& question, const Outcome& outcome);
-  double Draw();
+  void StartQueued();
+  void StartAttempt(const Question& question);
+  void SendDatagram(const Question& question, Lookup& lookup);
+  void SendOverTcp(const Question& question, Lookup& lookup);
+  std::string EncodeQuery(const Lookup& lookup) const;
+  void BeginQuery(const Question& question, Lookup& lookup);
+  void OnResponse(const Question& question, std::uint64_t query_number, const std::string& bytes);
+  void OnAnswer(const Question& question, Lookup& lookup, Answer answer);
+  void FailAttempt(const Question& question, const char* error);
+  void EndQuery(Lookup& lookup);
+  void Finish(const Question& question, const Outcome& outcome);
+  double NextRandom();  // uniform in [0, 1)
 
   net::EventLoop& loop_;
   const std::vector<sockaddr_in> addresses_;
   const Limits& limits_;
-  std::uint64_t random_;
-  Servers servers_;
+  std::uint64_t random_state_;
+  ServerSelector servers_;
   Cache cache_;
   RetryPacer retries_;
   ResolverCounters counters_;
-  Flights flights_;
-  std::deque<Question> line_;  // flights that wait for others to land, the last asked last
-  std::size_t flying_ = 0;
+  Lookups lookups_;
+  std::deque<Question> queue_;  // lookups that have not started, since the limit is reached; oldest first
+  std::size_t active_lookups_ = 0;
   std::vector<std::unique_ptr<TcpChannel>> channels_;  // by server
   std::map<Ticket, Question> tickets_;
   Ticket last_ticket_ = 0;
-  std::uint64_t last_attempt_ = 0;
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what the loop calls later
+  std::uint64_t last_query_number_ = 0;
+  // Expires with the resolver; deferred callbacks check it.
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace opalroute::dns
--- a/src/dns/retry_pacer.h
+++ b/src/dns/retry_pacer.h
@@ -1,4 +1,5 @@
-// When questions that no server has answered are asked again. Pure: the clock is handed in.
+// Schedules when questions that no server has answered are asked again. Performs no I/O; the caller passes
+// the time.
 #pragma once
 
 #include <algorithm>
@@ -7,25 +8,25 @@
 
 namespace opalroute::dns {
 
-// Each waits for about the usual time. Where many fail, each further one waits its turn, so that together
-// they keep to a rate however many there are: servers that are overloaded are not kept so by retries.
+// Each question is retried after about the usual delay. If many fail, their retries are spaced so that
+// together they stay within a rate, and retries don't keep overloaded servers overloaded.
 class RetryPacer {
  public:
-  // `wait`: the usual time in seconds; `rate`: questions a second, above 0.
-  RetryPacer(Seconds wait, double rate) : wait_(wait), interval_(1 / rate) {}
+  // `delay`: the usual delay in seconds; `rate`: questions per second, above 0.
+  RetryPacer(Seconds delay, double rate) : delay_(delay), interval_(1 / rate) {}
 
-  // For a question that has failed now. `draw`: from 0 to below 1.
-  Seconds NextFor(Seconds now, double draw) {
-    constexpr double kLeastShare = 0.75;
+  // The time of the next retry of a question that failed at `now`. `random`: uniform in [0, 1).
+  Seconds NextRetry(Seconds now, double random) {
+    constexpr double kMinShare = 0.75;
     constexpr double kSpread = 0.5;
-    latest_ = std::max(now + wait_ * (kLeastShare + kSpread * draw), latest_ + interval_);
+    latest_ = std::max(now + delay_ * (kMinShare + kSpread * random), latest_ + interval_);
     return latest_;
   }
 
  private:
-  const Seconds wait_;
+  const Seconds delay_;
   const Seconds interval_;
-  Seconds latest_ = 0;  // that was given
+  Seconds latest_ = 0;  // the latest retry time returned
 };
 
 }  // namespace opalroute::dns
--- a/src/dns/servers.cpp
+++ b/src/dns/servers.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-constexpr double kGain = 0.2;                               // weight of the newest time
-constexpr Seconds kFades = 60;                              // a known time counts half as much after this
-constexpr Seconds kFirstBackoff = 0.5, kMostBackoff = 30;   // doubled with each failure in a row
-constexpr Seconds kLeastPatience = 0.2, kMostPatience = 2;  // of one try
-constexpr Seconds kUnknownPatience = 0.6;
-constexpr double kPatience = 4;  // usual times
+constexpr double kSmoothingGain = 0.2;                    // weight of the newest answer time
+constexpr Seconds kHalfLife = 60;                         // of a known answer time
+constexpr Seconds kFirstBackoff = 0.5, kMaxBackoff = 30;  // doubled with each consecutive failure
+constexpr Seconds kMinTimeout = 0.2, kMaxTimeout = 2;     // of one attempt
+constexpr Seconds kDefaultTimeout = 0.6;                  // while no answer time is known
+constexpr double kTimeoutFactor = 4;                      // multiple of the smoothed answer time
 
 }  // namespace
 
-std::size_t Servers::Pick(Seconds now, const std::vector<int>& asked) const {
+std::size_t ServerSelector::Select(Seconds now, const std::vector<int>& attempts) const {
   const auto rank = [&](std::size_t i) {
     const Server& s = servers_[i];
-    const bool rests = now < s.backoff_until;
-    const double known = s.usual * std::exp2(-(now - s.last) / kFades);
-    return std::make_tuple(asked[i], rests, rests ? s.backoff_until : known, i);
+    const bool in_backoff = now < s.backoff_until;
+    const double decayed_time = s.smoothed_time * std::exp2(-(now - s.last_answer_at) / kHalfLife);
+    return std::make_tuple(attempts[i], in_backoff, in_backoff ? s.backoff_until : decayed_time, i);
   };
   std::size_t best = 0;
   for (std::size_t i = 1; i < servers_.size(); ++i)
@@ -30,25 +30,26 @@
   return best;
 }
 
-void Servers::Answered(std::size_t server, Seconds now, Seconds took) {
+void ServerSelector::OnAnswer(std::size_t server, Seconds now, Seconds duration) {
   Server& s = servers_[server];
-  s.usual = s.usual > 0 ? s.usual + kGain * (took - s.usual) : took;
-  s.last = now;
+  s.smoothed_time =
+      s.smoothed_time > 0 ? s.smoothed_time + kSmoothingGain * (duration - s.smoothed_time) : duration;
+  s.last_answer_at = now;
   s.failures = 0;
   s.backoff_until = 0;
 }
 
-void Servers::Failed(std::size_t server, Seconds now, double draw) {
+void ServerSelector::OnFailure(std::size_t server, Seconds now, double random) {
   Server& s = servers_[server];
-  const Seconds backoff = std::min(kMostBackoff, kFirstBackoff * std::exp2(std::min(s.failures, 10)));
+  const Seconds backoff = std::min(kMaxBackoff, kFirstBackoff * std::exp2(std::min(s.failures, 10)));
   ++s.failures;
-  s.backoff_until = now + backoff * (0.75 + 0.5 * draw);
+  s.backoff_until = now + backoff * (0.75 + 0.5 * random);
 }
 
-Seconds Servers::Patience(std::size_t server, int tries) const {
-  const Seconds usual = servers_[server].usual;
-  const Seconds first = usual > 0 ? kPatience * usual : kUnknownPatience;
-  return std::clamp(first * std::exp2(tries), kLeastPatience, kMostPatience);
+Seconds ServerSelector::Timeout(std::size_t server, int earlier_attempts) const {
+  const Seconds time = servers_[server].smoothed_time;
+  const Seconds first = time > 0 ? kTimeoutFactor * time : kDefaultTimeout;
+  return std::clamp(first * std::exp2(earlier_attempts), kMinTimeout, kMaxTimeout);
 }
 
 }  // namespace opalroute::dns
--- a/src/dns/servers.h
+++ b/src/dns/servers.h
@@ -1,4 +1,4 @@
-// Which of the name servers is asked next. Pure: the clock is handed in.
+// Selects the name server that is asked next. Performs no I/O; the caller passes the time.
 #pragma once
 
 #include <cstddef>
@@ -8,25 +8,27 @@
 
 namespace opalroute::dns {
 
-// Those that answer come before those in backoff, and among them the fastest; every server's claim to be slow
-// is tried again as its time fades. One in backoff is asked only where all are.
-class Servers {
+// Prefers servers that are not in backoff, and of these the fastest. The known answer time of a server decays
+// while it is not asked, so that slow servers are tried again. A server in backoff is asked only if all are
+// in backoff or have been asked already.
+class ServerSelector {
  public:
-  explicit Servers(std::size_t count) : servers_(count) {}
+  explicit ServerSelector(std::size_t count) : servers_(count) {}
 
-  // Servers that this question has asked already come after all others. `asked`: how often, by server.
-  std::size_t Pick(Seconds now, const std::vector<int>& asked) const;
-  void Answered(std::size_t server, Seconds now, Seconds took);
-  void Failed(std::size_t server, Seconds now, double draw);  // draw: from 0 to below 1
-  // The time that an answer may take: some of its usual times, within bounds.
-  Seconds Patience(std::size_t server, int tries) const;
+  // `attempts`: attempts of the question so far, by server. Servers with fewer attempts come first.
+  std::size_t Select(Seconds now, const std::vector<int>& attempts) const;
+  void OnAnswer(std::size_t server, Seconds now, Seconds duration);
+  void OnFailure(std::size_t server, Seconds now, double random);  // random: uniform in [0, 1)
+  // How long to wait for an answer: a multiple of the server's usual answer time, within bounds.
+  // `earlier_attempts`: earlier attempts of the question at this server; each doubles the timeout.
+  Seconds Timeout(std::size_t server, int earlier_attempts) const;
   std::size_t count() const { return servers_.size(); }
 
  private:
   struct Server {
-    Seconds usual = 0;  // smoothed time of an answer; 0: not known
-    Seconds last = 0;   // when it last answered
-    int failures = 0;   // in a row
+    Seconds smoothed_time = 0;  // smoothed answer time; 0: not known
+    Seconds last_answer_at = 0;
+    int failures = 0;  // consecutive
     Seconds backoff_until = 0;
   };
   std::vector<Server> servers_;
--- a/src/dns/tcp_channel.h
+++ b/src/dns/tcp_channel.h
@@ -1,5 +1,6 @@
-// Queries to one server over TCP, with lengths before them (RFC 1035, 4.2.2; RFC 7766): one connection for
-// all that are under way, kept for a while for those to come. Answers may come in any order.
+// Queries to one server over TCP, each message prefixed with its length (RFC 1035, 4.2.2; RFC 7766). All
+// concurrent queries share one connection, which is kept open for a while after the last one. Answers may
+// arrive in any order.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,32 +18,34 @@
 
 class TcpChannel : private net::Connection::Owner {
  public:
-  // A whole message, or nothing: the connection could not be had or ended, or what came is no frame.
+  // Receives a whole message, or null if the connection could not be opened, ended, or had no room for the
+  // query.
   using Done = std::function<void(const std::string* message)>;
 
   TcpChannel(net::EventLoop& loop, const sockaddr_in& server, const Limits& limits);
   ~TcpChannel() override;
 
-  // `query` begins with its id; no other query of this channel may be under way with the same one.
-  void Ask(std::uint16_t id, const std::string& query, Done done);
-  void Forget(std::uint16_t id);
-  bool Asks(std::uint16_t id) const { return waiting_.count(id) > 0; }
+  // `query` is an encoded message with the given id. No other query with this id may be pending.
+  void Query(std::uint16_t id, const std::string& query, Done done);
+  void Cancel(std::uint16_t id);
+  bool IsPending(std::uint16_t id) const { return pending_.count(id) > 0; }
 
  private:
   void OnData(net::Connection& connection) override;
   void OnEnd(net::Connection& connection, net::Connection::End how) override;
   void Close();
   void FailAll();
-  void RestIfIdle();
+  void StartTimerIfIdle();
 
   net::EventLoop& loop_;
   const sockaddr_in server_;
   const Limits& limits_;
   std::unique_ptr<net::Connection> connection_;
-  std::string frame_;  // length and message, as far as they have come
-  std::map<std::uint16_t, Done> waiting_;
-  net::EventLoop::TimerId rest_timer_ = 0;
-  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what the loop calls later
+  std::string frame_;  // length and message, as far as received
+  std::map<std::uint16_t, Done> pending_;
+  net::EventLoop::TimerId idle_timer_ = 0;
+  // Expires with the channel; deferred callbacks check it.
+  const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace opalroute::dns
--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-// Whether `text` is 1 to `max_bytes` of printable ASCII without spaces. Such a value can be copied into HTTP
-// headers without escaping.
-bool IsToken(const std::string& text, std::size_t max_bytes) {
+// Whether `text` is 1 to `max_bytes` bytes of printable ASCII without spaces. Such a value can be forwarded
+// in HTTP headers and in JSON.
+bool IsVisibleAscii(const std::string& text, std::size_t max_bytes) {
   return !text.empty() && text.size() <= max_bytes &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
@@ -125,7 +125,7 @@
        {"Host", "X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Addressing", "Idempotency-Key"})
     if (request.Count(name) > 1) return std::string(name) + ": stated more than once";
   out.id = text("X-Txn");
-  if (!IsToken(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
+  if (!IsVisibleAscii(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
   out.request_class = IndexOf(config_.classes, text("X-Lane"));
   if (out.request_class < 0) return "X-Lane: no such class";
   if (!config_.tenants.empty()) {
@@ -139,7 +139,7 @@
   if (!ParseDestination(text("X-Addressing"), out.destination)) return "X-Addressing: no dest=NUMBER";
   out.key = text("Idempotency-Key");
   const bool keyed = config_.settings.classes[out.request_class].idempotency == Idempotency::kIdempotencyKey;
-  if ((keyed || !out.key.empty()) && !IsToken(out.key, limits.name_bytes))
+  if ((keyed || !out.key.empty()) && !IsVisibleAscii(out.key, limits.name_bytes))
     return "Idempotency-Key: missing, or not plain";
   out.body = std::move(request.body);
   return {};
--- a/tests/fuzz/corpus_main.cpp
+++ b/tests/fuzz/corpus_main.cpp
@@ -1,5 +1,5 @@
-// Plays a fuzz target without a fuzzer: each file of the corpus, and mutations of each drawn from a fixed
-// seed, so that the verdict is the same every time. `PROGRAM FOLDER MUTATIONS`.
+// Runs a fuzz target without a fuzzer: on each file of the corpus and on mutations of it that are generated
+// from a fixed seed, so that the result is reproducible. Usage: PROGRAM FOLDER MUTATIONS
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -16,14 +16,14 @@
 
 namespace {
 
-void Play(const std::string& bytes) {
-  // Its own block of memory, so that a sanitizer sees the first byte past the end.
+void RunTarget(const std::string& bytes) {
+  // A separate allocation of the exact size lets a sanitizer detect a read past the end.
   const std::unique_ptr<std::uint8_t[]> copy(new std::uint8_t[bytes.size()]);
   std::copy(bytes.begin(), bytes.end(), copy.get());
   LLVMFuzzerTestOneInput(copy.get(), bytes.size());
 }
 
-std::string Mutated(std::string bytes, pcg32& random) {
+std::string Mutate(std::string bytes, pcg32& random) {
   for (std::uint32_t i = 0, count = 1 + random(6); i < count && !bytes.empty(); ++i) {
     const std::size_t at = random(static_cast<std::uint32_t>(bytes.size()));
     switch (random(4)) {
@@ -51,13 +51,13 @@
   for (const auto& entry : std::filesystem::directory_iterator(argv[1])) files.insert(entry.path().string());
   if (files.empty()) return 2;
   pcg32 random(17);
-  long played = 0;
+  long mutations = 0;
   for (const std::string& name : files) {
     std::ifstream file(name, std::ios::binary);
     const std::string bytes((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
-    Play(bytes);
-    for (int i = 0; i < std::atoi(argv[2]); ++i, ++played) Play(Mutated(bytes, random));
+    RunTarget(bytes);
+    for (int i = 0; i < std::atoi(argv[2]); ++i, ++mutations) RunTarget(Mutate(bytes, random));
   }
-  std::printf("%zu files, %ld mutations\n", files.size(), played);
+  std::printf("%zu files, %ld mutations\n", files.size(), mutations);
   return 0;
 }
--- a/tests/fuzz/dns_fuzz.cpp
+++ b/tests/fuzz/dns_fuzz.cpp
@@ -1,5 +1,5 @@
-// Whatever bytes come: nothing is read past their end, and what is read once reads the same when written
-// anew.
+// Fuzz target for the DNS decoder: it must not read past the end of any input, and a decoded message must be
+// the same after encoding and decoding it again.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
@@ -10,17 +10,17 @@
   using namespace opalroute::dns;
   const std::string_view bytes(reinterpret_cast<const char*>(data), size);
   const auto decoded = Decode(bytes);
-  if (const auto* fault = std::get_if<Fault>(&decoded)) {
-    if (fault->at > size || *fault->what == '\0') std::abort();
+  if (const auto* error = std::get_if<DecodeError>(&decoded)) {
+    if (error->offset > size || *error->reason == '\0') std::abort();
     return 0;
   }
   const Message& message = std::get<Message>(decoded);
   if (!message.questions.empty()) (void)ReadAnswer(message, message.id, message.questions.front());
-  // Data of other types and classes is not kept, and an OPT record's options neither: written anew they are
-  // gone.
+  // Decoding drops the data of other record types and classes and the options of OPT records, so they are
+  // missing from the encoded message.
   if (message.truncated) return 0;
   const std::string once = Encode(message);
-  if (once.size() > 65535) return 0;  // compressed names, written whole
+  if (once.size() > 65535) return 0;  // names that were compressed in the input are encoded in full
   const auto again = Decode(once);
   if (!std::holds_alternative<Message>(again) && size < 4096) {
     for (const auto* section : {&message.answers, &message.authority, &message.additional})
