--- a/src/notification/failure_notifier.h
+++ b/src/notification/failure_notifier.h
@@ -57,9 +57,8 @@
   OnAcknowledged on_acknowledged_;
   std::deque<Notification> queue_;  // in the order of Add
   Attempts attempts_;               // in flight; each carries the first notifications of the queue
-  bool one_by_one_ =
-      false;          // one notification per HTTP request, since the platform did not accept the last ones
-  int failures_ = 0;  // consecutive
+  bool one_by_one_ = false;         // one notification per HTTP request, after the platform refused a request
+  int failures_ = 0;                // consecutive
   net::Seconds backoff_ = 0;
   net::EventLoop::TimerId next_attempt_ = 0;
 };
--- a/src/upstream/endpoint_protocol.h
+++ b/src/upstream/endpoint_protocol.h
@@ -30,7 +30,7 @@
 // The result of an attempt according to an answer or to one entry of a batch answer.
 struct AttemptResult {
   Outcome outcome{};
-  bool request_ended = false;  // no further attempt is needed, whatever the outcome
+  bool request_ended = false;  // the request needs no further attempt, whatever the outcome
 };
 
 // The result of a whole call. Not for status 200 of a batch, where each entry has its own result.
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -30,7 +30,7 @@
     virtual ~Owner() = default;
     // Called just before the first byte is sent. Returns false if the attempt must no longer be sent.
     virtual bool MaySend(const UpstreamCall& call, const Member& member) = 0;
-    // Called next. Returns false if the attempt could not be recorded; it is then not sent.
+    // Called after MaySend. Returns false if the attempt could not be recorded; it is then not sent.
     virtual bool RecordAttempt(const UpstreamCall& call, const Member& member) = 0;
     // All bytes of the call have been written to the connection; it carries this many requests.
     virtual void OnWritten(int requests) = 0;
@@ -75,7 +75,7 @@
   Owner& owner_;
   const Seconds started_;
   LoadReport report_;
-  Seconds stated_timeout_at_ = 0;  // timeout as sent to the endpoint, rounded to whole milliseconds
+  Seconds stated_timeout_at_ = 0;  // timeout as sent to the endpoint, rounded down to whole milliseconds
   Seconds answered_at_ = -1;  // when the answer, or a status line that suffices, was read; negative: not yet
   int requests_sent_ = 0;
   bool send_started_ = false;  // the call has been handed to the connection
