--- a/src/ingress/request_listener.h
+++ b/src/ingress/request_listener.h
@@ -40,9 +40,9 @@
   virtual ~RequestHandler() = default;
   // Sets `ticket` if the request is newly accepted; a repeated request leaves it unchanged.
   virtual AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) = 0;
-  // The client disconnected before the whole answer was written to it.
+  // The client disconnected before the whole response was written to it.
   virtual void Abort(std::uint64_t ticket) = 0;
-  // Whether the relay is ready to accept requests; answers the readiness check.
+  // Whether the relay is ready to accept requests, as reported by the readiness check.
   virtual bool Ready() const = 0;
 };
 
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -15,7 +15,7 @@
     timer_ = loop_.At(loop_.Now() + notifier_.limits_.notice_time_most, [this] {
       timer_ = 0;
       notifier_.client_.Abandon(*this);
-      notifier_.OnNoAnswer(*this, "no answer in time");
+      notifier_.OnNoResponse(*this, "no response in time");
     });
   }
   // A retired attempt may be destroyed after its notifier, so the timer is cancelled through the loop itself.
@@ -35,7 +35,7 @@
     return net::WriteRequest("POST", "/v1/notices", {{"Host", net::FormatAddress(notifier_.to_)}}, body);
   }
   void OnAnswer(net::HttpMessage& answer) override { notifier_.OnAnswer(*this, answer.status); }
-  void OnBroken(net::HttpClient::Broken, int) override { notifier_.OnNoAnswer(*this, "connection failed"); }
+  void OnBroken(net::HttpClient::Broken, int) override { notifier_.OnNoResponse(*this, "connection failed"); }
 
   net::EventLoop& loop_;
   FailureNotifier& notifier_;
@@ -100,7 +100,7 @@
   const bool unreadable = status == kBadRequest;
   if (status != kNoContent && !(unreadable && lines == 1)) {
     one_by_one_ = true;  // until one is acknowledged
-    OnNoAnswer(attempt, ("answer " + std::to_string(status)).c_str());
+    OnNoResponse(attempt, ("unexpected status " + std::to_string(status)).c_str());
     return;
   }
   // A single line that the platform rejects as malformed is dropped: retrying can't succeed and would block
@@ -118,7 +118,7 @@
   if (attempts_.empty() && next_attempt_ == 0) Send();
 }
 
-void FailureNotifier::OnNoAnswer(Attempt& attempt, const char* why) {
+void FailureNotifier::OnNoResponse(Attempt& attempt, const char* why) {
   Remove(attempt);
   ScheduleRetry(why);
 }
--- a/src/notification/failure_notifier.h
+++ b/src/notification/failure_notifier.h
@@ -2,8 +2,8 @@
 // platform has acknowledged it.
 //
 // The platform accepts a notification only within a short time after the request's deadline, and a connection
-// may be dead without an error. So attempts overlap: if one has no answer in time, it stays open and the next
-// one starts on a new connection.
+// may be dead without an error. So attempts overlap: if one has no response in time, it stays open and the
+// next one starts on a new connection.
 #pragma once
 
 #include <cstddef>
@@ -46,7 +46,7 @@
   void SendAfter(net::Seconds delay);
   void AbandonAll();
   void OnAnswer(Attempt& attempt, int status);
-  void OnNoAnswer(Attempt& attempt, const char* why);
+  void OnNoResponse(Attempt& attempt, const char* why);
   void ScheduleRetry(const char* why);
   void Remove(Attempt& attempt);
 
--- a/src/upstream/endpoint_protocol.cpp
+++ b/src/upstream/endpoint_protocol.cpp
@@ -29,30 +29,30 @@
   return value;
 }
 
-bool IsOverSlots(const net::HttpMessage& answer) {
-  const std::string* over_slots = answer.Header("X-Over-Slots");
+bool IsOverSlots(const net::HttpMessage& response) {
+  const std::string* over_slots = response.Header("X-Over-Slots");
   return over_slots != nullptr && *over_slots == "1";
 }
 
-Outcome OutcomeOfUnavailable(const net::HttpMessage& answer) {
-  if (IsOverSlots(answer)) return Outcome::kNotSent;
+Outcome OutcomeOfUnavailable(const net::HttpMessage& response) {
+  if (IsOverSlots(response)) return Outcome::kNotSent;
   // An endpoint that also closes the connection, and states no Retry-After, is out of connections rather than
   // over its rate or concurrency limit.
-  const bool over_limit = answer.keep_alive || RetryAfterOf(answer) > 0;
+  const bool over_limit = response.keep_alive || RetryAfterOf(response) > 0;
   return over_limit ? Outcome::kRejected : Outcome::kOutOfConnections;
 }
 
 }  // namespace
 
-std::string WriteCall(const sockaddr_in& to, const OutgoingRequest& request, long remaining_ms) {
+std::string FormatCall(const sockaddr_in& to, const OutgoingRequest& request, long remaining_ms) {
   net::Headers headers = {{"Host", net::FormatAddress(to)}, {"X-Txn", request.id}};
   if (!request.key.empty()) headers.emplace_back("Idempotency-Key", request.key);
   headers.emplace_back("X-Remaining-Ms", std::to_string(remaining_ms));
   return net::WriteRequest("POST", "/hook", headers, request.body);
 }
 
-std::string WriteBatchCall(const sockaddr_in& to, const std::vector<const OutgoingRequest*>& requests,
-                           long remaining_ms) {
+std::string FormatBatchCall(const sockaddr_in& to, const std::vector<const OutgoingRequest*>& requests,
+                            long remaining_ms) {
   json items = json::array();
   for (const OutgoingRequest* request : requests) {
     items.push_back({{"id", request->id}, {"body", net::EncodeBase64(request->body)}});
@@ -64,18 +64,18 @@
   return net::WriteRequest("POST", "/hook/batch", headers, items.dump());
 }
 
-std::string WriteHealthCheck(const sockaddr_in& to) {
+std::string FormatHealthCheck(const sockaddr_in& to) {
   return net::WriteRequest("GET", "/health/live", {{"Host", net::FormatAddress(to)}}, "");
 }
 
-AttemptResult ResultOf(const sockaddr_in& from, const net::HttpMessage& answer) {
-  switch (answer.status) {
+AttemptResult ResultOf(const sockaddr_in& from, const net::HttpMessage& response) {
+  switch (response.status) {
     case 200:
       return {Outcome::kServed, true};
     case 429:
       return {Outcome::kRejected, false};
     case 503:
-      return {OutcomeOfUnavailable(answer), false};
+      return {OutcomeOfUnavailable(response), false};
     case 504:
       return {Outcome::kNotSent, false};
     case 410:
@@ -84,14 +84,14 @@
       return {Outcome::kError, false};
     default:
       log::Error("endpoint_answer_unknown",
-                 {{"address", net::FormatAddress(from)}, {"status", answer.status}});
+                 {{"address", net::FormatAddress(from)}, {"status", response.status}});
       return {Outcome::kError, false};  // the request may have run
   }
 }
 
-BatchStates ReadBatchStates(const sockaddr_in& from, const net::HttpMessage& answer) {
+BatchStates ParseBatchStates(const sockaddr_in& from, const net::HttpMessage& response) {
   BatchStates states;
-  const json list = json::parse(answer.body, nullptr, false);
+  const json list = json::parse(response.body, nullptr, false);
   if (!list.is_array()) {
     log::Error("batch_answer_unreadable", {{"address", net::FormatAddress(from)}});
     return states;
@@ -106,7 +106,7 @@
   return states;
 }
 
-AttemptResult ResultOfState(const std::string& state) {
+AttemptResult ResultOfBatchState(const std::string& state) {
   if (state == "done") return {Outcome::kServed, true};
   if (state == "busy") return {Outcome::kRejected, false};
   if (state == "used_up") return {Outcome::kNotSent, false};
@@ -114,8 +114,8 @@
   return {Outcome::kError, false};
 }
 
-Outcome HealthCheckOutcomeOf(const net::HttpMessage& answer) {
-  switch (answer.status) {
+Outcome HealthCheckOutcomeOf(const net::HttpMessage& response) {
+  switch (response.status) {
     case 200:
       return Outcome::kServed;
     case 429:
@@ -126,16 +126,16 @@
   }
 }
 
-Seconds RetryAfterOf(const net::HttpMessage& answer) {
-  const std::string* text = answer.Header("X-RateLimit-Wait-Ms");
+Seconds RetryAfterOf(const net::HttpMessage& response) {
+  const std::string* text = response.Header("X-RateLimit-Wait-Ms");
   if (text == nullptr) return 0;
   return std::min(ParseNumber(*text).value_or(0), kMaxRetryAfterMs) / kMillisecondsPerSecond;
 }
 
 // Parses "TEXT x0=0.4, x1=25"; other fields are ignored.
-LoadReport LoadReportOf(const net::HttpMessage& answer) {
+LoadReport LoadReportOf(const net::HttpMessage& response) {
   LoadReport report;
-  const std::string* text = answer.Header("X-Pressure");
+  const std::string* text = response.Header("X-Pressure");
   if (text == nullptr) return report;
   std::string_view rest = *text;
   rest.remove_prefix(std::min(rest.size(), rest.find(' ')));
--- a/src/upstream/health_check_call.cpp
+++ b/src/upstream/health_check_call.cpp
@@ -51,7 +51,7 @@
     Finish(Outcome::kNotSent);
     return {};
   }
-  return endpoint_protocol::WriteHealthCheck(to_);
+  return endpoint_protocol::FormatHealthCheck(to_);
 }
 
 void HealthCheckCall::OnAnswer(net::HttpMessage& answer) {
--- a/src/upstream/health_check_call.h
+++ b/src/upstream/health_check_call.h
@@ -18,7 +18,7 @@
   using MaySend = std::function<bool()>;  // called just before the first byte is sent
   using Done = std::function<void(HealthCheckCall&, const HealthCheckOutcome&)>;
 
-  // `timeout`: seconds from construction until the answer must have arrived. `done` is called once.
+  // `timeout`: seconds from construction until the response must have arrived. `done` is called once.
   HealthCheckCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
                   Seconds timeout, MaySend may_send, Done done);
   ~HealthCheckCall() override;
--- a/src/upstream/upstream_call.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -75,13 +75,13 @@
   send_started_ = true;
   requests_sent_ = static_cast<int>(members.size());
   is_batch_ = members.size() > 1;
-  // The platform ends a call at the timeout of its first request, and an answer after that is late for all of
-  // them. So the request with the latest timeout goes first, and the call states that timeout.
+  // The platform ends a call at the timeout of its first request, and a response after that is late for all
+  // of them. So the request with the latest timeout goes first, and the call states that timeout.
   std::stable_sort(members.begin(), members.end(),
                    [](const Member* a, const Member* b) { return a->timeout_at > b->timeout_at; });
   const long remaining_ms = WholeMilliseconds(members.front()->timeout_at - loop_.Now());
   stated_timeout_at_ = loop_.Now() + static_cast<double>(remaining_ms) / kMillisecondsPerSecond;
-  return WriteRequest(members, remaining_ms);
+  return FormatRequests(members, remaining_ms);
 }
 
 void UpstreamCall::WithholdUnsendableMembers() {
@@ -101,10 +101,10 @@
   return pending;
 }
 
-std::string UpstreamCall::WriteRequest(const std::vector<const Member*>& members, long remaining_ms) const {
-  if (!is_batch_) return endpoint_protocol::WriteCall(to_, *members.front(), remaining_ms);
+std::string UpstreamCall::FormatRequests(const std::vector<const Member*>& members, long remaining_ms) const {
+  if (!is_batch_) return endpoint_protocol::FormatCall(to_, *members.front(), remaining_ms);
   const std::vector<const endpoint_protocol::OutgoingRequest*> requests(members.begin(), members.end());
-  return endpoint_protocol::WriteBatchCall(to_, requests, remaining_ms);
+  return endpoint_protocol::FormatBatchCall(to_, requests, remaining_ms);
 }
 
 bool UpstreamCall::Suffices(int status) {
@@ -118,16 +118,16 @@
   report_ = endpoint_protocol::LoadReportOf(answer);
   if (answered_at_ < 0) answered_at_ = loop_.Now();
   if (answer.status == kHttpOk && is_batch_) {
-    OnBatchAnswer(answer, retry_after);
+    OnBatchResponse(answer, retry_after);
   } else {
     CompleteAll(endpoint_protocol::ResultOf(to_, answer), retry_after);
   }
 }
 
-void UpstreamCall::OnBatchAnswer(const net::HttpMessage& answer, Seconds retry_after) {
-  endpoint_protocol::BatchStates states = endpoint_protocol::ReadBatchStates(to_, answer);
+void UpstreamCall::OnBatchResponse(const net::HttpMessage& response, Seconds retry_after) {
+  endpoint_protocol::BatchStates states = endpoint_protocol::ParseBatchStates(to_, response);
   for (Member& member : members_) {
-    const AttemptResult result = endpoint_protocol::ResultOfState(states[member.id]);
+    const AttemptResult result = endpoint_protocol::ResultOfBatchState(states[member.id]);
     if (member.pending) {
       Complete(member, result, retry_after);
     } else if (result.outcome == Outcome::kServed) {
@@ -140,8 +140,8 @@
 void UpstreamCall::OnBroken(HttpClient::Broken how, int status) {
   if (how == HttpClient::Broken::kNoRoom) return CompleteAll({Outcome::kLocalShortage});
   if (how != HttpClient::Broken::kReset) return CompleteAll({Outcome::kConnectFailed});
-  // A status line with 200 confirms the delivery even if the rest of the answer is lost. A batch needs its
-  // whole answer, which holds the state of each request.
+  // A status line with 200 confirms the delivery even if the rest of the response is lost. A batch needs its
+  // whole response, which holds the state of each request.
   const bool served = status == kHttpOk && !is_batch_;
   CompleteAll({served ? Outcome::kServed : Outcome::kReset});
 }
@@ -153,8 +153,8 @@
 
 void UpstreamCall::Complete(Member& member, AttemptResult result, Seconds retry_after) {
   if (!member.pending) return;
-  // The event loop reads sockets before it runs timers, so an answer may be read in the iteration in which
-  // its timeout expired. The platform treats that answer as late and goes on waiting for an outcome, so it
+  // The event loop reads sockets before it runs timers, so a response may be read in the iteration in which
+  // its timeout expired. The platform treats that response as late and goes on waiting for an outcome, so it
   // must not count as served.
   const bool late = answered_at_ >= std::min(member.timeout_at, stated_timeout_at_);
   if (result.outcome == Outcome::kServed && late) result = {Outcome::kTimeout};
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -60,8 +60,8 @@
 
   void WithholdUnsendableMembers();
   std::vector<const Member*> PendingMembers() const;
-  std::string WriteRequest(const std::vector<const Member*>& members, long remaining_ms) const;
-  void OnBatchAnswer(const net::HttpMessage& answer, Seconds retry_after);
+  std::string FormatRequests(const std::vector<const Member*>& members, long remaining_ms) const;
+  void OnBatchResponse(const net::HttpMessage& response, Seconds retry_after);
   void Complete(Member& member, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
   void CompleteAll(endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
   void Abandon(Member& member, Outcome if_written, Outcome if_not_written);
@@ -76,7 +76,7 @@
   const Seconds started_;
   LoadReport report_;
   Seconds stated_timeout_at_ = 0;  // timeout as sent to the endpoint, rounded down to whole milliseconds
-  Seconds answered_at_ = -1;  // when the answer, or a status line that suffices, was read; negative: not yet
+  Seconds answered_at_ = -1;  // when the response or a sufficient status line was read; negative: not yet
   int requests_sent_ = 0;
   bool send_started_ = false;  // the call has been handed to the connection
   bool is_batch_ = false;      // the call carries several requests
