--- a/src/decision/attempt_outcome_handler.cpp
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -65,21 +65,21 @@
                                      const AttemptOutcome& outcome, int batch_size) {
   Destination& destination = table_.DestinationOf(endpoint);
   const RequestClass& request_class = context_.settings.classes[request.request_class];
-  endpoint.SetLatestInObjective(outcome.duration <= request_class.latency_objective);
-  latency_.AddServed(endpoint, destination, outcome.duration / BatchStretch(batch_size));
+  endpoint.RecordOutcome(outcome.duration <= request_class.latency_objective);
+  latency_.RecordServedCall(endpoint, destination, outcome.duration / BatchLatencyFactor(batch_size));
   destination.hedging.Enable();
   health_.OnServed(endpoint, context_.now - outcome.duration);
 }
 
 void AttemptOutcomeHandler::OnRejected(Endpoint& endpoint, const AttemptOutcome& outcome) {
-  endpoint.SetLatestInObjective(false);
+  endpoint.RecordOutcome(false);
   table_.DestinationOf(endpoint).hedging.Disable(context_.now);
   health_.OnRejected(endpoint, outcome.retry_after, context_.now - outcome.duration);
 }
 
 // Neither a limit nor an outage: the send rate and the suspicion stay as they are.
 void AttemptOutcomeHandler::OnOutOfConnections(Endpoint& endpoint) {
-  endpoint.SetLatestInObjective(false);
+  endpoint.RecordOutcome(false);
   const bool is_new = idle_connections_.MarkOutOfConnections(endpoint);
   if (is_new && context_.settings.relay_count > kLargeFleet)
     gossip_.Notify(endpoint, RouteGossip::Kind::kOutOfConnections);
@@ -87,7 +87,7 @@
 
 void AttemptOutcomeHandler::OnFailed(Endpoint& endpoint, const AttemptOutcome& outcome, int batch_size) {
   if (outcome.outcome == Outcome::kTimeout)  // the next timeout is longer
-    endpoint.latency.Add(outcome.duration / BatchStretch(batch_size), context_.now);
+    endpoint.latency.Add(outcome.duration / BatchLatencyFactor(batch_size), context_.now);
   const bool never_ran = outcome.outcome == Outcome::kConnectFailed;
   health_.OnFailed(endpoint, never_ran, context_.now - outcome.duration);
 }
--- a/src/decision/call_pacer.cpp
+++ b/src/decision/call_pacer.cpp
@@ -20,8 +20,8 @@
 // A trial that was not sent in time lapses, so that relays do not save them up.
 Seconds CallPacer::TimeUntilTrial(Endpoint& endpoint, Seconds wait) {
   RouteHealth& health = endpoint.route->health;
-  if (health.next_trial_at() < context_.now - budget_.TrialLapse())
-    health.ScheduleTrial(context_.now + wait + TrialInterval(endpoint) * context_.random.Unit());
+  if (health.next_trial_at() < context_.now - budget_.MaxTrialDelay())
+    health.ScheduleTrial(context_.now + wait + TrialInterval(endpoint) * context_.random.Uniform());
   return std::max(wait, health.next_trial_at() - context_.now);
 }
 
@@ -29,7 +29,7 @@
 Seconds CallPacer::TrialInterval(const Endpoint& endpoint) const {
   const UpstreamRoute& route = *endpoint.route;
   const double capacity = budget_.EstimateCapacity(route.rate_limiter.limit(), endpoint.kind);
-  const Seconds interval = budget_.TrialInterval(capacity, zones_.TryingRelays(endpoint.zone));
+  const Seconds interval = budget_.TrialInterval(capacity, zones_.RelaysSendingTrials(endpoint.zone));
   return route.health.has_faults() ? interval : std::min(interval, context_.settings.overload_window);
 }
 
@@ -44,7 +44,7 @@
   UpstreamRoute& route = *endpoint.route;
   route.rate_limiter.Charge();
   if (endpoint.NeedsTrial())
-    route.health.ScheduleTrial(context_.now + TrialInterval(endpoint) * context_.random.Jitter());
+    route.health.ScheduleTrial(context_.now + TrialInterval(endpoint) * context_.random.JitterFactor());
   route.health.Charge(1);
 }
 
--- a/src/decision/call_sender.cpp
+++ b/src/decision/call_sender.cpp
@@ -20,7 +20,7 @@
   const bool both_look_idle = pair.second != nullptr && first.LooksIdle() && pair.second->LooksIdle();
   const std::uint64_t call = OpenCall(destination, first);
   const std::vector<Request*> batch = TakeBatch(destination, first);
-  const double stretch = BatchStretch(static_cast<int>(batch.size()));
+  const double stretch = BatchLatencyFactor(static_cast<int>(batch.size()));
   for (Request* request : batch) SendAttempt(*request, first, call, stretch);
   first.route->health.Charge(stretch - 1);
   if (both_look_idle && MayHedgeNow(destination, *pair.second)) SendHedged(destination, pair, batch);
@@ -62,7 +62,7 @@
 }
 
 void CallSender::SendHedged(Destination& destination, EndpointPair pair, const std::vector<Request*>& batch) {
-  const double stretch = BatchStretch(static_cast<int>(batch.size()));
+  const double stretch = BatchLatencyFactor(static_cast<int>(batch.size()));
   std::uint64_t call = 0;  // none is open yet
   for (Request* request : batch) {
     if (!MayHedge(*request, *pair.first, *pair.second, context_.settings)) continue;
--- a/src/decision/call_table.cpp
+++ b/src/decision/call_table.cpp
@@ -69,7 +69,7 @@
 
 bool CallTable::CancelIfOverdue(std::uint64_t id, Call& call, const Endpoint& endpoint) {
   const Seconds longest = kLostCallTimeouts * latency_.CallTimeout(endpoint) *
-                          BatchStretch(static_cast<int>(call.attempts.size()));
+                          BatchLatencyFactor(static_cast<int>(call.attempts.size()));
   if (!context_.settings.may_cancel || context_.now - call.sent < longest) return false;
   if (std::exchange(call.cancelled, true)) return false;
   for (const AttemptId& attempt_id : call.attempts) {
--- a/src/decision/dispatcher.cpp
+++ b/src/decision/dispatcher.cpp
@@ -85,7 +85,8 @@
   }
   const auto bucket = queue_.BestBucket(destination, ready, false);
   if (!bucket) return next_due;
-  sender_.SendCall(destination, destination.load_balancer.Draw(ready, bucket->zone, context_.random));
+  sender_.SendCall(destination,
+                   destination.load_balancer.PickEndpoints(ready, bucket->zone, context_.random));
   return kNever;
 }
 
--- a/src/decision/endpoint_health.cpp
+++ b/src/decision/endpoint_health.cpp
@@ -25,7 +25,7 @@
   if (!endpoint.circuit.IsClosed() || endpoint.in_flight.empty()) return;
   const Seconds oldest = *endpoint.in_flight.begin();
   const int typical_batch = context_.settings.kinds[endpoint.kind].max_batch / 2;
-  const Seconds timeout = latency_.CallTimeout(endpoint) * BatchStretch(typical_batch);
+  const Seconds timeout = latency_.CallTimeout(endpoint) * BatchLatencyFactor(typical_batch);
   if (endpoint.last_served < oldest && context_.now - oldest > timeout) OpenCircuit(endpoint, false);
 }
 
@@ -38,7 +38,7 @@
 }
 
 void EndpointHealth::StartSlowStart(UpstreamRoute& route) {
-  const double initial_tokens = budget_.DrawInitialTokens(route.rate_limiter.limit());
+  const double initial_tokens = budget_.InitialTokens(route.rate_limiter.limit());
   route.health.StartSlowStart(initial_tokens, context_.now);
 }
 
@@ -86,7 +86,7 @@
 
 void EndpointHealth::OnFailed(Endpoint& endpoint, bool never_ran, Seconds sent) {
   endpoint.route->health.CountFault(sent, context_.now);
-  endpoint.SetLatestInObjective(false);
+  endpoint.RecordOutcome(false);
   const Seconds lately = context_.now - kServedLately * context_.settings.overload_window;
   if (!endpoint.circuit.CountFailure(never_ran, endpoint.last_served > lately)) return;
   OpenCircuit(endpoint, true);
--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -81,11 +81,11 @@
   return expired;
 }
 
-Seconds EndpointListLease::DrawDelay() { return spread_ * random_.Unit(); }
+Seconds EndpointListLease::DrawDelay() { return spread_ * random_.Uniform(); }
 
 Seconds EndpointListLease::DrawSpacing() {
   const Seconds spacing = std::max(term_after_move_ / kRenewalsPerTerm, spread_);
-  return spacing * (1 + kSpacingJitter * random_.Unit());
+  return spacing * (1 + kSpacingJitter * random_.Uniform());
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/key_order.cpp
+++ b/src/decision/key_order.cpp
@@ -22,7 +22,7 @@
   paused_until = std::max(paused_until, until);
 }
 
-bool KeyOrder::IsOver(RequestId id) const {
+bool KeyOrder::IsFinished(RequestId id) const {
   const Request* request = requests_.Find(id);
   return request == nullptr || (request->ended && request->in_flight == 0);
 }
@@ -31,10 +31,10 @@
   const auto it = queues_.find(key);
   if (it == queues_.end()) return std::nullopt;
   KeyQueue& queue = it->second;
-  while (!queue.requests.empty() && IsOver(queue.requests.front())) queue.requests.pop_front();
+  while (!queue.requests.empty() && IsFinished(queue.requests.front())) queue.requests.pop_front();
   const bool is_empty = queue.requests.empty();
   if (!is_empty && requests_.Find(queue.requests.front())->phase != RequestPhase::kQueuedByKey)
-    return std::nullopt;  // it goes already
+    return std::nullopt;  // already released to the request queue
   if (queue.paused_until > context_.now) {
     pauses_.insert({queue.paused_until, key});
     return std::nullopt;
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -1,5 +1,5 @@
-// Requests of one ordering key go one at a time, in the order of receipt, with a pause after an attempt that
-// may still run.
+// Sends the requests of an ordering key one at a time, in the order of receipt. A key is paused after an
+// attempt that may still be running at its endpoint.
 #pragma once
 
 #include <deque>
@@ -13,20 +13,21 @@
 
 namespace opalroute::decision {
 
-// Owns the queues and the pauses of ordering keys.
+// Owns the queue and the pause of each ordering key.
 class KeyOrder {
  public:
   KeyOrder(const DecisionContext& context, const RequestTable& requests);
 
-  // Queues the request behind earlier ones of its key.
+  // Queues the request behind the earlier requests of its key.
   void Append(Request& request);
-  // The key's next request may not go before `until`.
+  // Holds back the key's next request until `until`.
   void Pause(const std::string& key, Seconds until);
-  // Drops requests of the key that have ended, and returns the next one if it may go now.
+  // Removes finished requests from the front of the key's queue. Returns the next request if it may be sent
+  // now.
   std::optional<RequestId> Advance(const std::string& key);
-  // A key whose pause is over, once.
+  // Removes a pause that has ended and returns its key; nothing if no pause has ended.
   std::optional<std::string> TakeDuePause();
-  Seconds NextDue() const;  // kNever: no key pauses
+  Seconds NextDue() const;  // kNever: no key is paused
 
  private:
   struct KeyQueue {
@@ -39,7 +40,7 @@
     bool operator<(const KeyPause& other) const;
   };
 
-  bool IsOver(RequestId id) const;
+  bool IsFinished(RequestId id) const;
 
   const DecisionContext& context_;
   const RequestTable& requests_;
--- a/src/decision/latency_average.cpp
+++ b/src/decision/latency_average.cpp
@@ -3,12 +3,12 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kLatencyGain = 0.2;  // weight of the newest latency
+constexpr double kSmoothingFactor = 0.2;  // weight of the newest sample
 
 }  // namespace
 
 void LatencyAverage::Add(Seconds latency, Seconds now) {
-  mean = mean > 0 ? mean + kLatencyGain * (latency - mean) : latency;
+  mean = mean > 0 ? mean + kSmoothingFactor * (latency - mean) : latency;
   measured_at = now;
 }
 
--- a/src/decision/latency_average.h
+++ b/src/decision/latency_average.h
@@ -1,13 +1,13 @@
-// A smoothed mean of latencies.
+// A moving average of latencies.
 #pragma once
 
 #include "decision/never.h"
 
 namespace opalroute::decision {
 
-// Exponentially smoothed; the first value counts in full.
+// Exponential moving average, initialized with the first sample.
 struct LatencyAverage {
-  Seconds mean = 0;  // 0: nothing is known
+  Seconds mean = 0;  // 0: no sample yet
   Seconds measured_at = -kNever;
 
   void Add(Seconds latency, Seconds now);
--- a/src/decision/latency_estimator.cpp
+++ b/src/decision/latency_estimator.cpp
@@ -5,12 +5,13 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kBatchedRequestWork = 0.2;  // of a call: what each further request of a batch may add
-constexpr double kTimeoutFactor = 6;         // mean latencies; calls that take several are legal
+constexpr double kBatchedRequestLatency =
+    0.2;                              // of a call's latency: added by each further request of a batch
+constexpr double kTimeoutFactor = 6;  // times the mean latency; calls may validly take several times the mean
 
 }  // namespace
 
-double BatchStretch(int requests) { return 1 + kBatchedRequestWork * (requests - 1); }
+double BatchLatencyFactor(int requests) { return 1 + kBatchedRequestLatency * (requests - 1); }
 
 LatencyEstimator::LatencyEstimator(const DecisionContext& context, const EndpointTable& table)
     : context_(context), table_(table) {
@@ -18,12 +19,12 @@
     longest_objective_ = std::max(longest_objective_, request_class.latency_objective);
 }
 
-void LatencyEstimator::AddServed(Endpoint& endpoint, Destination& destination, Seconds latency) {
+void LatencyEstimator::RecordServedCall(Endpoint& endpoint, Destination& destination, Seconds latency) {
   for (LatencyAverage* average : {&endpoint.latency, &destination.latency, &overall_})
     average->Add(latency, context_.now);
 }
 
-// A measurement that would make a timeout shorter than for an unknown latency is left out.
+// Ignores a measurement that would give a shorter timeout than an unknown latency does.
 void LatencyEstimator::Merge(LatencyAverage& average, Seconds latency, Seconds measured_at) const {
   const Seconds bounded = std::min(latency, longest_objective_);
   if (average.mean <= 0 && kTimeoutFactor * bounded > longest_objective_) average = {bounded, measured_at};
--- a/src/decision/latency_estimator.h
+++ b/src/decision/latency_estimator.h
@@ -1,4 +1,4 @@
-// How long calls are expected to take.
+// Estimates how long calls take, from the latencies of earlier ones.
 #pragma once
 
 #include "decision/context.h"
@@ -7,21 +7,22 @@
 
 namespace opalroute::decision {
 
-// How much longer a call with `requests` takes than one with a single request, as a factor.
-double BatchStretch(int requests);
+// Expected latency of a call that carries `requests` requests, as a multiple of a call with a single request.
+double BatchLatencyFactor(int requests);
 
-// Owns the average over all destinations; the others stand in Endpoint and Destination.
+// Owns the average over all destinations; Endpoint and Destination hold their own averages.
 class LatencyEstimator {
  public:
   LatencyEstimator(const DecisionContext& context, const EndpointTable& table);
 
-  // A call was served, `latency` after it was sent; for batches, the time of a single request.
-  void AddServed(Endpoint& endpoint, Destination& destination, Seconds latency);
-  // Another relay's measurement, where nothing is known here.
+  // Adds the latency of a served call. For a batch, `latency` is scaled to a call with a single request.
+  void RecordServedCall(Endpoint& endpoint, Destination& destination, Seconds latency);
+  // Takes over another relay's measurement if this relay has none.
   void Merge(LatencyAverage& average, Seconds latency, Seconds measured_at) const;
-  // The usual latency at the destination; unknown: of all destinations; 0: nothing is known.
+  // Mean latency of the destination; if unknown, of all destinations; 0 if that is unknown too.
   Seconds Expected(const Destination& destination) const;
-  // The time after which a call to the endpoint counts as slow beyond reason.
+  // Base timeout of a call with a single request: a multiple of the expected latency, or the longest latency
+  // objective while no latency is known.
   Seconds CallTimeout(const Endpoint& endpoint) const;
 
  private:
--- a/src/decision/load_balancer.cpp
+++ b/src/decision/load_balancer.cpp
@@ -7,13 +7,13 @@
 
 namespace opalroute::decision {
 
-// Differs from NetClone: a repeat that is bound to a zone has no second endpoint.
-EndpointPair LoadBalancer::Draw(std::vector<Endpoint*> ready, int zone, Random& random) {
+// Unlike in NetClone, a retry that is bound to a zone has no second endpoint.
+EndpointPair LoadBalancer::PickEndpoints(std::vector<Endpoint*> ready, int zone, Random& random) {
   const auto outside = [zone](const Endpoint* endpoint) {
     return zone != kAnyZone && endpoint->zone != zone;
   };
   ready.erase(std::remove_if(ready.begin(), ready.end(), outside), ready.end());
-  if (zone != kAnyZone || ready.size() == 1) return {ready[random.Below(ready.size())], nullptr};
+  if (zone != kAnyZone || ready.size() == 1) return {ready[random.UniformBelow(ready.size())], nullptr};
   if (ready != ready_) {
     ready_ = ready;
     pairs_.clear();
@@ -23,7 +23,7 @@
       }
     }
   }
-  return pairs_[random.Below(pairs_.size())];
+  return pairs_[random.UniformBelow(pairs_.size())];
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -1,4 +1,5 @@
-// The choice of endpoints for a call: NetClone's group table of one destination.
+// Chooses the endpoints of a call with the group table of NetClone: the pairs of ready endpoints of one
+// destination.
 #pragma once
 
 #include <vector>
@@ -12,19 +13,20 @@
 // The endpoints of one call.
 struct EndpointPair {
   Endpoint* first = nullptr;
-  Endpoint* second = nullptr;  // for a hedged request; null: there is none
+  Endpoint* second = nullptr;  // of a hedged request; null: no hedged request
 };
 
-// Owns the table of pairs, made anew when the set of ready endpoints has changed.
+// Owns the table of pairs, rebuilt whenever the set of ready endpoints has changed.
 class LoadBalancer {
  public:
-  // Draws from the pairs of endpoints that are ready and in `zone` (kAnyZone: in any); at least one is.
-  EndpointPair Draw(std::vector<Endpoint*> ready, int zone, Random& random);
-  // Forgets the table, as an endpoint of the destination is removed.
+  // Picks a random pair of the `ready` endpoints, or one endpoint in `zone` unless that is kAnyZone. At least
+  // one ready endpoint must be in the zone.
+  EndpointPair PickEndpoints(std::vector<Endpoint*> ready, int zone, Random& random);
+  // Invalidates the table, which points to endpoints. Called when an endpoint of the destination is removed.
   void Clear() { ready_.clear(); }
 
  private:
-  std::vector<Endpoint*> ready_;  // that the table was made of
+  std::vector<Endpoint*> ready_;  // that pairs_ was built from
   std::vector<EndpointPair> pairs_;
 };
 
--- a/src/decision/never.h
+++ b/src/decision/never.h
@@ -1,4 +1,4 @@
-// The time that never comes.
+// Infinity as a time or a rate.
 #pragma once
 
 #include <limits>
@@ -7,7 +7,7 @@
 
 namespace opalroute::decision {
 
-// As a due time: none. As a rate: without a limit. Negated, as the time of an event: it has not happened.
+// As a due time: nothing is due. As a rate: unlimited. Negated, as the time of an event: it has not happened.
 constexpr Seconds kNever = std::numeric_limits<Seconds>::infinity();
 
 }  // namespace opalroute::decision
--- a/src/decision/outcome.cpp
+++ b/src/decision/outcome.cpp
@@ -8,11 +8,11 @@
          outcome == Outcome::kLocalShortage;
 }
 
-bool MayStillRun(Outcome outcome) {
+bool MayStillBeRunning(Outcome outcome) {
   return outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled;
 }
 
-bool IsRetriedAtOnce(Outcome outcome) {
+bool IsRetriedImmediately(Outcome outcome) {
   return outcome == Outcome::kRejected || outcome == Outcome::kTimeout || outcome == Outcome::kNotSent ||
          outcome == Outcome::kCancelled;
 }
--- a/src/decision/random.cpp
+++ b/src/decision/random.cpp
@@ -3,15 +3,15 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kJitter = 0.25;  // part of a wait, either way
+constexpr double kJitter = 0.25;  // share of a wait, in either direction
 
 }  // namespace
 
-std::size_t Random::Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
+std::size_t Random::UniformBelow(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
 
-double Random::Unit() { return static_cast<double>(Next() >> 11) * 0x1p-53; }
+double Random::Uniform() { return static_cast<double>(Next() >> 11) * 0x1p-53; }
 
-double Random::Jitter() { return 1 - kJitter + 2 * kJitter * Unit(); }
+double Random::JitterFactor() { return 1 - kJitter + 2 * kJitter * Uniform(); }
 
 std::uint64_t Random::Next() {
   std::uint64_t z = (state_ += 0x9e3779b97f4a7c15ULL);
--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -1,4 +1,4 @@
-// The generator of all random draws of the decision module.
+// The random number generator of the decision module.
 #pragma once
 
 #include <cstddef>
@@ -6,17 +6,17 @@
 
 namespace opalroute::decision {
 
-// SplitMix64. Equal seeds give equal draws on every platform.
+// SplitMix64. The same seed gives the same sequence on every platform.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
 
-  // A whole number from 0 to below `n`; `n` is 1 or more.
-  std::size_t Below(std::size_t n);
-  // From 0 to below 1.
-  double Unit();
-  // A factor around 1 for a wait of this relay's own, so that relays do not come back together.
-  double Jitter();
+  // A random integer in [0, n); `n` must be at least 1.
+  std::size_t UniformBelow(std::size_t n);
+  // A random number in [0, 1).
+  double Uniform();
+  // A random factor around 1 for this relay's waits, so that relays do not retry in step.
+  double JitterFactor();
 
  private:
   std::uint64_t Next();
--- a/src/decision/rate_limiter.cpp
+++ b/src/decision/rate_limiter.cpp
@@ -7,15 +7,15 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kFirstBackoff = 0.01;        // of the overload window, for each relay
-constexpr double kMaxFirstBackoff = 0.7;      // of the overload window
-constexpr double kReductionFactor = 0.7;      // on the send rate, with a rejection
-constexpr double kMinRateShare = 0.2;         // of an even share of a known limit
-constexpr double kRegainTime = 0.4;           // of the slow start's duration, for an even share of the limit
-constexpr double kUnknownLimitGrowth = 1.05;  // factor on the send rate with each served call
-constexpr double kCallsOfFirstBackoff = 0.5;  // that the limit lets through within the first backoff
-constexpr double kBurstAfterRejection = 1;    // calls
-constexpr double kMinBurst = 1;               // calls
+constexpr double kFirstBackoff = 0.01;         // of the overload window, times the number of relays
+constexpr double kMaxFirstBackoff = 0.7;       // of the overload window
+constexpr double kReductionFactor = 0.7;       // factor on the send rate after a rejection
+constexpr double kMinRateShare = 0.2;          // of an even share: lower bound of the send rate
+constexpr double kRateRecoveryTime = 0.4;      // of a slow start: time to regain an even share of the limit
+constexpr double kUnknownLimitGrowth = 1.05;   // factor on the send rate with each served call
+constexpr double kMinFirstBackoffCalls = 0.5;  // calls that the limit admits in the shortest first backoff
+constexpr double kBurstAfterRejection = 1;     // calls
+constexpr double kMinBurst = 1;                // calls
 
 }  // namespace
 
@@ -23,16 +23,16 @@
   if (limit <= 0) return;
   if (std::exchange(limit_, limit) <= 0) {
     const double even_share = limit / context.share_count;
-    // An even share below a call in the overload window would delay the first calls for nothing.
+    // An even share of less than one call in the overload window would delay the first calls needlessly.
     if (limit * context.settings.overload_window > context.settings.relay_count)
       send_rate_ = std::min(send_rate_, even_share);
-    bucket_ = {1, std::max(bucket_.filled_at, context.now)};
+    bucket_ = {1, std::max(bucket_.refilled_at, context.now)};
   }
   send_rate_ = std::min(send_rate_, limit);
 }
 
-// A small part of a limit is a call in many seconds, so an unknown limit counts as a call in the overload
-// window for each relay.
+// Assumes one call in the overload window for each relay where the limit is unknown. A lower guess could
+// leave a relay with one call in many seconds.
 double RateLimiter::EvenShare(const DecisionContext& context) const {
   return limit_ > 0 ? limit_ / context.share_count : 1 / context.settings.overload_window;
 }
@@ -42,10 +42,10 @@
   const Seconds now = context.now;
   const Seconds wait = std::max({0.0, retry_after_until_ - now, in_recovery ? 0 : backoff_until_ - now});
   if (send_rate_ == kNever) return wait;
-  const Seconds passed = now - bucket_.filled_at;
+  const Seconds passed = now - bucket_.refilled_at;
   if (limit_ > 0) {
-    send_rate_ = std::min(
-        limit_, send_rate_ + EvenShare(context) * passed / (kRegainTime * settings.slow_start_duration));
+    send_rate_ = std::min(limit_, send_rate_ + EvenShare(context) * passed /
+                                                   (kRateRecoveryTime * settings.slow_start_duration));
   }
   bucket_.Refill(now, send_rate_,
                  std::max(kMinBurst, send_rate_ * kRateControlSpan * settings.overload_window));
@@ -57,20 +57,21 @@
 }
 
 void RateLimiter::OnServed() {
-  rejections_in_row_ = 0;
+  consecutive_rejections_ = 0;
   if (limit_ <= 0) send_rate_ *= kUnknownLimitGrowth;
 }
 
-// Without jitter and doubling, all relays that a route has rejected would come back together as the same
-// Retry-After ends.
+// Without jitter and doubling, all relays that a route has rejected would retry together at the end of the
+// same Retry-After.
 void RateLimiter::OnRejected(DecisionContext& context) {
   const Settings& settings = context.settings;
   const Seconds first =
       std::max(std::min(kMaxFirstBackoff, kFirstBackoff * context.share_count) * settings.overload_window,
-               limit_ > 0 ? kCallsOfFirstBackoff / limit_ : 0);
-  const Seconds backoff = std::min(settings.slow_start_duration, first * std::exp2(rejections_in_row_++));
-  backoff_until_ =
-      std::max(backoff_until_, std::max(context.now, retry_after_until_) + backoff * context.random.Jitter());
+               limit_ > 0 ? kMinFirstBackoffCalls / limit_ : 0);
+  const Seconds backoff =
+      std::min(settings.slow_start_duration, first * std::exp2(consecutive_rejections_++));
+  backoff_until_ = std::max(
+      backoff_until_, std::max(context.now, retry_after_until_) + backoff * context.random.JitterFactor());
 }
 
 bool RateLimiter::ReduceSendRate(const DecisionContext& context) {
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -1,4 +1,4 @@
-// The rate at which this relay may call an upstream route: the route's limit, this relay's part of it, the
+// The rate at which this relay may call an upstream route: the route's limit, this relay's share of it, the
 // backoff after rejections, and Retry-After.
 #pragma once
 
@@ -8,33 +8,33 @@
 
 namespace opalroute::decision {
 
-// Part of Settings::overload_window. As much of the send rate may leave at once, and rejections inside the
-// span count as one.
+// A time span, as a share of Settings::overload_window. A burst may be as large as the send rate allows in
+// this span, and several rejections within it reduce the send rate only once.
 constexpr double kRateControlSpan = 0.2;
 
-// Owns the limit, the send rate and the waits of one route.
+// Owns the limit, the send rate, the backoff and the Retry-After of one route.
 class RateLimiter {
  public:
-  // The route takes `limit` calls a second from all relays; 0 or less: not known, which changes nothing.
+  // Sets the route's limit, in calls a second from all relays. 0 or less means unknown and changes nothing.
   void LearnLimit(double limit, const DecisionContext& context);
-  // How long until the route may be called. The backoff after rejections does not bind a route in recovery,
-  // whose calls are limited otherwise.
+  // How long until the route may be called. In recovery the backoff after rejections does not apply, as
+  // recovery trials and slow start limit the calls.
   Seconds TimeUntilCall(bool in_recovery, const DecisionContext& context);
-  // Counts a call or a health check.
+  // Takes a token for a call or a health check.
   void Charge();
   void OnServed();
-  // Starts the next backoff, which doubles with each rejection in a row.
+  // Starts a backoff, which doubles with each consecutive rejection.
   void OnRejected(DecisionContext& context);
-  // Reduces the send rate, once in kRateControlSpan; false inside it.
+  // Reduces the send rate, at most once per kRateControlSpan. Returns whether it was reduced.
   bool ReduceSendRate(const DecisionContext& context);
-  // No call leaves before `until`; an earlier Retry-After that lasts longer stays.
+  // Allows no call before `until`; an earlier Retry-After that lasts longer stays in force.
   void ExtendRetryAfter(Seconds until);
-  // Takes over a reduction that another relay made at `reduced_at`, unless the rate is lower already.
+  // Takes over a reduction that another relay made at `reduced_at`, unless the send rate is already lower.
   void MergeReduction(double send_rate, Seconds reduced_at, const DecisionContext& context);
 
-  double limit() const { return limit_; }  // calls a second from all relays; 0: not known
+  double limit() const { return limit_; }  // calls a second from all relays; 0: unknown
   bool has_limit() const { return limit_ > 0; }
-  double send_rate() const { return send_rate_; }  // calls a second of this relay; kNever: without a limit
+  double send_rate() const { return send_rate_; }  // calls a second of this relay; kNever: unlimited
   Seconds retry_after_until() const { return retry_after_until_; }
   Seconds reduced_at() const { return reduced_at_; }
 
@@ -47,7 +47,7 @@
   Seconds retry_after_until_ = -kNever;
   Seconds backoff_until_ = -kNever;
   Seconds reduced_at_ = -kNever;
-  int rejections_in_row_ = 0;
+  int consecutive_rejections_ = 0;
 };
 
 }  // namespace opalroute::decision
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -1,4 +1,4 @@
-// A request that the router holds, and its attempts.
+// Requests that the router knows, and their attempts.
 #pragma once
 
 #include <cstdint>
@@ -20,15 +20,15 @@
   std::uint64_t call = 0;
   Seconds sent = 0;
   bool in_flight = true;
-  bool cancelled = false;  // its outcome is still to come
+  bool cancelled = false;  // the outcome is still pending
   bool may_have_run = false;
 };
 
-// Waiting requests of one bucket are alike for the choice of the next one, but for their age.
+// Groups waiting requests that differ only in their age when the next one is chosen.
 struct BucketKey {
   int request_class = 0;
   bool over_quota = false;
-  int zone = 0;             // that an attempt is bound to, or kAnyZone
+  int zone = 0;             // the only zone that an attempt may go to, or kAnyZone
   bool may_be_shed = true;  // to make room for new requests
 
   bool operator<(const BucketKey& other) const {
@@ -37,7 +37,7 @@
   }
 };
 
-// A request in an order by time.
+// A request in a queue that is ordered by time.
 struct QueueEntry {
   Seconds time = 0;
   RequestId request_id = 0;
@@ -47,9 +47,9 @@
   }
 };
 
-using RequestLine = std::set<QueueEntry>;
+using RequestsByTime = std::set<QueueEntry>;
 
-// Where a request is between its receipt and its end.
+// The state of a request between its receipt and its end.
 enum class RequestPhase {
   kWaiting,      // for an endpoint
   kDelayed,      // by a backoff
@@ -57,7 +57,7 @@
   kInFlight,     // or ended
 };
 
-// A request, until it has ended and all its attempts have come to their outcomes.
+// A request. It is kept until it has ended and all of its attempts have outcomes.
 struct Request : NewRequest {
   bool over_quota = false;
   bool recovered = false;  // accepted by an earlier process
@@ -68,15 +68,15 @@
   Seconds not_before = 0;  // end of a backoff
   Seconds expiry = kNever;
   std::vector<Attempt> attempts;
-  int in_flight = 0;        // attempts
-  int timeouts = 0;         // attempts
-  int local_shortages = 0;  // attempts that never left this relay and do not count
+  int in_flight = 0;        // attempts without an outcome
+  int timeouts = 0;         // attempts that timed out
+  int local_shortages = 0;  // attempts that never left this relay; not counted in AttemptsUsed()
   RequestPhase phase = RequestPhase::kInFlight;
   BucketKey bucket;
 
   // Attempts that count against Settings::max_attempts.
   int AttemptsUsed() const { return static_cast<int>(attempts.size()) - local_shortages; }
-  // A request that outlived its process is not given up untried, however many new ones come.
+  // A recovered request is not shed before its first attempt, however many new requests arrive.
   bool MayBeShed() const { return !recovered || !attempts.empty(); }
 };
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -18,13 +18,13 @@
       admission_(context) {}
 
 void RequestLifecycle::Receive(const NewRequest& received) {
-  Request& request = Admit(received);
+  Request& request = Register(received);
   request.over_quota = admission_.IsOverQuota(received.tenant);
-  Queue(request);
+  QueueInKeyOrder(request);
 }
 
 void RequestLifecycle::Recover(const RecoveredRequest& recovered) {
-  Request& request = Admit(recovered.request);
+  Request& request = Register(recovered.request);
   request.recovered = true;
   for (const EarlierAttempt& earlier : recovered.attempts) {
     Attempt attempt;
@@ -35,10 +35,10 @@
     attempt.may_have_run = earlier.may_have_run;
     request.attempts.push_back(attempt);
   }
-  Queue(request);
+  QueueInKeyOrder(request);
 }
 
-Request& RequestLifecycle::Admit(const NewRequest& received) {
+Request& RequestLifecycle::Register(const NewRequest& received) {
   const RequestClass& request_class = context_.settings.classes[received.request_class];
   Request& request = requests_.Add(received);
   request.deadline = context_.now + received.remaining_time;
@@ -50,11 +50,11 @@
   return request;
 }
 
-void RequestLifecycle::Queue(Request& request) {
+void RequestLifecycle::QueueInKeyOrder(Request& request) {
   if (request.key.empty()) return Enqueue(request);
   key_order_.Append(request);
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
-  AdvanceKey(std::string(request.key));  // a copy, as the request may end
+  AdvanceKey(std::string(request.key));  // a copy, as the request may be removed
 }
 
 void RequestLifecycle::AdvanceKey(const std::string& key) {
@@ -63,13 +63,13 @@
 
 void RequestLifecycle::Enqueue(Request& request) {
   const auto bounds = retry_policy_.Bounds(request);
-  if (!retry_policy_.MayAttempt(request, bounds)) return Answer(request);
+  if (!retry_policy_.MayAttempt(request, bounds)) return RejectOrFail(request);
   queue_.Add(request, bounds->zone);
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
 }
 
 void RequestLifecycle::SendAttempt(Request& request, const Endpoint& endpoint, std::uint64_t call,
-                                   double stretch) {
+                                   double latency_factor) {
   Attempt attempt;
   attempt.endpoint = endpoint.endpoint;
   attempt.zone = endpoint.zone;
@@ -79,7 +79,7 @@
   ++request.in_flight;
   request.phase = RequestPhase::kInFlight;
   const Seconds send_deadline = retry_policy_.Bounds(request).value_or(AttemptBounds{}).until;
-  const Seconds timeout_at = retry_policy_.TimeoutAt(request, endpoint, stretch);
+  const Seconds timeout_at = retry_policy_.TimeoutAt(request, endpoint, latency_factor);
   context_.Emit(Send{request.request_id, endpoint.endpoint, timeout_at, send_deadline});
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
 }
@@ -87,28 +87,28 @@
 void RequestLifecycle::OnAttemptEnded(Request& request, Outcome outcome, bool request_ended) {
   if (outcome == Outcome::kTimeout) ++request.timeouts;
   const auto pause = context_.settings.ordered_key_pause;
-  if (pause && !request.key.empty() && MayStillRun(outcome))
+  if (pause && !request.key.empty() && MayStillBeRunning(outcome))
     key_order_.Pause(request.key, context_.now + *pause);
   if (request.ended) {
     Release(request);
   } else if (request_ended) {
     End(request);
-  } else if (request.in_flight == 0) {  // a failed attempt waits for its hedged request
+  } else if (request.in_flight == 0) {  // no retry while a hedged attempt is in flight
     Retry(request, outcome);
   }
 }
 
 void RequestLifecycle::Retry(Request& request, Outcome last) {
-  if (!retry_policy_.MayRetry(request)) return Answer(request);
-  if (IsRetriedAtOnce(last)) return Enqueue(request);
-  timers_.Delay(request, retry_policy_.DrawBackoffEnd(request, last));
+  if (!retry_policy_.MayRetry(request)) return RejectOrFail(request);
+  if (IsRetriedImmediately(last)) return Enqueue(request);
+  timers_.Delay(request, retry_policy_.RandomBackoffEnd(request, last));
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
 }
 
 void RequestLifecycle::OnBatchEnd() {
   while (const auto key = key_order_.TakeDuePause()) AdvanceKey(*key);
-  while (const auto id = timers_.TakeDelayed(context_.now)) Enqueue(requests_.At(*id));
-  while (const auto id = timers_.FindExpired(context_.now)) Answer(requests_.At(*id));
+  while (const auto id = timers_.TakeEndedBackoff(context_.now)) Enqueue(requests_.At(*id));
+  while (const auto id = timers_.FindExpired(context_.now)) RejectOrFail(requests_.At(*id));
   ShedLoad();
 }
 
@@ -116,15 +116,15 @@
   while (admission_.MustShedLoad()) {
     const auto id = queue_.LeastValuableOfLongestQueue();
     if (!id) return;
-    Answer(requests_.At(*id));
+    RejectOrFail(requests_.At(*id));
   }
 }
 
 Seconds RequestLifecycle::NextDue() const { return std::min(key_order_.NextDue(), timers_.NextDue()); }
 
-// The router gives the request up: rejected, with a time to come back, where it surely has no effect that a
-// repeat would double.
-void RequestLifecycle::Answer(Request& request) {
+// Ends a request that the router gives up. It is rejected, with Retry-After advice, if the client can repeat
+// it without doubling an effect, and fails otherwise.
+void RequestLifecycle::RejectOrFail(Request& request) {
   const Destination& destination = table_.FindOrAddDestination(request.destination);
   const bool gives_advice = context_.settings.may_send_retry_after;
   if (retry_policy_.MayReject(request)) {
@@ -157,7 +157,7 @@
   if (Request* request = requests_.Find(id)) timers_.ClearExpiry(*request);
 }
 
-// The request is forgotten once all its attempts have come to their outcomes.
+// Stops counting the request as held, and removes it once all of its attempts have outcomes.
 void RequestLifecycle::Release(Request& request) {
   timers_.ClearExpiry(request);
   request.phase = RequestPhase::kInFlight;
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -1,4 +1,4 @@
-// A request from its receipt to its end: ordered by key, waiting, delayed, in flight, answered.
+// Moves a request from its receipt to its end: queued by key, waiting, delayed, in flight, ended.
 #pragma once
 
 #include <cstdint>
@@ -15,34 +15,35 @@
 
 namespace opalroute::decision {
 
-// Owns timers, key order and admission, which only it changes.
+// Owns the timers, the ordering keys and the admission, and is the only one to change them.
 class RequestLifecycle {
  public:
   RequestLifecycle(DecisionContext& context, EndpointTable& table, RequestTable& requests,
                    RequestQueue& queue, RetryPolicy& retry_policy);
 
   void Receive(const NewRequest& received);
-  // Attempts that were in flight when the earlier process ended may have run, so they bind retries.
+  // Attempts that were in flight when the earlier process ended may have run, and restrict retries
+  // accordingly.
   void Recover(const RecoveredRequest& recovered);
   void Abort(RequestId id);
   void OnResponseStarted(RequestId id);
-  // Sends the next attempt as a part of `call`; `stretch` is the batch's.
-  void SendAttempt(Request& request, const Endpoint& endpoint, std::uint64_t call, double stretch);
-  // An attempt has come to its outcome; `request_ended`: the request has ended outside the router.
+  // Sends the next attempt as a part of `call`; `latency_factor` is the BatchLatencyFactor() of the call.
+  void SendAttempt(Request& request, const Endpoint& endpoint, std::uint64_t call, double latency_factor);
+  // An attempt has its outcome; `request_ended`: the request has ended, and the router must not answer it.
   void OnAttemptEnded(Request& request, Outcome outcome, bool request_ended);
 
-  // Moves on what is due, answers what has expired, and sheds load.
+  // Queues requests whose pause or backoff has ended, rejects or fails expired ones, and sheds load.
   void OnBatchEnd();
-  Seconds NextDue() const;  // kNever: nothing waits for a time
+  Seconds NextDue() const;  // kNever: no request has a due time
 
  private:
-  Request& Admit(const NewRequest& received);
-  void Queue(Request& request);
+  Request& Register(const NewRequest& received);
+  void QueueInKeyOrder(Request& request);
   void AdvanceKey(const std::string& key);
   void Enqueue(Request& request);
   void Retry(Request& request, Outcome last);
   void ShedLoad();
-  void Answer(Request& request);
+  void RejectOrFail(Request& request);
   void End(Request& request);
   void Release(Request& request);
 
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -7,24 +7,24 @@
 namespace opalroute::decision {
 namespace {
 
-// How much a bucket's best request is preferred.
-struct Rank {
+// Orders the best requests of the buckets; the greatest is sent first.
+struct BucketRank {
   bool is_safe_for_trial = false;
   double weight = 0;
   Seconds negated_objective_end = 0;
 
-  bool operator<(const Rank& other) const {
+  bool operator<(const BucketRank& other) const {
     return std::tie(is_safe_for_trial, weight, negated_objective_end) <
            std::tie(other.is_safe_for_trial, other.weight, other.negated_objective_end);
   }
 };
 
-// A request by what its rejection costs.
-struct WeightedRequest {
+// Orders the requests that may be shed; the least is shed first.
+struct ShedCandidate {
   double weight = kNever;
   RequestId request_id = 0;
 
-  bool operator<(const WeightedRequest& other) const {
+  bool operator<(const ShedCandidate& other) const {
     return std::tie(weight, request_id) < std::tie(other.weight, other.request_id);
   }
 };
@@ -68,32 +68,32 @@
                            (request_class.deadline - objective));
 }
 
-// The earliest request that can still be served within its latency objective; else the latest, which has most
-// of its weight left.
-const QueueEntry& RequestQueue::BestEntry(const BucketKey& bucket, const RequestLine& line,
+// The earliest request that can still be served within its latency objective; otherwise the latest one, which
+// has most of its weight left.
+const QueueEntry& RequestQueue::BestEntry(const BucketKey& bucket, const RequestsByTime& requests,
                                           Seconds latency) const {
   const Seconds objective = context_.settings.classes[bucket.request_class].latency_objective;
-  const auto in_objective = line.lower_bound({context_.now + latency - objective, 0});
-  return in_objective != line.end() ? *in_objective : *line.rbegin();
+  const auto in_objective = requests.lower_bound({context_.now + latency - objective, 0});
+  return in_objective != requests.end() ? *in_objective : *requests.rbegin();
 }
 
 std::optional<BucketKey> RequestQueue::BestBucket(const Destination& destination,
                                                   const std::vector<Endpoint*>& endpoints,
                                                   bool is_trial) const {
   std::optional<BucketKey> best;
-  Rank best_rank;
+  BucketRank best_rank;
   const Seconds latency = latency_.Expected(destination);
-  for (const auto& [bucket, line] : destination.waiting) {
+  for (const auto& [bucket, requests] : destination.waiting) {
     const int zone = bucket.zone;
     const auto is_inside = [zone](const Endpoint* endpoint) {
       return zone == kAnyZone || endpoint->zone == zone;
     };
     if (std::none_of(endpoints.begin(), endpoints.end(), is_inside)) continue;
     const RequestClass& request_class = context_.settings.classes[bucket.request_class];
-    const Seconds received_at = BestEntry(bucket, line, latency).time;
-    const Rank rank{!is_trial || request_class.idempotency != Idempotency::kNonIdempotent,
-                    WeightAt(bucket, context_.now + latency - received_at),
-                    -(received_at + request_class.latency_objective)};
+    const Seconds received_at = BestEntry(bucket, requests, latency).time;
+    const BucketRank rank{!is_trial || request_class.idempotency != Idempotency::kNonIdempotent,
+                          WeightAt(bucket, context_.now + latency - received_at),
+                          -(received_at + request_class.latency_objective)};
     if (best && !(best_rank < rank)) continue;
     best = bucket;
     best_rank = rank;
@@ -112,10 +112,10 @@
       longest = destination;
   }
   if (longest == nullptr) return std::nullopt;
-  WeightedRequest least;
-  for (const auto& [bucket, line] : longest->waiting) {
+  ShedCandidate least;
+  for (const auto& [bucket, requests] : longest->waiting) {
     if (!bucket.may_be_shed) continue;
-    const QueueEntry& oldest = *line.begin();
+    const QueueEntry& oldest = *requests.begin();
     least = std::min(least, {WeightAt(bucket, context_.now - oldest.time), oldest.request_id});
   }
   return least.request_id;
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -1,4 +1,4 @@
-// The requests that wait for an endpoint, by destination and bucket, and the choice of the next one.
+// Requests that wait for an endpoint, by destination and bucket, and the choice of the next one to send.
 #pragma once
 
 #include <map>
@@ -12,30 +12,32 @@
 
 namespace opalroute::decision {
 
-// Owns the set of destinations with waiting requests, and the queue in each Destination.
+// Owns the set of destinations with waiting requests, and the waiting requests in each Destination.
 class RequestQueue {
  public:
   RequestQueue(const DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
 
-  // The request waits for an endpoint in `zone`, or kAnyZone.
+  // Adds a request that may go to an endpoint in `zone`, which may be kAnyZone.
   void Add(Request& request, int zone);
-  // The request waits no more.
+  // Removes a request; does nothing if it does not wait.
   void Remove(Request& request);
 
   // Destinations with waiting requests.
   const std::map<DestinationId, Destination*>& active_destinations() const { return active_; }
-  // The bucket of the most valuable request that may go to one of the endpoints; of equal ones, that whose
-  // latency objective ends first. A recovery trial prefers idempotent requests. Nothing: none may.
+  // The bucket of the request of greatest weight that may go to one of the endpoints; of equal ones, the one
+  // whose latency objective ends first. A recovery trial prefers idempotent requests. Nothing if no request
+  // may go.
   std::optional<BucketKey> BestBucket(const Destination& destination, const std::vector<Endpoint*>& endpoints,
                                       bool is_trial) const;
-  // The request of a waiting bucket that goes next.
+  // The request of a nonempty bucket that is sent next.
   RequestId BestRequest(const Destination& destination, const BucketKey& bucket) const;
-  // The least valuable request that may be shed, of the destination with most of these. Nothing: none may.
+  // The request of least weight that may be shed, of the destination with the most such requests. Nothing if
+  // there is none.
   std::optional<RequestId> LeastValuableOfLongestQueue() const;
 
  private:
   double WeightAt(const BucketKey& bucket, Seconds age) const;
-  const QueueEntry& BestEntry(const BucketKey& bucket, const RequestLine& line, Seconds latency) const;
+  const QueueEntry& BestEntry(const BucketKey& bucket, const RequestsByTime& requests, Seconds latency) const;
 
   const DecisionContext& context_;
   EndpointTable& table_;
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -1,4 +1,4 @@
-// Puts the parts of the decision module together and hands each event to the part that decides on it.
+// Connects the parts of the decision module and passes each event to the parts that handle it.
 #include "opalroute/request_router.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 namespace decision {
 namespace {
 
-// Hands each event to the modules that it concerns.
+// Owns all parts of the decision module and passes events to them.
 class EventDispatcher {
  public:
   explicit EventDispatcher(const Settings& settings) : context_(settings), list_lease_(settings) {}
@@ -54,7 +54,7 @@
 
   void Handle(const ListUpdate& update) {
     if (update.from_discovery) list_lease_.OnListUpdate(update.scope, context_.now);
-    if (update.scope == ListScope::kCached) RenewList();
+    if (update.scope == ListScope::kCached) CheckListLease();
     table_.Apply(update);
   }
 
@@ -62,14 +62,14 @@
 
   void Handle(const DiscoveryMoved&) {
     list_lease_.OnDiscoveryMoved(context_.now);
-    RenewList();
+    CheckListLease();
   }
 
-  void RenewList() {
+  void CheckListLease() {
     if (list_lease_.TakeDueRenewal(context_.now)) context_.Emit(WatchEndpointList{true});
     const auto expired = list_lease_.TakeChange(context_.now);
     if (!expired) return;
-    context_.Emit(Log{*expired ? "endpoint list not confirmed in time, the one held serves on"
+    context_.Emit(Log{*expired ? "endpoint list not confirmed in time; continuing with the last known list"
                                : "endpoint list is current again"});
   }
 
@@ -89,18 +89,19 @@
   void Handle(const FleetSize& size) { context_.share_count = std::max(1.0, size.share_count); }
 
   void Handle(const ZoneTrafficShare& share) {
-    const bool was_evacuated = zones_.Exchange(share) <= 0;
+    const bool was_evacuated = zones_.SetShare(share) <= 0;
     const bool is_evacuated = share.traffic_share <= 0;
     for (auto& [id, endpoint] : table_.endpoints()) {
       if (endpoint.zone != share.zone) continue;
       if (share.is_health_check_relay) health_.OpenCircuit(endpoint, false);
       if (is_evacuated) idle_connections_.CloseAtBatchEnd(id);
-      if (was_evacuated && !is_evacuated && endpoint.HasOwnRoute()) ReturnTo(endpoint);
+      if (was_evacuated && !is_evacuated && endpoint.HasOwnRoute()) RestoreTraffic(endpoint);
     }
   }
 
-  // All relays come back to the zone at once, so a route that nobody has called since starts slowly.
-  void ReturnTo(Endpoint& endpoint) {
+  // All relays return to the zone at the same time, so a route that was not called in the meantime starts
+  // slowly.
+  void RestoreTraffic(Endpoint& endpoint) {
     endpoint.route->health.RequireSlowStart();
     health_.StartSlowStart(*endpoint.route);
     endpoint.circuit.HalfOpenIfOpen();
@@ -112,7 +113,7 @@
   void Handle(const ShutdownStarted& shutdown) { dispatcher_.ShutDownAt(context_.now + shutdown.time_left); }
 
   void Handle(const BatchEnd&) {
-    RenewList();
+    CheckListLease();
     lifecycle_.OnBatchEnd();
     Seconds next_due = dispatcher_.Dispatch();
     next_due = std::min(next_due, health_checker_.OnBatchEnd());
--- a/src/decision/request_table.h
+++ b/src/decision/request_table.h
@@ -1,4 +1,4 @@
-// All requests that the router knows: held ones, and ended ones with attempts in flight.
+// All requests that the router knows: those it holds, and ended ones with attempts in flight.
 #pragma once
 
 #include <map>
@@ -7,10 +7,10 @@
 
 namespace opalroute::decision {
 
-// Owns the requests, by their ids.
+// Owns the requests.
 class RequestTable {
  public:
-  // Null: not known.
+  // Null if the request is unknown.
   Request* Find(RequestId id);
   const Request* Find(RequestId id) const;
   Request& At(RequestId id) { return requests_.at(id); }
--- a/src/decision/request_timers.cpp
+++ b/src/decision/request_timers.cpp
@@ -25,7 +25,7 @@
   request.expiry = kNever;
 }
 
-std::optional<RequestId> RequestTimers::TakeDelayed(Seconds now) {
+std::optional<RequestId> RequestTimers::TakeEndedBackoff(Seconds now) {
   if (delayed_.empty() || delayed_.begin()->time > now) return std::nullopt;
   const RequestId id = delayed_.begin()->request_id;
   delayed_.erase(delayed_.begin());
@@ -39,8 +39,8 @@
 
 Seconds RequestTimers::NextDue() const {
   Seconds due = kNever;
-  for (const RequestLine* line : {&delayed_, &expiries_}) {
-    if (!line->empty()) due = std::min(due, line->begin()->time);
+  for (const RequestsByTime* queue : {&delayed_, &expiries_}) {
+    if (!queue->empty()) due = std::min(due, queue->begin()->time);
   }
   return due;
 }
--- a/src/decision/request_timers.h
+++ b/src/decision/request_timers.h
@@ -1,4 +1,4 @@
-// The due times of requests: the ends of their backoffs, and the times at which they have to be answered.
+// The due times of requests: when a backoff ends, and when a request expires.
 #pragma once
 
 #include <optional>
@@ -7,24 +7,24 @@
 
 namespace opalroute::decision {
 
-// Owns both orders by time.
+// Owns the delayed requests and the expiries, both ordered by time.
 class RequestTimers {
  public:
-  // The request waits for the end of a backoff.
+  // Delays the request for a backoff that ends at `until`.
   void Delay(Request& request, Seconds until);
   void CancelDelay(const Request& request);
   void SetExpiry(Request& request, Seconds at);
   void ClearExpiry(Request& request);
 
-  // A request whose backoff is over, once.
-  std::optional<RequestId> TakeDelayed(Seconds now);
-  // A request that has to be answered; the same one until its expiry is set anew or cleared.
+  // Removes a request whose backoff has ended and returns it; nothing if there is none.
+  std::optional<RequestId> TakeEndedBackoff(Seconds now);
+  // A request that has expired. Stays the same until its expiry is set again or cleared.
   std::optional<RequestId> FindExpired(Seconds now) const;
   Seconds NextDue() const;  // kNever: none
 
  private:
-  RequestLine delayed_;
-  RequestLine expiries_;
+  RequestsByTime delayed_;
+  RequestsByTime expiries_;
 };
 
 }  // namespace opalroute::decision
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -6,13 +6,13 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kMaxTransitShare = 0.1;      // of a deduplication window: kept for the way of a repeat
-constexpr double kMaxServiceTimeShare = 0.1;  // of a deadline: kept for the attempt of a waiting request
-constexpr int kMinServiceTicks = 2;           // ticks, likewise
-constexpr double kMaxTimeoutShare = 0.4;      // of a deadline: leaves time for another attempt
-constexpr double kShortageTicks = 8;          // ticks: least base of the backoff after a local shortage
+constexpr double kMaxTransitShare = 0.1;        // of a deduplication window: most time reserved for transit
+constexpr double kMaxServiceTimeShare = 0.1;    // of a deadline: most time reserved for serving a request
+constexpr int kMinServiceTicks = 2;             // ticks: least time reserved for serving a request
+constexpr double kMaxTimeoutShare = 0.4;        // of a deadline: leaves time for another attempt
+constexpr double kMinShortageBackoffTicks = 8;  // ticks: least base of the backoff after a local shortage
 constexpr int kMaxBackoffExponent = 5;
-constexpr int kBackoffExponentOffset = 3;  // the first backoffs are a part of the expected latency
+constexpr int kBackoffExponentOffset = 3;  // makes the first backoffs shorter than the expected latency
 
 }  // namespace
 
@@ -65,24 +65,25 @@
   return context_.now < request.deadline - kMinServiceTicks * context_.settings.tick && Bounds(request);
 }
 
-Seconds RetryPolicy::DrawBackoffEnd(const Request& request, Outcome last) {
+Seconds RetryPolicy::RandomBackoffEnd(const Request& request, Outcome last) {
   const Settings& settings = context_.settings;
-  const Seconds shortage = last == Outcome::kLocalShortage ? kShortageTicks * settings.tick : 0;
+  const Seconds shortage = last == Outcome::kLocalShortage ? kMinShortageBackoffTicks * settings.tick : 0;
   const Seconds expected = latency_.Expected(table_.FindOrAddDestination(request.destination));
   const int attempts = static_cast<int>(request.attempts.size());
   const int exponent = std::min(attempts, kMaxBackoffExponent) - kBackoffExponentOffset;
   const Seconds backoff = std::max(settings.tick, std::max(shortage, expected) * std::exp2(exponent));
-  return context_.now + backoff * context_.random.Jitter();
+  return context_.now + backoff * context_.random.JitterFactor();
 }
 
-// Each attempt gets twice the time of the one before, so that requests that take long come through. A timeout
-// would end a request that may not be repeated, so its attempts have none.
-Seconds RetryPolicy::TimeoutAt(const Request& request, const Endpoint& endpoint, double stretch) const {
+// The timeout doubles with each attempt that timed out, so that slow requests are served in the end. A
+// timeout would end a non-idempotent request, which may not be retried, so its attempts have none.
+Seconds RetryPolicy::TimeoutAt(const Request& request, const Endpoint& endpoint,
+                               double latency_factor) const {
   const Settings& settings = context_.settings;
   const RequestClass& request_class = settings.classes[request.request_class];
   if (request_class.idempotency == Idempotency::kNonIdempotent) return 0;
   if (request.AttemptsUsed() >= settings.max_attempts) return 0;
-  const Seconds timeout = latency_.CallTimeout(endpoint) * stretch * std::exp2(request.timeouts);
+  const Seconds timeout = latency_.CallTimeout(endpoint) * latency_factor * std::exp2(request.timeouts);
   const Seconds until = context_.now + std::min(timeout, kMaxTimeoutShare * request_class.deadline);
   return until < request.deadline ? until : 0;
 }
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -1,4 +1,4 @@
-// Whether, where and when a request may be sent again, and how long an attempt may take.
+// Decides whether, where and when a request may be sent again, and how long an attempt may take.
 #pragma once
 
 #include <optional>
@@ -10,32 +10,33 @@
 
 namespace opalroute::decision {
 
-// Where the next attempt may go, and before when its first byte has to leave.
+// The zone that the next attempt must go to, and the time before which its first byte must be sent.
 struct AttemptBounds {
   int zone = kAnyZone;
   Seconds until = kNever;
 };
 
-// Has no state of its own: it reads a request, its class and expected latencies.
+// Stateless: it reads a request, its class and the expected latencies.
 class RetryPolicy {
  public:
   RetryPolicy(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
 
-  // What earlier attempts that may have run leave open; nothing: no other attempt.
+  // The bounds that earlier attempts set, if they may have run; nothing if no further attempt is allowed.
   std::optional<AttemptBounds> Bounds(const Request& request) const;
-  // Whether another attempt may be made at all now.
+  // Whether another attempt may be made now.
   bool MayAttempt(const Request& request, const std::optional<AttemptBounds>& bounds) const;
-  // Whether the request surely has no effect that the client's next one would double.
+  // Whether the client can repeat the request without doubling an effect of it.
   bool MayReject(const Request& request) const;
-  // When the request has to be answered. One that waits is answered as soon as it could no longer be served
-  // in time.
+  // When the request is given up: at its deadline while an attempt is in flight, otherwise as soon as it
+  // could no longer be served in time.
   Seconds Expiry(const Request& request) const;
   // Whether there is time for a retry after an attempt has ended.
   bool MayRetry(const Request& request) const;
-  // Draws the end of the backoff before the next attempt.
-  Seconds DrawBackoffEnd(const Request& request, Outcome last);
-  // When an attempt that leaves now times out; `stretch` is the batch's. 0: only with the request.
-  Seconds TimeoutAt(const Request& request, const Endpoint& endpoint, double stretch) const;
+  // The end of the backoff before the next attempt, with random jitter.
+  Seconds RandomBackoffEnd(const Request& request, Outcome last);
+  // When an attempt that is sent now times out, in a call with this BatchLatencyFactor(). 0: it has no
+  // timeout but the deadline of the request.
+  Seconds TimeoutAt(const Request& request, const Endpoint& endpoint, double latency_factor) const;
 
  private:
   DecisionContext& context_;
--- a/src/decision/route_gossip.cpp
+++ b/src/decision/route_gossip.cpp
@@ -9,10 +9,10 @@
 constexpr std::string_view kKinds = "rbc";
 constexpr std::size_t kHeaderBytes = 2;
 constexpr std::size_t kHashBytes = 4;
-constexpr int kVarintBits = 7;  // of the number in each byte; the eighth says that another byte follows
+constexpr int kVarintBits = 7;  // payload bits of a byte; the eighth is set if another byte follows
 constexpr unsigned kVarintMask = 127;
-constexpr unsigned kVarintMore = 128;
-constexpr int kLastShift = 63;
+constexpr unsigned kVarintContinuation = 128;
+constexpr int kMaxShift = 63;
 
 std::uint64_t ZigzagEncode(std::int64_t value) {
   return (static_cast<std::uint64_t>(value) << 1) ^ (value < 0 ? ~std::uint64_t{0} : 0);
@@ -24,17 +24,18 @@
 
 void AppendVarint(std::uint64_t value, std::string& bytes) {
   for (; value > kVarintMask; value >>= kVarintBits)
-    bytes += static_cast<char>(kVarintMore | (value & kVarintMask));
+    bytes += static_cast<char>(kVarintContinuation | (value & kVarintMask));
   bytes += static_cast<char>(value);
 }
 
-// Reads from `position` and moves it behind the number; nothing if the bytes end inside it.
+// Reads a number at `position` and advances it past the number. Nothing if the number is incomplete or longer
+// than 10 bytes.
 std::optional<std::uint64_t> ReadVarint(std::string_view bytes, std::size_t& position) {
   std::uint64_t value = 0;
-  for (int shift = 0; shift <= kLastShift && position < bytes.size(); shift += kVarintBits) {
+  for (int shift = 0; shift <= kMaxShift && position < bytes.size(); shift += kVarintBits) {
     const auto byte = static_cast<unsigned char>(bytes[position++]);
     value |= static_cast<std::uint64_t>(byte & kVarintMask) << shift;
-    if ((byte & kVarintMore) == 0) return value;
+    if ((byte & kVarintContinuation) == 0) return value;
   }
   return std::nullopt;
 }
--- a/src/decision/route_health.cpp
+++ b/src/decision/route_health.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr int kMinFaultsToSuspect = 2;
-constexpr int kMaxFaultsToSuspect = 4;    // also where the route served this relay within a slow start's time
-constexpr double kSlowStartCapacity = 1;  // calls
+constexpr int kMaxFaultsToSuspect = 4;  // also for a route that served within the slow start's duration
+constexpr double kSlowStartBurst = 1;   // calls
 
 }  // namespace
 
@@ -20,8 +20,8 @@
 
 void RouteHealth::CountLongRetryAfter() { faults_ += kMaxFaultsToSuspect; }
 
-// A relay counts as informed of an outage after one fault, which may as well be a full limit: docs/design.md,
-// 'Suspected outages and recovery'.
+// The recovery budget counts a relay as informed of an outage after one fault, which an exceeded limit can
+// cause as well: docs/design.md, 'Suspected outages and recovery'.
 bool RouteHealth::Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget) {
   const Settings& settings = context.settings;
   const bool may_be_out =
@@ -51,7 +51,7 @@
 }
 
 void RouteHealth::ScheduleFirstTrial(Seconds now, RecoveryBudget& budget) {
-  next_trial_at_ = now + budget.DrawFirstTrialDelay();
+  next_trial_at_ = now + budget.RandomFirstTrialDelay();
 }
 
 void RouteHealth::StartSlowStart(double initial_tokens, Seconds now) {
@@ -61,12 +61,12 @@
 }
 
 Seconds RouteHealth::TimeUntilSlowStartCall(double rate, Seconds now) {
-  slow_start_bucket_.Refill(now, rate, kSlowStartCapacity);
+  slow_start_bucket_.Refill(now, rate, kSlowStartBurst);
   return slow_start_bucket_.TimeUntilToken(rate);
 }
 
-// What others report may be wrong, so it counts no fault: a trial leaves soon, and a success ends the
-// suspicion.
+// Another relay's report may be wrong, so it is not counted as a fault: a trial is sent soon, and its success
+// ends the suspicion.
 void RouteHealth::MergeFailure(Seconds failed_at, Seconds now, RecoveryBudget& budget) {
   in_recovery_ = true;
   slow_start_at_ = kNever;
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -8,43 +8,44 @@
 
 namespace opalroute::decision {
 
-// Owns the faults, the suspicion, the slow start and the time of the next recovery trial of one route.
+// Owns the fault count, the recovery state and the time of the next recovery trial of one route.
 class RouteHealth {
  public:
-  // A call sent at `sent` failed or was rejected. Calls in flight together count as one fault.
+  // A call sent at `sent` failed or was rejected. Calls sent before the latest fault was seen are not counted
+  // again.
   void CountFault(Seconds sent, Seconds now);
-  // A long Retry-After weighs as much as the faults that make a route suspected.
+  // A long Retry-After counts as enough faults to suspect an outage.
   void CountLongRetryAfter();
-  // Suspects an outage after faults without a success, and ends a slow start that has lasted its time. True
-  // if a slow start has ended. `limit` is the route's, in calls a second (0: not known), `kind` that of its
-  // endpoints.
+  // Suspects an outage after enough faults without a success, and ends a slow start that has run its full
+  // time. Returns whether the latest slow start is over. `limit` is the route's limit in calls a second (0:
+  // unknown), `kind` the kind of its endpoints.
   bool Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget);
-  // A call was served that speaks for the route.
+  // A call was served that shows that the route is healthy.
   void OnServed(Seconds now);
-  // Draws the moment of the first recovery trial.
+  // Schedules the first recovery trial after a short random delay.
   void ScheduleFirstTrial(Seconds now, RecoveryBudget& budget);
-  // `initial_tokens`: calls that may leave at once.
+  // `initial_tokens`: calls that may be sent immediately.
   void StartSlowStart(double initial_tokens, Seconds now);
-  // The same for a route that is only now used again.
+  // Puts a route that was not used into recovery, so that a slow start limits its calls.
   void RequireSlowStart() { in_recovery_ = true; }
-  // How long until slow start lets the next call through, at `rate` calls a second.
+  // How long until slow start allows the next call, at `rate` calls a second.
   Seconds TimeUntilSlowStartCall(double rate, Seconds now);
   void ScheduleTrial(Seconds at) { next_trial_at_ = at; }
-  // Counts calls, or parts of one, against the slow start.
+  // Takes tokens for `calls`, which may be a fraction, from the slow start.
   void Charge(double calls) { slow_start_bucket_.tokens -= calls; }
 
-  // What another relay knows: a failure, or a slow start since `since`.
+  // Takes over what another relay has observed: a failure, or a slow start since `since`.
   void MergeFailure(Seconds failed_at, Seconds now, RecoveryBudget& budget);
   void MergeSlowStart(Seconds since, Seconds now);
 
   bool in_recovery() const { return in_recovery_; }
   bool IsSuspectedOut() const { return in_recovery_ && slow_start_at_ == kNever; }
   bool has_faults() const { return faults_ > 0; }
-  // Whether the route counts as failing for relays that learn from this one.
+  // Whether state transferred to other relays reports the route as failing.
   bool IsFailing() const;
   Seconds fault_at() const { return fault_at_; }
   Seconds last_served() const { return last_served_; }
-  Seconds slow_start_at() const { return slow_start_at_; }  // kNever: none yet
+  Seconds slow_start_at() const { return slow_start_at_; }  // kNever: none, or an outage is suspected
   Seconds next_trial_at() const { return next_trial_at_; }
 
  private:
--- a/src/decision/state_transfer.cpp
+++ b/src/decision/state_transfer.cpp
@@ -18,7 +18,7 @@
   return latest;
 }
 
-// The latency that is known of the endpoint's route.
+// The latency average of the endpoint's route.
 template <typename AnyDestination, typename AnyEndpoint>
 auto& RouteLatency(AnyDestination& destination, AnyEndpoint& endpoint) {
   return endpoint.HasOwnRoute() ? endpoint.latency : destination.latency;
@@ -51,11 +51,11 @@
 }  // namespace
 
 std::vector<RouteState> ExportRouteStates(const EndpointTable& table, Seconds now,
-                                          std::optional<DestinationId>& from, int most) {
+                                          std::optional<DestinationId>& from, int max_destinations) {
   std::vector<RouteState> states;
   const auto& destinations = table.destinations();
   auto it = from ? destinations.lower_bound(*from) : destinations.end();
-  for (; it != destinations.end() && most > 0; ++it, --most) {
+  for (; it != destinations.end() && max_destinations > 0; ++it, --max_destinations) {
     const Destination& destination = it->second;
     for (const Endpoint* endpoint : destination.endpoints) {
       if (endpoint->HasOwnRoute() || endpoint == destination.endpoints.front())
@@ -83,7 +83,7 @@
 void StateMerger::MergeRoute(Destination& destination, Endpoint& endpoint, const RouteState& state) {
   UpstreamRoute& route = *endpoint.route;
   route.rate_limiter.ExtendRetryAfter(context_.now + state.retry_after);
-  health_.IsInRecovery(endpoint);  // brings this relay's own suspicion up to date
+  health_.IsInRecovery(endpoint);  // updates this relay's own suspicion first
   if (!route.health.IsSuspectedOut()) MergeHealth(route.health, state);
   if (state.rejection_age) {
     const Seconds reduced_at = context_.now - *state.rejection_age;
--- a/src/decision/state_transfer.h
+++ b/src/decision/state_transfer.h
@@ -1,4 +1,4 @@
-// The state of routes that a relay passes on to one that starts, and what that one makes of it.
+// Exports the state of routes for a relay that starts, and merges such state from other relays.
 #pragma once
 
 #include <optional>
@@ -12,11 +12,11 @@
 
 namespace opalroute::decision {
 
-// As RequestRouter::ExportRouteStates.
+// Implements RequestRouter::ExportRouteStates.
 std::vector<RouteState> ExportRouteStates(const EndpointTable& table, Seconds now,
-                                          std::optional<DestinationId>& from, int most);
+                                          std::optional<DestinationId>& from, int max_destinations);
 
-// Has no state of its own.
+// Applies the state of other relays to endpoints and routes. Stateless.
 class StateMerger {
  public:
   StateMerger(DecisionContext& context, EndpointTable& table, EndpointHealth& health, RecoveryBudget& budget,
--- a/src/decision/token_bucket.cpp
+++ b/src/decision/token_bucket.cpp
@@ -5,8 +5,8 @@
 namespace opalroute::decision {
 
 void TokenBucket::Refill(Seconds now, double rate, double capacity) {
-  tokens = std::min(capacity, tokens + rate * std::max(0.0, now - filled_at));
-  filled_at = now;
+  tokens = std::min(capacity, tokens + rate * std::max(0.0, now - refilled_at));
+  refilled_at = now;
 }
 
 bool TokenBucket::TryTake() {
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -1,20 +1,20 @@
-// A token bucket on the clock of its caller.
+// A token bucket. The caller passes in the current time.
 #pragma once
 
 #include "decision/never.h"
 
 namespace opalroute::decision {
 
-// The caller gives the rate and the capacity with each refill, as both may change.
+// The caller passes the rate and the capacity with each refill, as both may change.
 struct TokenBucket {
-  double tokens = 0;  // negative after more was charged than the bucket held
-  Seconds filled_at = 0;
+  double tokens = 0;  // negative if more were taken than the bucket held
+  Seconds refilled_at = 0;
 
-  // Adds what has come in at `rate` tokens a second since the last call, up to `capacity` tokens.
+  // Adds the tokens of the time since the last refill, at `rate` a second, up to `capacity`.
   void Refill(Seconds now, double rate, double capacity);
-  // Removes a token; false if there is none.
+  // Takes a token; false if there is none.
   bool TryTake();
-  // How long until there is a token, at `rate` tokens a second; kNever at rate 0.
+  // How long until a token is available, at `rate` tokens a second; kNever at rate 0.
   Seconds TimeUntilToken(double rate) const;
 };
 
--- a/src/decision/upstream.cpp
+++ b/src/decision/upstream.cpp
@@ -2,9 +2,9 @@
 
 namespace opalroute::decision {
 
-void Endpoint::SetLatestInObjective(bool in_objective) {
+void Endpoint::RecordOutcome(bool in_objective) {
   untried = false;
-  latest_in_objective = in_objective;
+  latest_within_objective = in_objective;
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -1,4 +1,4 @@
-// Upstream routes, endpoints and destinations, put together from the parts that own their state.
+// Upstream routes, endpoints and destinations. Each combines parts that are owned by other modules.
 #pragma once
 
 #include <cstdint>
@@ -17,39 +17,39 @@
 
 namespace opalroute::decision {
 
-// What one rate limit, one Retry-After and one outage apply to: a destination, or one endpoint where the
-// settings say so.
+// The scope of a rate limit, a Retry-After and an outage: a destination, or a single endpoint if
+// EndpointKind::limits_per_endpoint is set.
 struct UpstreamRoute {
   RateLimiter rate_limiter;
   RouteHealth health;
 };
 
-// One endpoint of the list, with what this relay has learnt of it.
+// An endpoint of the list, with this relay's observations of it.
 struct Endpoint : ListedEndpoint {
-  UpstreamRoute* route = nullptr;  // the destination's or its own
+  UpstreamRoute* route = nullptr;  // the destination's route or own_route
   UpstreamRoute own_route;
   CircuitBreaker circuit;
   LatencyAverage latency;
-  std::multiset<Seconds> in_flight;  // send times of calls
+  std::multiset<Seconds> in_flight;  // send times of the calls in flight
   Seconds last_served = -kNever;
   Seconds out_of_connections_at = -kNever;
   bool untried = true;
-  bool latest_in_objective = true;  // the latest outcome was served within the latency objective
+  bool latest_within_objective = true;  // the latest call was served within the latency objective
   bool health_check_in_flight = false;
 
   bool HasOwnRoute() const { return route == &own_route; }
   std::uint32_t RouteNameHash() const { return HasOwnRoute() ? name_hash : 0; }
   EndpointId RouteEndpoint() const { return HasOwnRoute() ? endpoint : 0; }
   bool IsInService() const { return status == EndpointStatus::kInService; }
-  // Whether a call there is a recovery trial.
+  // Whether a call to the endpoint would be a recovery trial.
   bool NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
-  bool IsOutlier() const { return !circuit.IsClosed() || !latest_in_objective; }
-  bool LooksIdle() const { return in_flight.empty() && (untried || latest_in_objective); }
-  // The latest outcome of a call; false: late, rejected or failed.
-  void SetLatestInObjective(bool in_objective);
+  bool IsOutlier() const { return !circuit.IsClosed() || !latest_within_objective; }
+  bool LooksIdle() const { return in_flight.empty() && (untried || latest_within_objective); }
+  // Records whether the latest call was served within the latency objective, not late, rejected or failed.
+  void RecordOutcome(bool in_objective);
 };
 
-// The endpoints that serve the same requests, and what waits for them.
+// A group of endpoints that serve the same requests, and the requests that wait for them.
 struct Destination {
   DestinationId id = 0;
   std::vector<Endpoint*> endpoints;  // ordered by id
@@ -57,9 +57,9 @@
   LatencyAverage latency;
   LoadBalancer load_balancer;
   HedgingBudget hedging;
-  std::map<BucketKey, RequestLine> waiting;  // by the time of receipt
+  std::map<BucketKey, RequestsByTime> waiting;  // ordered by time of receipt
   int waiting_count = 0;
-  int sheddable_count = 0;  // of the waiting ones
+  int sheddable_count = 0;  // waiting requests that may be shed
   int requests_held = 0;
   int calls_in_flight = 0;
   std::uint64_t latest_call = 0;
--- a/src/decision/wake_timer.cpp
+++ b/src/decision/wake_timer.cpp
@@ -11,7 +11,8 @@
   context.Emit(SetTimer{armed_for_, ++latest_id_});
 }
 
-// A timer may fire a rounding error before its time; it must not pass for one that is still to come.
+// Rounding may make a timer fire slightly before its due time, so the id and not the time tells that it has
+// fired.
 void WakeTimer::OnFired(const TimerFired& fired) {
   if (fired.timer_id == latest_id_) armed_for_ = -kNever;
 }
--- a/src/decision/wake_timer.h
+++ b/src/decision/wake_timer.h
@@ -1,4 +1,4 @@
-// The timer that wakes the router for what is due without an event.
+// The timer that wakes the router when something is due and no event arrives.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace opalroute::decision {
 
-// Owns the time for which a timer is set, and the id of the latest one.
+// Owns the due time and the id of the latest timer.
 class WakeTimer {
  public:
-  // Sets a timer for `due`, unless one is set that fires no later; kNever: none is needed.
+  // Sets a timer for `due`, unless the latest one fires no later. kNever: no timer is needed.
   void Arm(Seconds due, DecisionContext& context);
   void OnFired(const TimerFired& fired);
 
--- a/src/decision/zone_traffic.cpp
+++ b/src/decision/zone_traffic.cpp
@@ -6,13 +6,13 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kHealthCheckRelays = 3;  // relays that try an evacuated zone
+constexpr double kHealthCheckRelays = 3;  // relays that send recovery trials to an evacuated zone
 
 }  // namespace
 
 ZoneTraffic::ZoneTraffic(DecisionContext& context) : context_(context) {}
 
-double ZoneTraffic::Exchange(const ZoneTrafficShare& share) {
+double ZoneTraffic::SetShare(const ZoneTrafficShare& share) {
   return std::exchange(shares_[share.zone], share).traffic_share;
 }
 
@@ -24,14 +24,14 @@
 bool ZoneTraffic::IsDiverted(const Destination& destination, const Endpoint& endpoint) {
   const ZoneTrafficShare own = Share(endpoint.zone);
   if (own.is_health_check_relay || own.traffic_share >= 1) return false;
-  if (own.traffic_share > 0 && context_.random.Unit() < own.traffic_share) return false;
+  if (own.traffic_share > 0 && context_.random.Uniform() < own.traffic_share) return false;
   return std::any_of(destination.endpoints.begin(), destination.endpoints.end(), [&](const Endpoint* other) {
     return other->IsInService() && !other->NeedsTrial() &&
            Share(other->zone).traffic_share > own.traffic_share;
   });
 }
 
-double ZoneTraffic::TryingRelays(int zone) const {
+double ZoneTraffic::RelaysSendingTrials(int zone) const {
   const double relays = context_.share_count;
   return Share(zone).is_health_check_relay ? std::min(kHealthCheckRelays, relays) : relays;
 }
--- a/src/decision/zone_traffic.h
+++ b/src/decision/zone_traffic.h
@@ -1,4 +1,4 @@
-// The share of requests that each zone may get, as the fleet has decided it.
+// The share of the traffic that each zone may get, as decided by the fleet.
 #pragma once
 
 #include <map>
@@ -14,20 +14,21 @@
  public:
   explicit ZoneTraffic(DecisionContext& context);
 
-  // Stores the zone's share and returns the one before, 0 to 1.
-  double Exchange(const ZoneTrafficShare& share);
+  // Sets the zone's share and returns the previous traffic share, 0 to 1.
+  double SetShare(const ZoneTrafficShare& share);
   bool IsEvacuated(int zone) const { return Share(zone).traffic_share <= 0; }
-  // Whether a call to the endpoint has to go to another zone of its destination. Draws where the zone gets a
-  // part. Never the last zone: only where an endpoint of a zone with a greater share seems to serve.
+  // Whether a call has to go to another zone of the destination and not to this endpoint. Random if the zone
+  // gets a share of the traffic. A call is diverted only if a zone with a greater share has an endpoint that
+  // appears to serve, so the last zone of a destination stays in use.
   bool IsDiverted(const Destination& destination, const Endpoint& endpoint);
-  // The number of relays that send recovery trials to the zone.
-  double TryingRelays(int zone) const;
+  // Number of relays that send recovery trials to the zone.
+  double RelaysSendingTrials(int zone) const;
 
  private:
   ZoneTrafficShare Share(int zone) const;
 
   DecisionContext& context_;
-  std::map<int, ZoneTrafficShare> shares_;  // none: all of it
+  std::map<int, ZoneTrafficShare> shares_;  // a zone without an entry gets all of its traffic
 };
 
 }  // namespace opalroute::decision
--- a/src/zone_failover/report_scheduler.cpp
+++ b/src/zone_failover/report_scheduler.cpp
@@ -59,7 +59,7 @@
 bool ReportScheduler::TakeDueReport(Seconds now) {
   if (next_report_at_ == decision::kNever) {
     if (!HasUnreported(now)) return false;
-    next_report_at_ = now + options_.report_delay * random_.Unit();
+    next_report_at_ = now + options_.report_delay * random_.Uniform();
   }
   if (now < next_report_at_ || !HasBudget(now)) return false;
   next_report_at_ = decision::kNever;
--- a/src/zone_failover/zone_evacuation.cpp
+++ b/src/zone_failover/zone_evacuation.cpp
@@ -45,7 +45,7 @@
   for (const membership::Peer peer : alive) {
     decision::Random hash(static_cast<std::uint64_t>(peer) * kHashMultiplier ^ round << kRoundShift ^
                           static_cast<std::uint64_t>(zone));
-    ranked.push_back({hash.Unit(), peer});
+    ranked.push_back({hash.Uniform(), peer});
   }
   std::sort(ranked.begin(), ranked.end());
   ranked.resize(std::min(ranked.size(), static_cast<std::size_t>(count)));
--- a/src/zone_failover/zone_health_observer.cpp
+++ b/src/zone_failover/zone_health_observer.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t kMaxEndpoints = 20000;  // above it those without calls in flight are dropped
 
 std::uint32_t BitOf(DestinationId destination) {
-  return 1U << decision::Random(static_cast<std::uint64_t>(destination)).Below(kDestinationBits);
+  return 1U << decision::Random(static_cast<std::uint64_t>(destination)).UniformBelow(kDestinationBits);
 }
 
 FaultKind FaultOf(Outcome outcome) {
--- a/tests/decision/endpoint_list_test.cpp
+++ b/tests/decision/endpoint_list_test.cpp
@@ -50,7 +50,8 @@
   EXPECT_EQ(Emitted<Log>().size(), 0U);
   RunUntil(now_ + 2);
   ASSERT_EQ(Emitted<Log>().size(), 1U);
-  EXPECT_EQ(Emitted<Log>()[0].text, "endpoint list not confirmed in time, the one held serves on");
+  EXPECT_EQ(Emitted<Log>()[0].text,
+            "endpoint list not confirmed in time; continuing with the last known list");
   Handle(ListConfirmed{});
   EndBatch();
   EXPECT_EQ(Emitted<Log>().size(), 2U);
