--- a/src/decision/recovery_budget.cpp
+++ b/src/decision/recovery_budget.cpp
@@ -38,7 +38,7 @@
       informed_share * settings.overload_factor * share * capacity * settings.overload_window;
   const double half_margin = kReservedDeviations / 2 * std::sqrt(1 - 1 / relays);
   const double sqrt_calls = std::sqrt(half_margin * half_margin + budget) - half_margin;
-  // Each relay spaces its own calls, which can leave a smaller margin.
+  // A relay spaces its own calls, so a smaller margin may be enough.
   const double spaced_calls = budget - kReservedDeviations / 2 * std::sqrt(relays - 1);
   return std::max(sqrt_calls * sqrt_calls, spaced_calls) / ((1 + kMaxTrialDelay) * settings.overload_window);
 }
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Many relays on one fake clock: the load of all of them together at an endpoint that each calls seldom.
+// Fleets of up to 300 relays on one fake clock: the load of all relays together on an endpoint that each
+// relay calls only rarely.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -11,16 +12,16 @@
 namespace {
 
 constexpr Seconds kTick = 0.01;
-constexpr Seconds kCall = 0.05;  // duration of a call
+constexpr Seconds kCallDuration = 0.05;  // how long a call takes
 
 class Fleet {
  public:
   struct Endpoint {
-    std::size_t connections = 1000;  // limit, idle ones included
-    double limit = 1e6;              // calls a second, rejected ones included
-    Seconds down_from = 0;           // refuses connections from here
-    Seconds down_to = 0;             // to here
-    bool gossip_is_lost = false;     // no datagram arrives
+    std::size_t connections = 1000;  // most that may be open, including idle ones
+    double limit = 1e6;              // calls a second, including rejected ones
+    Seconds down_from = 0;           // start of the time in which it refuses connections
+    Seconds down_to = 0;             // end of that time
+    bool gossip_is_lost = false;     // no gossip datagram arrives
   };
 
   Fleet(const Settings& settings, std::vector<ListedEndpoint> list, Endpoint endpoint)
@@ -33,7 +34,7 @@
     }
   }
 
-  // Idempotent requests come at `rate` a second to all relays together, each to any of them, until `end`.
+  // Runs until `end`. Idempotent requests arrive at `rate` a second, each at a random relay.
   void RunUntil(Seconds end, double rate) {
     std::exponential_distribution<double> gap(rate);
     std::uniform_int_distribution<std::size_t> any_relay(0, relays_.size() - 1);
@@ -68,7 +69,7 @@
   int rejected = 0;
   int gossip_sent = 0;
   int health_checks = 0;
-  std::vector<Seconds> since_return;  // arrival times of calls after the outage
+  std::vector<Seconds> calls_since_recovery;  // time from the end of the outage to each call after it
 
  private:
   struct Call {
@@ -105,7 +106,7 @@
     outcome.attempt = relay.attempts[send.request_id]++;
     outcome.endpoint = send.endpoint;
     outcome.outcome = Outcome::kServed;
-    outcome.duration = kCall;
+    outcome.duration = kCallDuration;
     bool connected = true;
     if (int& idle = relay.idle[send.endpoint]; idle > 0) {
       --idle;
@@ -123,9 +124,9 @@
       outcome.duration = kTick;
       if (std::exchange(connected, false)) --open_[send.endpoint];
     } else if (now_ >= endpoint_.down_to) {
-      since_return.push_back(now_ - endpoint_.down_to);
+      calls_since_recovery.push_back(now_ - endpoint_.down_to);
     }
-    // The calls of the last second, rejected ones included, are limited.
+    // The limit applies to all calls of the last second, including rejected ones.
     std::deque<Seconds>& arrivals = arrivals_[send.endpoint];
     if (connected) arrivals.push_back(now_);
     while (!arrivals.empty() && arrivals.front() <= now_ - 1) arrivals.pop_front();
@@ -173,8 +174,8 @@
   return s;
 }
 
-// An idle connection of each of a hundred relays would use up an endpoint's connections, so that most calls
-// find none, whatever the rate limit leaves.
+// If each of a hundred relays kept an idle connection, they would use up the endpoint's connections, and most
+// calls would find none even below the rate limit.
 TEST(FleetTest, IdleConnectionsOfALargeFleetDoNotExhaustAnEndpoint) {
   Fleet fleet(FleetSettings(100), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
   fleet.RunUntil(120, 40);
@@ -182,28 +183,28 @@
   EXPECT_GT(fleet.served, fleet.received * 9 / 10);
 }
 
-// With gossip, the first relay without a connection notifies the others. An endpoint with connections for all
-// keeps them, as each new one costs a handshake.
-TEST(FleetTest, NotifiedOfAConnectionShortageAllRelaysCloseIdleConnections) {
+// With gossip, the first relay that finds no connection notifies the others. Connections to an endpoint that
+// has enough of them stay open, as each new one costs a handshake.
+TEST(FleetTest, RelaysNotifiedOfAConnectionShortageCloseIdleConnections) {
   Settings s = FleetSettings(100);
   s.may_gossip = true;
-  Fleet full(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
-  full.RunUntil(120, 40);
-  EXPECT_LT(full.out_of_connections, full.calls / 20);
-  EXPECT_GT(full.served, full.received * 9 / 10);
-  Fleet large(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {200});
-  large.RunUntil(120, 40);
-  EXPECT_LT(large.handshakes, 150);
+  Fleet scarce(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {12});
+  scarce.RunUntil(120, 40);
+  EXPECT_LT(scarce.out_of_connections, scarce.calls / 20);
+  EXPECT_GT(scarce.served, scarce.received * 9 / 10);
+  Fleet ample(s, {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {200});
+  ample.RunUntil(120, 40);
+  EXPECT_LT(ample.handshakes, 150);
 }
 
-// The connections of three relays are no burden, and each new one costs a handshake.
+// The idle connections of three relays do no harm, and each new connection costs a handshake.
 TEST(FleetTest, ASmallFleetKeepsIdleConnections) {
   Fleet fleet(FleetSettings(3), {{1, 0, 0, 1, EndpointStatus::kInService, 60}}, {30});
   fleet.RunUntil(120, 40);
   EXPECT_LT(fleet.handshakes, fleet.calls / 20);
 }
 
-// The same requests cost endpoints about the same, whether three relays send them or a hundred.
+// The same requests cause about the same load on endpoints, whether three relays send them or a hundred.
 TEST(FleetTest, CostPerRequestDoesNotGrowWithTheFleet) {
   std::vector<ListedEndpoint> list;
   for (EndpointId id = 1; id <= 8; ++id) list.push_back({id, 0, 0, 1, EndpointStatus::kInService, 60});
@@ -214,7 +215,7 @@
     fleet.RunUntil(130, 150);
     const double each = 1 / (30.0 * 8);
     const auto text = std::to_string(relays) + ": calls " + std::to_string(fleet.calls * each) +
-                      ", handshakes " + std::to_string(fleet.handshakes * each) + ", refused " +
+                      ", handshakes " + std::to_string(fleet.handshakes * each) + ", rejected " +
                       std::to_string(fleet.rejected * each) + ", health checks " +
                       std::to_string(fleet.health_checks * each) + " a second and endpoint, connections " +
                       std::to_string(fleet.connections()) + ", datagrams " +
@@ -227,24 +228,25 @@
   }
 }
 
-// A limit of 40 calls a second that is listed as 60. Rejected calls use it up, so the fleet has to send less,
-// which takes a rejection for each relay unless the first one notifies the others.
+// The endpoint list says 60 calls a second, but the limit is 40. Rejected calls count against the limit, so
+// the fleet has to send less. Without gossip, each relay learns that only from a rejection of its own.
 TEST(FleetTest, OneRejectionNotifiesAllRelaysOfALowerLimit) {
   Settings s = FleetSettings(100);
   const std::vector<ListedEndpoint> list = {{1, 0, 0, 1, EndpointStatus::kInService, 60}};
-  Fleet silent(s, list, {1000, 40});
-  silent.RunUntil(130, 60);
+  Fleet without_gossip(s, list, {1000, 40});
+  without_gossip.RunUntil(130, 60);
   s.may_gossip = true;
-  Fleet gossiping(s, list, {1000, 40});
-  gossiping.RunUntil(130, 60);
-  EXPECT_LT(gossiping.rejected, silent.rejected * 2 / 3);
-  EXPECT_GT(gossiping.served, silent.served);
-  EXPECT_LE(gossiping.gossip_sent, 30 * 2.5);  // at most one in a fifth of the overload window
+  Fleet with_gossip(s, list, {1000, 40});
+  with_gossip.RunUntil(130, 60);
+  EXPECT_LT(with_gossip.rejected, without_gossip.rejected * 2 / 3);
+  EXPECT_GT(with_gossip.served, without_gossip.served);
+  EXPECT_LE(with_gossip.gossip_sent, 30 * 2.5);  // about one in a fifth of the overload window
 }
 
-// A route that is listed with 60 calls a second takes 30. An even share of 60 among 300 relays is a call in
-// 5 s. If relays never sent less than a call in the overload window, rejected calls would use the limit up.
-TEST(FleetTest, ALargeFleetFindsALimitBelowOneCallPerWindowAndRelay) {
+// The endpoint list says 60 calls a second, but the limit is 30. An even share of 60 among 300 relays is one
+// call in 5 s. If no relay sent less than one call in the overload window, rejected calls would use up the
+// limit.
+TEST(FleetTest, ALargeFleetAdaptsToALimitBelowOneCallPerWindowAndRelay) {
   Settings s = FleetSettings(300);
   s.may_gossip = true;
   s.overload_window = 2;
@@ -254,24 +256,24 @@
   EXPECT_GT(fleet.served, 40 * 30 / 4);
 }
 
-// Relays that are cut off from one another are rejected one by one, and each would notify all. Together they
-// keep to about one datagram in a fifth of the overload window and route.
-TEST(FleetTest, PartitionedRelaysKeepToTheGossipBudget) {
+// Relays that cannot reach one another are rejected one by one, and each would notify all others. Together
+// they send about one datagram per route in a fifth of the overload window.
+TEST(FleetTest, PartitionedRelaysStayWithinTheGossipBudget) {
   Settings s = FleetSettings(300);
   s.may_gossip = true;
   std::vector<ListedEndpoint> list;
   for (EndpointId id = 1; id <= 4; ++id) list.push_back({id, 0, 1, 1, EndpointStatus::kInService, 60});
-  Fleet cut_off(s, list, {1000, 30, 0, 0, true});
-  cut_off.RunUntil(130, 300);
+  Fleet partitioned(s, list, {1000, 30, 0, 0, true});
+  partitioned.RunUntil(130, 300);
   const double spans = 30 / (0.2 * s.overload_window);
-  EXPECT_GT(cut_off.rejected, 1000);
-  EXPECT_LE(cut_off.gossip_sent,
-            2 * 300 + static_cast<int>(spans * 4));  // two of each relay may have been saved
+  EXPECT_GT(partitioned.rejected, 1000);
+  // Each relay may send a burst of two.
+  EXPECT_LE(partitioned.gossip_sent, 2 * 300 + static_cast<int>(spans * 4));
 }
 
-// Requests wait at a hundred relays for a destination that is out for 6 s. The relay that finds its recovery
-// notifies the others, and all start slowly together, within the overload budget.
-TEST(FleetTest, NotifiedOfARecoveryAllRelaysStartSlowlyWithinTheBudget) {
+// Requests wait at a hundred relays for a destination that is down for 6 s. The relay that detects the
+// recovery notifies the others, and all of them begin slow start together, within the overload budget.
+TEST(FleetTest, RelaysNotifiedOfARecoveryStartSlowlyWithinTheBudget) {
   Settings s = FleetSettings(100);
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.may_hedge = false;
@@ -280,26 +282,29 @@
     s.may_gossip = notified;
     Fleet fleet(s, list, {1000, 1e6, 110, 116});
     fleet.RunUntil(126, 200);
-    return fleet.since_return;
+    return fleet.calls_since_recovery;
   };
-  const std::vector<Seconds> silent = calls_after(false), notified = calls_after(true);
+  const std::vector<Seconds> without_gossip = calls_after(false), notified = calls_after(true);
   const auto first = [](const std::vector<Seconds>& calls, Seconds until) {
     return std::lower_bound(calls.begin(), calls.end(), until) - calls.begin();
   };
-  EXPECT_GT(first(notified, 5), first(silent, 5) * 5 / 4);
+  EXPECT_GT(first(notified, 5), first(without_gossip, 5) * 5 / 4);
   for (auto last = notified.begin(); last != notified.end(); ++last) {
-    const double warm = s.slow_start_initial_share +
-                        (1 - s.slow_start_initial_share) * std::min(1.0, *last / s.slow_start_duration);
+    const double capacity_share =
+        s.slow_start_initial_share +
+        (1 - s.slow_start_initial_share) * std::min(1.0, *last / s.slow_start_duration);
     const auto from = std::lower_bound(notified.begin(), last, *last - s.overload_window);
-    EXPECT_LE(static_cast<double>(last - from + 1), s.overload_factor * warm * 300 * s.overload_window)
-        << "at " << *last << " s after the return";
+    EXPECT_LE(static_cast<double>(last - from + 1),
+              s.overload_factor * capacity_share * 300 * s.overload_window)
+        << "at " << *last << " s after the recovery";
   }
 }
 
-// Relays that start together with a cached list. Discovery answers one poll after another, each in `answer`
-// seconds, and refuses those that have waited for 2 s.
-struct FleetRestart {
-  FleetRestart(Settings s, Seconds answer, const std::vector<ListedEndpoint>& known) : answer_time(answer) {
+// Relays that start together with a cached endpoint list. Discovery answers one poll after another, each in
+// `answer_time` seconds, and rejects polls that have waited for 2 s.
+struct RestartedFleet {
+  RestartedFleet(Settings s, Seconds poll_time, const std::vector<ListedEndpoint>& known)
+      : answer_time(poll_time) {
     s.poll_endpoint_list = true;
     for (int i = 0; i < s.relay_count; ++i) {
       s.seed = static_cast<std::uint64_t>(i) + 1;
@@ -319,11 +324,12 @@
     }
   }
 
-  // Each request goes to any relay; `changes` is what discovery answers.
+  // Runs until `end`. Requests arrive at `rate` a second, each at a random relay; discovery answers polls
+  // with `changes`.
   void RunUntil(Seconds end, double rate, const std::vector<ListedEndpoint>& changes) {
     std::uniform_int_distribution<std::size_t> any_relay(0, relays.size() - 1);
     for (; now < end; now += kTick) {
-      for (due_requests += rate * kTick; due_requests >= 1; due_requests -= 1) {
+      for (pending_requests += rate * kTick; pending_requests >= 1; pending_requests -= 1) {
         TestRelay& relay = relays[any_relay(random)];
         Handle(relay, NewRequest{relay.next++, kIdempotentClass, {}, "", 20, 1});
       }
@@ -344,7 +350,7 @@
   }
 
   Seconds answer_time, now = 100, discovery_free_at = 0;
-  double due_requests = 0;
+  double pending_requests = 0;
   std::mt19937_64 random{5};
   std::deque<TestRelay> relays;
   std::deque<std::pair<Seconds, TestRelay*>> polls;
@@ -352,26 +358,28 @@
   std::vector<std::pair<Seconds, EndpointId>> sent;
 };
 
-// Discovery answers six polls a second. Polled by all at once, again and again, it would be idle in between.
+// Discovery answers six polls a second. If all relays polled at the same times, most polls would be rejected,
+// and discovery would be idle in between.
 TEST(FleetTest, RelaysStartedTogetherPollTheListSpreadOut) {
-  FleetRestart fleet(FleetSettings(100), 0.16, {{1, 0, 0, 1, EndpointStatus::kInService, 60}});
+  RestartedFleet fleet(FleetSettings(100), 0.16, {{1, 0, 0, 1, EndpointStatus::kInService, 60}});
   fleet.RunUntil(120, 0, {});
   EXPECT_GE(fleet.watching.size(), 95U);
 }
 
-// An endpoint begins to drain as 300 relays go down for 2 s. All relays count as notified 6 s later, and new
-// calls have to stop 2 s after that, whether a relay has polled or not: polls spread over 15 s would be late.
+// An endpoint begins to drain when 300 relays go down for 2 s. All relays count as notified 6 s after that,
+// and new calls have to stop 2 s later, whether a relay has polled or not. Polls spread over 15 s would come
+// too late.
 TEST(FleetTest, AfterARestartALargeFleetLearnsOfADrainInTime) {
   Settings s = FleetSettings(300);
   const ListedEndpoint stays{2, 0, 0, 1, EndpointStatus::kInService, 200};
   ListedEndpoint drains{1, 0, 0, 1, EndpointStatus::kInService, 200};
-  FleetRestart fleet(s, 0.01, {drains, stays});
+  RestartedFleet fleet(s, 0.01, {drains, stays});
   drains.status = EndpointStatus::kDraining;
   fleet.RunUntil(120, 150, {drains});
-  const auto is_late = [](const std::pair<Seconds, EndpointId>& send) {
+  const auto is_sent_late = [](const std::pair<Seconds, EndpointId>& send) {
     return send.second == 1 && send.first > 98 + 6 + 2;
   };
-  EXPECT_EQ(std::count_if(fleet.sent.begin(), fleet.sent.end(), is_late), 0);
+  EXPECT_EQ(std::count_if(fleet.sent.begin(), fleet.sent.end(), is_sent_late), 0);
   EXPECT_EQ(fleet.watching.size(), 300U);
 }
 
--- a/tests/decision/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -1,4 +1,5 @@
-// A long run of legal events, drawn from fixed seeds, with an independent check of the rules.
+// Feeds the router random valid events from fixed seeds, and checks its actions against the delivery rules
+// with a model of its own.
 #include <algorithm>
 #include <map>
 #include <random>
@@ -8,7 +9,7 @@
 namespace opalroute::decision {
 namespace {
 
-class LegalRunTest : public RouterTest, public ::testing::WithParamInterface<int> {
+class RandomEventsTest : public RouterTest, public ::testing::WithParamInterface<int> {
  protected:
   struct AttemptRecord {
     EndpointId endpoint;
@@ -17,7 +18,7 @@
     bool may_have_run;
     Seconds timeout_at;
   };
-  struct HeldRequest {
+  struct RequestRecord {
     int request_class;
     std::string key;
     DestinationId destination;
@@ -30,41 +31,44 @@
   static DestinationId DestinationOf(EndpointId id) { return id / 4; }
 
   void CheckSend(const Send& send) {
-    HeldRequest& request = requests_.at(send.request_id);
-    ASSERT_FALSE(request.ended) << "rule 1: sent after its end";
+    RequestRecord& request = requests_.at(send.request_id);
+    ASSERT_FALSE(request.ended) << "rule 1: sent after the request had ended";
     ASSERT_EQ(DestinationOf(send.endpoint), request.destination);
-    ASSERT_EQ(draining_.count(send.endpoint), 0U) << "rule 3";
-    ASSERT_GE(now_ + 1e-9, retry_after_[request.destination]) << "rule 5";
+    ASSERT_EQ(draining_.count(send.endpoint), 0U) << "rule 3: sent to a draining endpoint";
+    ASSERT_GE(now_ + 1e-9, retry_after_[request.destination])
+        << "rule 5: sent before the end of a Retry-After";
     for (const AttemptRecord& attempt : request.attempts) {
       if (!attempt.in_flight && !attempt.may_have_run) continue;
-      ASSERT_NE(request.request_class, kNonIdempotentClass) << "rule 2: an unsafe repeat";
+      ASSERT_NE(request.request_class, kNonIdempotentClass) << "rule 2: retried though it may have run";
       if (request.request_class == kDeduplicatedClass) {
-        ASSERT_EQ(ZoneOf(attempt.endpoint), ZoneOf(send.endpoint)) << "rule 2: out of the group";
-        ASSERT_LE(now_, attempt.sent + 8) << "rule 2: out of the window";
+        ASSERT_EQ(ZoneOf(attempt.endpoint), ZoneOf(send.endpoint)) << "rule 2: retried outside its zone";
+        ASSERT_LE(now_, attempt.sent + 8) << "rule 2: retried outside its deduplication window";
       }
     }
     if (request.request_class == kOrderedClass) {
       for (const RequestId id : key_queues_[request.key]) {
         if (id == send.request_id) break;
-        const HeldRequest& earlier = requests_.at(id);
+        const RequestRecord& earlier = requests_.at(id);
         const bool in_flight = std::any_of(earlier.attempts.begin(), earlier.attempts.end(),
                                            [](const AttemptRecord& attempt) { return attempt.in_flight; });
-        ASSERT_TRUE(earlier.ended && !in_flight) << "rule 6: out of turn";
+        ASSERT_TRUE(earlier.ended && !in_flight)
+            << "rule 6: sent before an earlier request of its key was over";
       }
-      ASSERT_TRUE(!request.attempts.empty() || now_ + 1e-9 >= key_pauses_[request.key]) << "rule 6: no rest";
+      ASSERT_TRUE(!request.attempts.empty() || now_ + 1e-9 >= key_paused_until_[request.key])
+          << "rule 6: sent during a pause of its key";
     }
     request.attempts.push_back(
         {send.endpoint, now_, true, false, send.timeout_at > 0 ? send.timeout_at : request.deadline});
   }
 
   void CheckEnd(RequestId id, bool rejected) {
-    HeldRequest& request = requests_.at(id);
-    ASSERT_FALSE(request.ended) << "rule 1: answered twice";
+    RequestRecord& request = requests_.at(id);
+    ASSERT_FALSE(request.ended) << "rule 1: ended twice";
     request.ended = true;
     if (!rejected || request.request_class == kIdempotentClass || request.request_class == kOrderedClass)
       return;
     for (const AttemptRecord& attempt : request.attempts)
-      ASSERT_FALSE(attempt.in_flight || attempt.may_have_run) << "rule 2: refused though it may have run";
+      ASSERT_FALSE(attempt.in_flight || attempt.may_have_run) << "rule 2: rejected though it may have run";
   }
 
   void CheckActions() {
@@ -76,18 +80,18 @@
       if (HasFatalFailure()) return;
     }
     for (const auto& [id, request] : requests_) {
-      ASSERT_TRUE(request.ended || now_ <= request.deadline + 0.02) << "rule 1: no answer in time";
+      ASSERT_TRUE(request.ended || now_ <= request.deadline + 0.02) << "rule 1: not ended by its deadline";
     }
   }
 
-  // Draws whether an attempt in flight comes to its outcome now.
-  void MaybeFinish(RequestId id, std::mt19937_64& draw) {
-    HeldRequest& request = requests_.at(id);
+  // Ends at most one attempt in flight of the request: at its timeout, or at random with a random outcome.
+  void MaybeEndAttempt(RequestId id, std::mt19937_64& random) {
+    RequestRecord& request = requests_.at(id);
     for (std::size_t i = 0; i < request.attempts.size(); ++i) {
       AttemptRecord& attempt = request.attempts[i];
       if (!attempt.in_flight) continue;
       const bool timed_out = now_ >= attempt.timeout_at - 1e-9;
-      if (!timed_out && draw() % 20 != 0) continue;
+      if (!timed_out && random() % 20 != 0) continue;
       static const std::vector<Outcome> kOutcomes = {
           Outcome::kServed, Outcome::kServed,   Outcome::kServed, Outcome::kServed,
           Outcome::kError,  Outcome::kRejected, Outcome::kReset,  Outcome::kConnectFailed};
@@ -96,14 +100,14 @@
       outcome.attempt = static_cast<int>(i);
       outcome.endpoint = attempt.endpoint;
       outcome.duration = now_ - attempt.sent;
-      outcome.outcome = timed_out ? Outcome::kTimeout : kOutcomes[draw() % kOutcomes.size()];
-      if (outcome.outcome == Outcome::kRejected && draw() % 2 == 0) outcome.retry_after = 0.3;
+      outcome.outcome = timed_out ? Outcome::kTimeout : kOutcomes[random() % kOutcomes.size()];
+      if (outcome.outcome == Outcome::kRejected && random() % 2 == 0) outcome.retry_after = 0.3;
       attempt.in_flight = false;
       attempt.may_have_run =
           outcome.outcome != Outcome::kRejected && outcome.outcome != Outcome::kConnectFailed;
       if (request.request_class == kOrderedClass &&
           (outcome.outcome == Outcome::kTimeout || outcome.outcome == Outcome::kReset)) {
-        key_pauses_[request.key] = now_ + 1.5;
+        key_paused_until_[request.key] = now_ + 1.5;
       }
       if (outcome.retry_after > 0)
         new_retry_after_.push_back({request.destination, now_ + outcome.retry_after});
@@ -114,17 +118,17 @@
     }
   }
 
-  std::map<RequestId, HeldRequest> requests_;
+  std::map<RequestId, RequestRecord> requests_;
   std::map<std::string, std::vector<RequestId>> key_queues_;
-  std::map<std::string, Seconds> key_pauses_;
+  std::map<std::string, Seconds> key_paused_until_;
   std::map<DestinationId, Seconds> retry_after_;
   std::vector<std::pair<DestinationId, Seconds>> new_retry_after_;
   std::map<EndpointId, Seconds> draining_;
   std::size_t checked_ = 0;
 };
 
-TEST_P(LegalRunTest, KeepsTheRulesAtEveryStep) {
-  std::mt19937_64 draw(static_cast<std::uint64_t>(GetParam()));
+TEST_P(RandomEventsTest, DeliveryRulesHoldAtEveryStep) {
+  std::mt19937_64 random(static_cast<std::uint64_t>(GetParam()));
   Settings s = TestSettings();
   s.may_hedge = GetParam() % 2 == 0;
   Start(s);
@@ -132,18 +136,18 @@
   for (EndpointId id = 4; id < 16; ++id) entries.push_back(MakeEndpoint(id, DestinationOf(id), ZoneOf(id)));
   UpdateList(entries);
   RequestId next = 1;
-  std::size_t answered = 0;
+  std::size_t ended_count = 0;
   for (int step = 0; step < 4000; ++step) {
     now_ += 0.01;
     for (const SetTimer& wake : Emitted<SetTimer>()) {
       if (wake.due <= now_ && wake.due > now_ - 0.01) Handle(TimerFired{wake.timer_id});
     }
-    if (step < 3000 && draw() % 4 == 0) {
-      const int request_class = static_cast<int>(draw() % 4);
-      const std::string key = request_class == kOrderedClass ? "k" + std::to_string(draw() % 3) : "";
-      const Seconds remaining_time = 1 + static_cast<double>(draw() % 80) / 10;
+    if (step < 3000 && random() % 4 == 0) {
+      const int request_class = static_cast<int>(random() % 4);
+      const std::string key = request_class == kOrderedClass ? "k" + std::to_string(random() % 3) : "";
+      const Seconds remaining_time = 1 + static_cast<double>(random() % 80) / 10;
       requests_[next] = {
-          request_class, key, static_cast<DestinationId>(1 + draw() % 3), now_ + remaining_time, {}};
+          request_class, key, static_cast<DestinationId>(1 + random() % 3), now_ + remaining_time, {}};
       if (!key.empty()) key_queues_[key].push_back(next);
       Receive(next, request_class, requests_[next].destination, key, remaining_time);
       ++next;
@@ -152,14 +156,14 @@
       UpdateList({MakeEndpoint(5, 1, 1, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
       draining_[5] = now_;
     }
-    for (RequestId id = next > 400 ? next - 400 : 1; id < next; ++id) MaybeFinish(id, draw);
+    for (RequestId id = next > 400 ? next - 400 : 1; id < next; ++id) MaybeEndAttempt(id, random);
     EndBatch();
     CheckActions();
     if (HasFatalFailure()) return;
     for (const auto& [destination, timeout_at] : new_retry_after_)
       retry_after_[destination] = std::max(retry_after_[destination], timeout_at);
     new_retry_after_.clear();
-    if (step % 500 == 499) {  // old timers need not be searched again
+    if (step % 500 == 499) {  // keeps the search for due timers short
       actions_.erase(std::remove_if(actions_.begin(), actions_.end(),
                                     [this](const Action& a) {
                                       const auto* wake = std::get_if<SetTimer>(&a);
@@ -169,12 +173,12 @@
       checked_ = actions_.size();
     }
   }
-  for (const auto& [id, request] : requests_) answered += request.ended ? 1 : 0;
+  for (const auto& [id, request] : requests_) ended_count += request.ended ? 1 : 0;
   EXPECT_GT(requests_.size(), 600U);
-  EXPECT_EQ(answered, requests_.size());
+  EXPECT_EQ(ended_count, requests_.size());
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, LegalRunTest, ::testing::Range(1, 7));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEventsTest, ::testing::Range(1, 7));
 
 }  // namespace
 }  // namespace opalroute::decision
--- a/tests/decision/load_balancer_test.cpp
+++ b/tests/decision/load_balancer_test.cpp
@@ -1,4 +1,4 @@
-// The choice of an endpoint among those that are ready.
+// The choice between the endpoints that are ready.
 #include <map>
 #include <set>
 
@@ -9,7 +9,7 @@
 
 class LoadBalancerTest : public StartedRouterTest {};
 
-TEST_F(LoadBalancerTest, FirstSendsSpreadOverEveryReadyEndpoint) {
+TEST_F(LoadBalancerTest, RequestsSpreadEvenlyOverReadyEndpoints) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 1)});
   ServeRequests(1, 300);
   std::map<EndpointId, int> sent;
@@ -18,7 +18,7 @@
   for (const auto& [endpoint, count] : sent) EXPECT_NEAR(count, 100, 40) << endpoint;
 }
 
-TEST_F(LoadBalancerTest, OneDrawServesABatch) {
+TEST_F(LoadBalancerTest, RequestsOfABatchShareAnEndpoint) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -8,7 +8,7 @@
 
 class RateLimiterTest : public StartedRouterTest {};
 
-TEST_F(RateLimiterTest, RetryAfterBindsTheWholeDestination) {
+TEST_F(RateLimiterTest, RetryAfterAppliesToTheWholeDestination) {
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 2)});
   Receive(1, kNonIdempotentClass);
   EndBatch();
@@ -24,7 +24,7 @@
   EXPECT_EQ(SendsFor(1).size() + SendsFor(2).size(), 3U);
 }
 
-TEST_F(RateLimiterTest, RetryAfterBindsOneEndpointWhereLimitsArePerEndpoint) {
+TEST_F(RateLimiterTest, RetryAfterAppliesToOneEndpointWhereLimitsArePerEndpoint) {
   UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 0, 1)});
   Receive(1, kNonIdempotentClass);
   EndBatch();
@@ -35,8 +35,8 @@
   EXPECT_NE(SendsFor(1)[1].endpoint, first);
 }
 
-// The rejections of a batch may have different Retry-Afters; all of them bind.
-TEST_F(RateLimiterTest, TheLongestRetryAfterOfABatchCounts) {
+// The rejections of a batch may have different Retry-Afters, and all of them apply.
+TEST_F(RateLimiterTest, TheLongestRetryAfterOfABatchApplies) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
@@ -71,12 +71,13 @@
     EndBatch();
     RunUntil(now_ + 0.05);
   }
-  EXPECT_LT(Emitted<Send>().size(), 45U);  // half an even share to two even shares: 2.5 to 10 a second
+  EXPECT_LT(Emitted<Send>().size(), 45U);  // from half an even share to two: 2.5 to 10 calls a second
   EXPECT_GT(Emitted<Send>().size(), 10U);
 }
 
-// An even share of a limit is a call in many seconds for each of hundreds of relays, most of them idle.
-TEST_F(RateLimiterTest, ARelayOfALargeFleetSendsItsFirstRequestsAtOnce) {
+// For each of hundreds of relays, most of them idle, an even share of the limit is one call in many seconds.
+// A relay must not wait that long for its first calls.
+TEST_F(RateLimiterTest, ARelayOfALargeFleetSendsItsFirstRequestsImmediately) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 400;
@@ -89,13 +90,14 @@
   Receive(2, kNonIdempotentClass);
   RunUntil(now_ + 0.2);
   EXPECT_EQ(SendsFor(2).size(), 1U);
-  EndAttempt(1, 0, 1, Outcome::kRejected);  // after a rejection, too, it does not wait for an even share
+  EndAttempt(1, 0, 1, Outcome::kRejected);  // nor does it wait that long after a rejection
   RunUntil(now_ + 7);
   EXPECT_EQ(SendsFor(1).size(), 2U);
 }
 
-// Dozens of relays that retry every second would overload a recovering route; none sees the others.
-TEST_F(RateLimiterTest, BackoffGrowsWithEachRejectionInARow) {
+// Dozens of relays, none of which sees the others' calls, would overload a recovering route if each retried
+// every second.
+TEST_F(RateLimiterTest, BackoffGrowsWithConsecutiveRejections) {
   Settings s = TestSettings();
   s.listed_rate_accuracy = ListedRateAccuracy::kExact;
   s.relay_count = 80;
@@ -113,12 +115,12 @@
     }
     RunUntil(now_ + 0.01);
   }
-  EXPECT_GE(sent.size(), 2U);  // one or two after the first
+  EXPECT_GE(sent.size(), 2U);  // one to three after the first
   EXPECT_LE(sent.size(), 4U);
 }
 
-// Once two of three relays have left, the third one's share grows, and with it the send rate that it regains
-// after a rejection.
+// After two of three relays have left, the third one's share of the limit is larger, and so is the send rate
+// that it regains after a rejection.
 TEST_F(RateLimiterTest, TheShareOfALimitFollowsTheFleetSize) {
   std::vector<std::size_t> sent;
   for (const double share_count : {3.0, 1.0}) {
--- a/tests/decision/recovery_test.cpp
+++ b/tests/decision/recovery_test.cpp
@@ -1,4 +1,4 @@
-// Requests of an earlier process, the time before a shutdown, and sends that have not left yet.
+// Requests recovered from an earlier process, sends before a shutdown, and sends that wait for a connection.
 #include "tests/decision/fixture.h"
 
 namespace opalroute::decision {
@@ -21,8 +21,8 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-// The call that was in flight when the process ended may have run; a second one could double its effect.
-TEST_F(RecoveryTest, ANonIdempotentRequestThatMayHaveRunFailsAtOnce) {
+// The call that was in flight when the process ended may have run, and a second call could double its effect.
+TEST_F(RecoveryTest, ANonIdempotentRequestThatMayHaveRunFailsImmediately) {
   Recover(kNonIdempotentClass, {{1, 0, 1, true}});
   EXPECT_TRUE(SendsFor(1).empty());
   EXPECT_TRUE(Emitted<Reject>().empty());
@@ -34,7 +34,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-// The zone and the deduplication window are those of the first attempt that may have run.
+// Retries are bound to the zone and the deduplication window of the first attempt that may have run.
 TEST_F(RecoveryTest, ADeduplicatedRequestStaysInItsZoneAndWindow) {
   for (int i = 0; i < 20; ++i) {
     SetUp();
@@ -48,7 +48,7 @@
   EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
 
-TEST_F(RecoveryTest, EarlierAttemptsCount) {
+TEST_F(RecoveryTest, EarlierAttemptsCountAgainstTheMaximum) {
   Recover(kIdempotentClass, std::vector<EarlierAttempt>(6, {1, 0, 1, true}));
   EXPECT_TRUE(SendsFor(1).empty());
   EXPECT_EQ(Emitted<Reject>().size(), 1U);
@@ -60,8 +60,8 @@
   EXPECT_EQ(Emitted<Reject>().size(), 1U);
 }
 
-// A call that cannot come back before the process ends would be cut off.
-TEST_F(RecoveryTest, BeforeAShutdownOnlyCallsThatCanComeBackAreSent) {
+// A call that is not over when the process ends would be cut off.
+TEST_F(RecoveryTest, BeforeAShutdownOnlyCallsThatCanFinishAreSent) {
   Receive(1, kIdempotentClass);
   EndBatch();
   now_ += 0.5;
@@ -76,8 +76,8 @@
   EXPECT_TRUE(SendsFor(3).empty());
 }
 
-// A Retry-After or a drain that comes while a call waits for its connection binds that call.
-TEST_F(RecoveryTest, RetryAfterOrADrainStopsASendThatHasNotLeft) {
+// A Retry-After or a drain that arrives while a call waits for its connection applies to that call.
+TEST_F(RecoveryTest, RetryAfterOrADrainStopsAWaitingSend) {
   EXPECT_TRUE(router_->MaySend(now_, 1));
   EXPECT_FALSE(router_->MaySend(now_, 99));
   Receive(1, kIdempotentClass);
@@ -91,8 +91,8 @@
   EXPECT_TRUE(router_->MaySend(now_ + 2.1, 2));
 }
 
-// A destination whose last endpoint drains must not advise clients to come back at once.
-TEST_F(RecoveryTest, RetryAfterAdviceLeavesDrainingEndpointsOut) {
+// While the last endpoint of a destination drains, clients must not be advised to retry immediately.
+TEST_F(RecoveryTest, RetryAfterAdviceIgnoresDrainingEndpoints) {
   Settings settings = TestSettings();
   settings.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(settings);
@@ -103,8 +103,8 @@
   EXPECT_DOUBLE_EQ(Emitted<Reject>()[0].retry_after, settings.max_retry_after);
 }
 
-// A relay whose earlier processes left it nearly as many untried requests as it may hold. Each destination
-// has one endpoint, which takes one call at a time.
+// A relay that has recovered nearly as many requests as it may hold, none of them attempted yet. Each
+// destination has one endpoint, and one call may be in flight at a time.
 class RecoveryUnderLoadTest : public RouterTest {
  protected:
   static constexpr int kCapacity = 100;
@@ -130,7 +130,7 @@
     for (RequestId id = 1; id <= count; ++id) Recover(id);
     EndBatch();
   }
-  // They come one by one, each in a batch of its own.
+  // Receives the requests one by one, each in a batch of its own.
   void ReceiveMany(RequestId count) {
     for (RequestId id = kFirstNew; id < kFirstNew + count; ++id) {
       Receive(id, kNonIdempotentClass, DestinationOf(id));
@@ -145,7 +145,7 @@
   }
 };
 
-TEST_F(RecoveryUnderLoadTest, UntriedRequestsAreNotShedForNewOnes) {
+TEST_F(RecoveryUnderLoadTest, UnattemptedRequestsAreNotShedForNewOnes) {
   RecoverMany(97);
   EXPECT_EQ(GivenUp(1, kFirstNew), 0U);
   ReceiveMany(60);
@@ -153,20 +153,20 @@
   EXPECT_EQ(GivenUp(kFirstNew, kEndOfNew), 60U);
 }
 
-TEST_F(RecoveryUnderLoadTest, MoreUntriedRequestsThanCapacityAreAllHeld) {
+TEST_F(RecoveryUnderLoadTest, MoreUnattemptedRequestsThanCapacityAreAllHeld) {
   RecoverMany(2 * kCapacity);
   EXPECT_EQ(GivenUp(1, kFirstNew), 0U);
 }
 
-// Once a call was made for it, a request competes for its place like any other.
-TEST_F(RecoveryUnderLoadTest, TriedRequestsAreShed) {
+// After its first attempt, a recovered request may be shed like any other.
+TEST_F(RecoveryUnderLoadTest, AttemptedRequestsAreShed) {
   for (RequestId id = 1; id <= 97; ++id) Recover(id, {{99, 0, 1, false}});
   EndBatch();
   EXPECT_EQ(GivenUp(1, kFirstNew), 2U);
 }
 
 TEST_F(RecoveryUnderLoadTest, AShedRequestOfAnotherQueueMakesRoom) {
-  RecoverMany(90);  // the longest queues, which may not be shed
+  RecoverMany(90);  // these queues are the longest, but may not be shed
   Receive(kFirstNew, kNonIdempotentClass, kDestinationCount + 1);
   for (RequestId id = kFirstNew + 1; id <= kFirstNew + 6; ++id)
     Receive(id, kNonIdempotentClass, kDestinationCount + 2);
@@ -177,7 +177,7 @@
 
 class LocalShortageTest : public RouterTest {
  protected:
-  // No attempt of the request can leave for `duration`. Returns the number of Send actions.
+  // All attempts of the request end with a local shortage for `duration`. Returns the number of attempts.
   std::size_t SendDuringShortage(int request_class, int max_attempts, Seconds duration) {
     Settings settings = TestSettings();
     settings.max_attempts = max_attempts;
@@ -197,8 +197,8 @@
   }
 };
 
-// A short lack of sockets or disk space must not use up the attempts of a request.
-TEST_F(LocalShortageTest, ALocalShortageIsNoAttemptAndIsRetriedWithBackoff) {
+// A short lack of sockets or disk space must not use up a request's attempts.
+TEST_F(LocalShortageTest, ALocalShortageDoesNotCountAsAnAttemptAndIsRetriedWithBackoff) {
   for (const int request_class : {kIdempotentClass, kDeduplicatedClass, kNonIdempotentClass})
     for (const int max_attempts : {2, 12}) {
       const std::size_t attempts = SendDuringShortage(request_class, max_attempts, 2);
@@ -213,7 +213,7 @@
     }
 }
 
-TEST_F(LocalShortageTest, ALocalShortageSaysNothingOfTheEndpoint) {
+TEST_F(LocalShortageTest, ALocalShortageDoesNotCountAgainstTheEndpoint) {
   SendDuringShortage(kIdempotentClass, 12, 2);
   EndAttempt(1, static_cast<int>(SendsFor(1).size()) - 1, SendsFor(1).back().endpoint, Outcome::kServed);
   actions_.clear();
--- a/tests/decision/request_queue_test.cpp
+++ b/tests/decision/request_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait: deadlines, order by key, and priority.
+// Waiting requests: deadlines, ordering keys and priority.
 #include "tests/decision/fixture.h"
 
 namespace opalroute::decision {
@@ -16,7 +16,7 @@
   EXPECT_EQ(Emitted<Reject>().size(), 1U);
 }
 
-TEST_F(RequestQueueTest, ALateListStillServesAWaitingRequest) {
+TEST_F(RequestQueueTest, AWaitingRequestIsSentWhenTheListArrives) {
   UpdateList({});
   Receive(1, kIdempotentClass);
   EndBatch();
@@ -25,7 +25,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, AnAttemptInFlightIsAnsweredAtTheDeadline) {
+TEST_F(RequestQueueTest, ARequestInFlightFailsAtItsDeadline) {
   UpdateList({MakeEndpoint(1, 1)});
   Receive(1, kNonIdempotentClass, 1, "", 4);
   EndBatch();
@@ -35,7 +35,7 @@
   EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
 
-TEST_F(RequestQueueTest, RequestsOfOneKeyGoOneAtATimeInOrder) {
+TEST_F(RequestQueueTest, RequestsOfOneKeyAreSentOneAtATimeInOrder) {
   Settings s = TestSettings();
   s.may_hedge = false;
   Start(s);
@@ -52,13 +52,13 @@
   EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, AKeyPausesAfterAnAttemptThatMayStillRun) {
+TEST_F(RequestQueueTest, AKeyIsPausedAfterAnAttemptThatMayStillBeRunning) {
   Settings s = TestSettings();
   s.may_hedge = false;
   s.max_attempts = 1;
   Start(s);
   UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1)});
-  ServeRequests(11, 30);  // healthy endpoints: only the key delays the next request
+  ServeRequests(11, 30);  // makes the endpoints healthy, so that only the key delays the next request
   const Seconds start = now_;
   Receive(1, kOrderedClass, 1, "k");
   Receive(2, kOrderedClass, 1, "k");
@@ -71,7 +71,7 @@
   EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(RequestQueueTest, TheRequestOfGreaterWeightGoesFirst) {
+TEST_F(RequestQueueTest, TheRequestOfGreaterWeightIsSentFirst) {
   Settings s = TestSettings();
   s.concurrency_limit = 1;
   Start(s);
--- a/tests/decision/request_router_test.cpp
+++ b/tests/decision/request_router_test.cpp
@@ -1,4 +1,4 @@
-// The router as a whole.
+// Properties of the router as a whole: determinism, and events with unknown ids.
 #include <vector>
 
 #include "tests/decision/fixture.h"
@@ -9,17 +9,17 @@
 class RequestRouterTest : public StartedRouterTest {};
 
 TEST_F(RequestRouterTest, SameEventsGiveSameActions) {
-  const auto play = [this] {
+  const auto run = [this] {
     Start(TestSettings());
     now_ = 100;
     UpdateList({MakeEndpoint(1, 1), MakeEndpoint(2, 1), MakeEndpoint(3, 1)});
     ServeRequests(1, 50);
-    std::vector<EndpointId> drawn;
-    for (const Send& send : Emitted<Send>()) drawn.push_back(send.endpoint);
-    return drawn;
+    std::vector<EndpointId> endpoints;
+    for (const Send& send : Emitted<Send>()) endpoints.push_back(send.endpoint);
+    return endpoints;
   };
-  const auto first = play();
-  EXPECT_EQ(first, play());
+  const auto first = run();
+  EXPECT_EQ(first, run());
 }
 
 TEST_F(RequestRouterTest, UnknownOutcomesAbortsAndTimersAreIgnored) {
--- a/tests/decision/retry_policy_test.cpp
+++ b/tests/decision/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which requests are sent again, where to, and until when.
+// Which requests are retried, in which zone, and until when.
 #include <cmath>
 
 #include "tests/decision/fixture.h"
@@ -35,7 +35,7 @@
     EndBatch();
     const EndpointId first = SendsFor(id)[0].endpoint;
     EndAttempt(id, 0, first, Outcome::kError);
-    RunUntil(now_ + 1);  // an untried endpoint that fails is tried again after a backoff
+    RunUntil(now_ + 1);  // the first failure of an untried endpoint opens its circuit for a while
     const auto sends = SendsFor(id);
     ASSERT_EQ(sends.size(), 2U);
     EXPECT_EQ(first == 1, sends[1].endpoint == 1);
@@ -46,20 +46,21 @@
   }
 }
 
-TEST_F(RetryPolicyTest, ADeduplicatedRequestFailsAfterItsWindow) {
+TEST_F(RetryPolicyTest, ADeduplicatedRequestFailsAtTheEndOfItsWindow) {
   UpdateList({MakeEndpoint(1, 1, 0), MakeEndpoint(2, 1, 1)});
   Receive(1, kDeduplicatedClass);
   EndBatch();
   const EndpointId first = SendsFor(1)[0].endpoint;
   UpdateList({MakeEndpoint(first, 1, 0, 0, EndpointStatus::kDraining)}, ListScope::kChanges);
   EndAttempt(1, 0, first, Outcome::kReset);
-  RunUntil(107.1);  // a tenth of the window is reserved for transit, as no latency is known
+  RunUntil(107.1);  // a tenth of the window of 8 s is reserved for transit, as no latency is known
   EXPECT_EQ(Emitted<Fail>().size(), 0U);
   RunUntil(107.3);
   EXPECT_EQ(Emitted<Fail>().size(), 1U);
 }
 
-// The deduplication window binds the first byte of a retry; the call may wait for its connection until then.
+// The first byte of a retry has to be sent within the deduplication window. Until then the call may wait for
+// its connection.
 TEST_F(RetryPolicyTest, ARetryHasASendDeadline) {
   UpdateList({MakeEndpoint(1, 1)});
   for (const int request_class : {kIdempotentClass, kDeduplicatedClass}) {
@@ -74,7 +75,7 @@
     ASSERT_EQ(SendsFor(id).size(), 2U);
     const Seconds send_deadline = SendsFor(id)[1].send_deadline;
     EXPECT_EQ(send_deadline > 1e9, request_class == kIdempotentClass);
-    // Of the window of 8 s the usual latency is reserved for transit, at most a tenth.
+    // Of the window of 8 s, the mean latency is reserved for transit, but at most a tenth of the window.
     const Seconds transit = 0.1;
     EXPECT_TRUE(send_deadline > 1e9 || std::abs(send_deadline - first - 8 + transit) < 0.011)
         << send_deadline;
@@ -82,8 +83,8 @@
   }
 }
 
-// A new process knows no latency, and its retry may be in transit for longer than the first attempt was.
-TEST_F(RetryPolicyTest, ARetryReservesATenthOfItsWindowWhereNoLatencyIsKnown) {
+// A new process knows no latency, and its retry may take longer in transit than the first attempt did.
+TEST_F(RetryPolicyTest, ATenthOfTheWindowIsReservedForTransitWhereNoLatencyIsKnown) {
   UpdateList({MakeEndpoint(1, 1)});
   Receive(1, kDeduplicatedClass);
   EndBatch();
--- a/tests/decision/route_gossip_test.cpp
+++ b/tests/decision/route_gossip_test.cpp
@@ -1,4 +1,4 @@
-// The datagrams on upstream routes: their encoding, and what follows from one.
+// Gossip about upstream routes: the encoding of datagrams and their effect.
 #include "decision/route_gossip.h"
 
 #include <optional>
@@ -18,9 +18,10 @@
       ASSERT_TRUE(gossip);
       EXPECT_EQ(gossip->destination, destination);
       EXPECT_EQ(gossip->name_hash, name_hash);
-      for (std::size_t cut = 0; cut < bytes.size(); ++cut) {
-        const auto part = DecodeRouteGossip(bytes.substr(0, cut));
-        EXPECT_TRUE(!part || (name_hash != 0 && cut + 4 == bytes.size()));  // also a datagram
+      for (std::size_t length = 0; length < bytes.size(); ++length) {
+        const auto part = DecodeRouteGossip(bytes.substr(0, length));
+        // Without its hash, a datagram about an endpoint is a valid one about the destination.
+        EXPECT_TRUE(!part || (name_hash != 0 && length + 4 == bytes.size()));
       }
       EXPECT_FALSE(DecodeRouteGossip(bytes + "x"));
     }
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,5 @@
-// Slow start with many relays on one fake clock: what all of them send to a recovering destination.
+// Slow start of up to a thousand relays on one fake clock: the calls of all relays to a recovering
+// destination.
 #include <algorithm>
 #include <deque>
 #include <map>
@@ -10,16 +11,16 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kLimit = 10;      // calls a second that the destination takes from all relays
-constexpr Seconds kReturns = 140;  // the outage lasts from the start, at 100, until then
+constexpr double kLimit = 10;        // calls a second, from all relays
+constexpr Seconds kOutageEnd = 140;  // the outage lasts from the start of the test, at 100, until then
 constexpr Seconds kTick = 0.01;
 
 struct Outage {
   const char* name;
   int relays;
-  Outcome outcome;                   // of every call while it lasts
-  ListedRateAccuracy rate_accuracy;  // kNone: the limit is not known to anyone
-  bool is_steady;                    // else each relay gets one more request as the destination recovers
+  Outcome outcome;                   // of every call during the outage
+  ListedRateAccuracy rate_accuracy;  // kNone: no relay knows the limit
+  bool is_steady;                    // false: each relay gets one more request at the recovery
 };
 
 class SlowStartTest : public ::testing::TestWithParam<Outage> {
@@ -77,7 +78,7 @@
         Handle(*relay, outcome_event);
         Handle(*relay, BatchEnd{});
         if (!outcome_event.request_ended) informed_.insert(relay);
-        if (outcome_event.request_ended && refills_) Receive(*relay);
+        if (outcome_event.request_ended && refills_requests_) Receive(*relay);
       }
       for (TestRelay& relay : relays_) {
         const auto wake = relay.TakeDueTimer(now_);
@@ -88,74 +89,75 @@
     }
   }
 
-  // Calls that the destination may be sent in any overload window: overload_factor times its capacity at the
+  // Calls that the destination may be sent in an overload window: overload_factor times its capacity at the
   // end of the window.
-  static double Budget(const Settings& s, Seconds since_return) {
-    const double warm =
-        s.slow_start_initial_share + (1 - s.slow_start_initial_share) * since_return / s.slow_start_duration;
-    return s.overload_factor * warm * kLimit * s.overload_window;
+  static double Budget(const Settings& s, Seconds since_recovery) {
+    const double capacity_share = s.slow_start_initial_share +
+                                  (1 - s.slow_start_initial_share) * since_recovery / s.slow_start_duration;
+    return s.overload_factor * capacity_share * kLimit * s.overload_window;
   }
 
   Seconds now_ = 100;
   std::deque<TestRelay> relays_;
   std::multimap<Seconds, std::pair<TestRelay*, std::pair<RequestId, int>>> answers_;
   std::vector<Seconds> sent_;
-  std::vector<TestRelay*> senders_;  // of the calls
-  std::set<TestRelay*> informed_;    // saw a call fail or be rejected
-  bool refills_ = true;              // a served request is followed by the next
+  std::vector<TestRelay*> senders_;  // of the calls in sent_
+  std::set<TestRelay*> informed_;    // relays that saw a call fail or be rejected
+  bool refills_requests_ = true;     // a relay gets a new request when one is served
 };
 
-// All relays have seen the outage, so all their calls count against the budget.
-TEST_P(SlowStartTest, AllRelaysTogetherStayWithinTheBudgetAtARecovery) {
+// All relays have seen the outage, so all of their calls count against the budget.
+TEST_P(SlowStartTest, AllRelaysTogetherStayWithinTheBudgetAfterAnOutage) {
   const Settings s = FleetSettings(GetParam());
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
   for (TestRelay& relay : relays_)
     for (int i = 0; i < 3; ++i) Receive(relay);
-  RunUntil(kReturns, GetParam().outcome);
+  RunUntil(kOutageEnd, GetParam().outcome);
   const auto before = sent_.size();
   EXPECT_GE(before, relays_.size());  // each relay has seen the outage
   if (!GetParam().is_steady) {
     for (TestRelay& relay : relays_) Receive(relay);
   }
-  RunUntil(kReturns + s.slow_start_duration, Outcome::kServed);
+  RunUntil(kOutageEnd + s.slow_start_duration, Outcome::kServed);
   for (auto last = sent_.begin() + static_cast<std::ptrdiff_t>(before); last != sent_.end(); ++last) {
-    const Seconds from = std::max(kReturns, *last - s.overload_window);
+    const Seconds from = std::max(kOutageEnd, *last - s.overload_window);
     const auto first = std::lower_bound(sent_.begin(), sent_.end(), from);
-    EXPECT_LE(static_cast<double>(last - first + 1), Budget(s, *last - kReturns))
-        << "at " << *last - kReturns << " s after the return";
+    EXPECT_LE(static_cast<double>(last - first + 1), Budget(s, *last - kOutageEnd))
+        << "at " << *last - kOutageEnd << " s after the recovery";
   }
 }
 
-// Requests come at the rate of the limit, each to some relay, while the destination rejects or fails all. In
-// a window over the budget, relays that have seen the outage must send less than two thirds of the calls.
-TEST_P(SlowStartTest, RelaysThatMeetAnOutageOneByOneStayWithinTheBudget) {
+// Requests arrive at the rate of the limit, each at a random relay, while the destination rejects or fails
+// all calls. If a window exceeds the budget, relays that have seen the outage must have sent less than two
+// thirds of its calls.
+TEST_P(SlowStartTest, RelaysThatSeeAnOutageOneByOneStayWithinTheBudget) {
   Settings s = FleetSettings(GetParam());
   s.classes[kIdempotentClass].deadline = 15;
-  refills_ = false;
+  refills_requests_ = false;
   Start(s, s.listed_rate_accuracy == ListedRateAccuracy::kNone ? 0 : kLimit);
-  std::mt19937_64 draw(5);
+  std::mt19937_64 random(5);
   std::size_t before = 0;
-  std::set<TestRelay*> informed_before;  // saw the outage before the recovery
-  const Seconds returns = 120;
-  while (now_ < returns + s.slow_start_duration) {
-    TestRelay& relay = relays_[draw() % relays_.size()];
+  std::set<TestRelay*> informed_before;  // relays that saw the outage before the recovery
+  const Seconds outage_end = 120;
+  while (now_ < outage_end + s.slow_start_duration) {
+    TestRelay& relay = relays_[random() % relays_.size()];
     Receive(relay, 15);
-    RunUntil(now_ + 1 / kLimit, now_ < returns ? GetParam().outcome : Outcome::kServed);
-    if (now_ >= returns) continue;
+    RunUntil(now_ + 1 / kLimit, now_ < outage_end ? GetParam().outcome : Outcome::kServed);
+    if (now_ >= outage_end) continue;
     before = sent_.size();
     informed_before = informed_;
   }
   for (std::size_t last = before; last < sent_.size(); ++last) {
-    const Seconds from = std::max(returns, sent_[last] - s.overload_window);
+    const Seconds from = std::max(outage_end, sent_[last] - s.overload_window);
     double all = 0;
     double informed = 0;
     for (std::size_t i = last + 1; i-- > before && sent_[i] >= from;) {
       all += 1;
       informed += informed_before.count(senders_[i]) > 0 ? 1 : 0;
     }
-    const bool over = all > Budget(s, sent_[last] - returns);
+    const bool over = all > Budget(s, sent_[last] - outage_end);
     EXPECT_FALSE(over && informed >= 2 * all / 3)
-        << informed << " of " << all << " at " << sent_[last] - returns << " s after the return";
+        << informed << " of " << all << " at " << sent_[last] - outage_end << " s after the recovery";
   }
 }
 
--- a/tests/decision/state_transfer_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -1,4 +1,5 @@
-// State of routes: what a relay exports, and that state of other relays makes a relay only more careful.
+// State transfer: the state of routes that a relay exports, and the effect of state from other relays, which
+// must only make a relay more careful.
 #include <cmath>
 #include <random>
 
@@ -46,7 +47,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(StateTransferTest, ALongerRetryAfterOfItsOwnStays) {
+TEST_F(StateTransferTest, ALongerOwnRetryAfterIsKept) {
   StartWithTwoEndpoints();
   Receive(1, kIdempotentClass);
   EndBatch();
@@ -59,7 +60,7 @@
   EXPECT_EQ(SendsFor(1).size(), 1U);
 }
 
-TEST_F(StateTransferTest, ATransferredFailureIsTriedOnceAndThenStartedSlowly) {
+TEST_F(StateTransferTest, ATransferredFailureLeadsToOneTrialAndASlowStart) {
   StartWithTwoEndpoints(6);
   RouteState state = MakeState(1);
   state.failure_age = 1;
@@ -69,14 +70,15 @@
   ASSERT_EQ(Emitted<Send>().size(), 1U);  // the recovery trial
   const Send trial = Emitted<Send>()[0];
   EndAttempt(trial.request_id, 0, trial.endpoint, Outcome::kServed);
-  const Seconds back = now_;
-  RunUntil(back + 1);
+  const Seconds recovered_at = now_;
+  RunUntil(recovered_at + 1);
   EXPECT_LE(Emitted<Send>().size(), 3U);
   EXPECT_NEAR(*StateOf(1).recovery_age, 1, 0.02);
 }
 
-// A false report must not keep a healthy destination from traffic: a trial leaves within the overload window.
-TEST_F(StateTransferTest, AFalseTransferredFailureEndsByItself) {
+// A false report must not keep traffic from a healthy destination: a trial is sent within the overload
+// window.
+TEST_F(StateTransferTest, AFalseTransferredFailureIsClearedByATrial) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     Settings s = TestSettings();
     s.seed = seed;
@@ -86,14 +88,14 @@
     RouteState state = MakeState(1);
     state.failure_age = 0;
     Handle(TransferredState{{state}});
-    RunUntil(now_ + 5);  // no request at first: the trial that was due has lapsed
+    RunUntil(now_ + 5);  // without a request, the trial that was due is scheduled again
     Receive(1, kIdempotentClass);
     RunUntil(now_ + s.overload_window + 0.02);
     EXPECT_EQ(SendsFor(1).size(), 1U) << "seed " << seed;
   }
 }
 
-TEST_F(StateTransferTest, ALaterSuccessOfItsOwnOutweighsATransferredFailure) {
+TEST_F(StateTransferTest, ALaterOwnSuccessOverridesATransferredFailure) {
   StartWithTwoEndpoints();
   Receive(1, kIdempotentClass);
   EndBatch();
@@ -106,7 +108,7 @@
   EXPECT_EQ(SendsFor(2).size(), 1U);
 }
 
-TEST_F(StateTransferTest, TransferredAgesKeepGrowingOverSeveralRelays) {
+TEST_F(StateTransferTest, AgesKeepGrowingWhenTransferredAgain) {
   RouteState received = MakeState(1);
   received.failure_age = 5;
   received.hedging_disabled_age = 4;
@@ -130,7 +132,7 @@
   Handle(TransferredState{{state}});
   EXPECT_TRUE(router_->MaySend(now_, 1));
   EXPECT_FALSE(router_->MaySend(now_, 2));
-  state.endpoint = 0;  // the destination as a whole is no route here
+  state.endpoint = 0;  // these endpoints have routes of their own, so the destination has none
   Handle(TransferredState{{state}});
   EXPECT_TRUE(router_->MaySend(now_, 1));
   state.endpoint = 9;  // never listed
@@ -139,42 +141,42 @@
   EXPECT_EQ(ExportStates().size(), 2U);
 }
 
-TEST_F(StateTransferTest, StatesAreExportedInSlices) {
+TEST_F(StateTransferTest, StatesAreExportedInParts) {
   Start(TestSettings());
   std::vector<ListedEndpoint> entries;
   for (EndpointId id = 1; id <= 1000; ++id) entries.push_back(MakeEndpoint(id, id));
   UpdateList(entries);
   std::optional<DestinationId> from = std::numeric_limits<DestinationId>::min();
   std::size_t received = 0;
-  int slices = 0;
+  int parts = 0;
   while (from) {
     received += router_->ExportRouteStates(now_, from, 64).size();
-    ++slices;
+    ++parts;
   }
   EXPECT_EQ(received, 1000U);
-  EXPECT_EQ(slices, 16);
+  EXPECT_EQ(parts, 16);
 }
 
-// With any transferred state, true or false, no call leaves earlier than without it, and no more of them.
+// With any transferred state, true or false, no call is sent earlier than without it, and no additional one.
 class TransferredStateInvariantTest : public RouterTest, public ::testing::WithParamInterface<int> {};
 
-TEST_P(TransferredStateInvariantTest, TransferredStateNeverMakesMoreCallsLeave) {
-  std::mt19937 draw(static_cast<unsigned>(GetParam()));
-  const auto unit = [&] { return std::uniform_real_distribution<double>(0, 1)(draw); };
-  std::vector<Seconds> due;
-  for (int i = 0; i < 30; ++i) due.push_back(100 + 10 * unit());
+TEST_P(TransferredStateInvariantTest, TransferredStateNeverAddsOrAdvancesCalls) {
+  std::mt19937 random(static_cast<unsigned>(GetParam()));
+  const auto uniform = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
+  std::vector<Seconds> arrivals;
+  for (int i = 0; i < 30; ++i) arrivals.push_back(100 + 10 * uniform());
   RouteState state;
   state.destination = 1;
-  if (unit() < 0.4) state.retry_after = 3 * unit();
-  if (unit() < 0.4) state.failure_age = 30 * unit();
-  if (unit() < 0.4) state.recovery_age = 15 * unit();
-  if (unit() < 0.4) state.rejection_age = 5 * unit();
-  state.send_rate = 20 * unit();
-  if (unit() < 0.4) state.latency_age = 5 * unit();
-  state.latency = 100 * unit();
-  if (unit() < 0.4) state.hedging_disabled_age = 5 * unit();
+  if (uniform() < 0.4) state.retry_after = 3 * uniform();
+  if (uniform() < 0.4) state.failure_age = 30 * uniform();
+  if (uniform() < 0.4) state.recovery_age = 15 * uniform();
+  if (uniform() < 0.4) state.rejection_age = 5 * uniform();
+  state.send_rate = 20 * uniform();
+  if (uniform() < 0.4) state.latency_age = 5 * uniform();
+  state.latency = 100 * uniform();
+  if (uniform() < 0.4) state.hedging_disabled_age = 5 * uniform();
   std::vector<std::vector<Seconds>> sent(2);
-  for (int with = 0; with < 2; ++with) {
+  for (int variant = 0; variant < 2; ++variant) {
     Settings s = TestSettings();
     s.relay_count = 3;
     s.listed_rate_accuracy = ListedRateAccuracy::kExact;
@@ -182,13 +184,13 @@
     now_ = 100;
     Start(s);
     UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 10)});
-    if (with == 1) Handle(TransferredState{{state}});
+    if (variant == 1) Handle(TransferredState{{state}});
     std::vector<std::pair<Seconds, Send>> in_flight;
-    std::size_t seen = 0;
+    std::size_t handled = 0;
     RequestId next = 1;
     for (int tick = 0; tick < 1200; ++tick) {
-      for (const Seconds at : due)
-        if (at > now_ - 0.01 && at <= now_) Receive(next++, kIdempotentClass, 1, "", 20);
+      for (const Seconds arrival : arrivals)
+        if (arrival > now_ - 0.01 && arrival <= now_) Receive(next++, kIdempotentClass, 1, "", 20);
       for (std::size_t i = 0; i < in_flight.size();) {
         if (in_flight[i].first > now_) {
           ++i;
@@ -201,14 +203,14 @@
         if (wake.due > now_ - 0.01 && wake.due <= now_) Handle(TimerFired{wake.timer_id});
       EndBatch();
       const auto sends = Emitted<Send>();
-      for (; seen < sends.size(); ++seen) {
-        in_flight.emplace_back(now_ + 0.1, sends[seen]);
-        sent[static_cast<std::size_t>(with)].push_back(now_);
+      for (; handled < sends.size(); ++handled) {
+        in_flight.emplace_back(now_ + 0.1, sends[handled]);
+        sent[static_cast<std::size_t>(variant)].push_back(now_);
       }
       now_ += 0.01;
     }
   }
-  ASSERT_EQ(sent[0].size(), due.size());
+  ASSERT_EQ(sent[0].size(), arrivals.size());
   ASSERT_LE(sent[1].size(), sent[0].size());
   for (std::size_t i = 0; i < sent[1].size(); ++i) EXPECT_GE(sent[1][i], sent[0][i] - 1e-9) << "call " << i;
 }
--- a/tests/decision/zone_traffic_test.cpp
+++ b/tests/decision/zone_traffic_test.cpp
@@ -1,4 +1,4 @@
-// Zones that get a part of the traffic, or none.
+// Zones that get only a share of the traffic, or none.
 #include <algorithm>
 
 #include "tests/decision/fixture.h"
@@ -8,12 +8,12 @@
 
 class ZoneTrafficTest : public StartedRouterTest {};
 
-TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallWhereThereIsAnother) {
+TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallsIfAnotherZoneServes) {
   UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1), MakeEndpoint(3, 2, 1, 1)});
   Handle(ZoneTrafficShare{1, 0, false});
   ServeRequests(1, 40);
   for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 1U);
-  // The last zone of a destination stays in use, and so does a zone while the other one fails.
+  // The last zone of a destination stays in use, and a zone is used again while the other one fails.
   Receive(50, kNonIdempotentClass, 2);
   EndBatch();
   ASSERT_EQ(SendsFor(50).size(), 1U);
@@ -29,18 +29,18 @@
   EXPECT_EQ(SendsFor(70)[0].endpoint, 2U);
 }
 
-TEST_F(ZoneTrafficTest, AZonesShareOfTrafficIsDrawn) {
+TEST_F(ZoneTrafficTest, AZoneGetsItsShareOfTraffic) {
   UpdateList({MakeEndpoint(1, 1, 0), MakeEndpoint(2, 1, 1)});
   Handle(ZoneTrafficShare{1, 0.25, false});
   ServeRequests(1, 400);
-  int there = 0;
-  for (const Send& send : Emitted<Send>()) there += send.endpoint == 2;
-  EXPECT_GT(there, 20);  // one in eight: a quarter of an even half
-  EXPECT_LT(there, 90);
+  int calls_to_zone = 0;
+  for (const Send& send : Emitted<Send>()) calls_to_zone += send.endpoint == 2;
+  EXPECT_GT(calls_to_zone, 20);  // about one call in eight: a quarter of an even half
+  EXPECT_LT(calls_to_zone, 90);
 }
 
 // An evacuated zone does not take the traffic of a zone that is partly evacuated.
-TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallWhileAnotherIsBeingEvacuated) {
+TEST_F(ZoneTrafficTest, AnEvacuatedZoneGetsNoCallsWhileAnotherIsBeingEvacuated) {
   UpdateList({MakeEndpoint(1, 1, 0, 1), MakeEndpoint(2, 1, 1, 1)});
   Handle(ZoneTrafficShare{1, 0, false});
   Handle(ZoneTrafficShare{0, 0.5, false});
@@ -49,7 +49,7 @@
   for (const Send& send : Emitted<Send>()) EXPECT_EQ(send.endpoint, 1U);
 }
 
-TEST_F(ZoneTrafficTest, OnlyHealthCheckRelaysTryAnEvacuatedZone) {
+TEST_F(ZoneTrafficTest, OnlyHealthCheckRelaysCallAnEvacuatedZone) {
   for (const bool is_health_check_relay : {false, true}) {
     Settings s = TestSettings();
     s.relay_count = 30;
@@ -68,14 +68,14 @@
                    sends[0].endpoint == 2 ? Outcome::kConnectFailed : Outcome::kServed);
       ++id;
     }
-    int there = 0;
-    for (const Send& send : Emitted<Send>()) there += send.endpoint == 2;
-    EXPECT_EQ(there > 0, is_health_check_relay);
-    EXPECT_LT(there, 40);
+    int calls_to_zone = 0;
+    for (const Send& send : Emitted<Send>()) calls_to_zone += send.endpoint == 2;
+    EXPECT_EQ(calls_to_zone > 0, is_health_check_relay);
+    EXPECT_LT(calls_to_zone, 40);
   }
 }
 
-// All relays come back together, to endpoints that nobody has called in the meantime.
+// All relays return at the same time, to endpoints that none has called in the meantime.
 TEST_F(ZoneTrafficTest, AZoneStartsSlowlyAfterAnEvacuation) {
   Settings s = TestSettings();
   s.relay_count = 10;
@@ -88,14 +88,14 @@
   Handle(ZoneTrafficShare{1, 0.2, false});
   for (RequestId id = 1; id <= 100; ++id) Receive(id, kIdempotentClass);
   RunUntil(now_ + 3);
-  // A tenth of two thirds of overload_factor times a fifth of 20 calls a second in 3 s: 1.6, and one saved
-  // up.
+  // This relay's tenth of two thirds of overload_factor times a fifth of 20 calls a second, in 3 s: 1.6
+  // calls, and up to one token saved up.
   EXPECT_LE(Emitted<Send>().size(), 4U);
   EXPECT_GE(Emitted<Send>().size(), 1U);
 }
 
-// A zone that refuses new connections may still serve on old ones. A health-check relay that used those would
-// end the evacuation of a zone that nobody else can reach.
+// A zone that refuses new connections may still serve on open ones. If a health-check relay used those, it
+// would end the evacuation of a zone that no other relay can reach.
 TEST_F(ZoneTrafficTest, AnEvacuatedZoneKeepsNoIdleConnections) {
   Settings s = TestSettings();
   s.may_hedge = false;
@@ -116,12 +116,12 @@
   for (const Send& send : Emitted<Send>()) {
     if (send.endpoint != 2) continue;
     ++calls;
-    EXPECT_EQ(closed(2), 0);  // calls in flight are not cut
+    EXPECT_EQ(closed(2), 0);  // calls in flight are not interrupted
     EndAttempt(send.request_id, 0, 2, Outcome::kServed);
     EndBatch();
   }
-  const long before = closed(2);
-  EXPECT_GE(before, 1);
+  const long closed_before = closed(2);
+  EXPECT_GE(closed_before, 1);
   for (RequestId id = 10; id < 60; ++id) {  // each recovery trial opens a new connection
     Receive(id, kNonIdempotentClass);
     RunUntil(now_ + 0.2);
@@ -131,7 +131,7 @@
   long trials = -calls;
   for (const Send& send : Emitted<Send>()) trials += send.endpoint == 2;
   EXPECT_GT(trials, 0);
-  EXPECT_GE(closed(2) - before, trials);
+  EXPECT_GE(closed(2) - closed_before, trials);
   EXPECT_EQ(closed(1), 0);
 }
 
