--- a/src/decision/latency_estimator.h
+++ b/src/decision/latency_estimator.h
@@ -15,7 +15,7 @@
  public:
   LatencyEstimator(const DecisionContext& context, const EndpointTable& table);
 
-  // Adds the latency of a served call. For a batch, `latency` is scaled to a call with a single request.
+  // Adds the latency of a served call; the caller scales that of a batch to a call with a single request.
   void RecordServedCall(Endpoint& endpoint, Destination& destination, Seconds latency);
   // Takes over another relay's measurement if this relay has none.
   void Merge(LatencyAverage& average, Seconds latency, Seconds measured_at) const;
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -19,8 +19,8 @@
 // Owns the table of pairs, rebuilt whenever the set of ready endpoints has changed.
 class LoadBalancer {
  public:
-  // Picks a random pair of the `ready` endpoints, or one endpoint in `zone` unless that is kAnyZone. At least
-  // one ready endpoint must be in the zone.
+  // Picks a random pair of the `ready` endpoints. Picks a single one if only one is ready, or if the attempt
+  // is bound to `zone` (not kAnyZone), in which at least one endpoint must be ready.
   EndpointPair PickEndpoints(std::vector<Endpoint*> ready, int zone, Random& random);
   // Invalidates the table, which points to endpoints. Called when an endpoint of the destination is removed.
   void Clear() { ready_.clear(); }
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -21,7 +21,7 @@
  public:
   RetryPolicy(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
 
-  // The bounds that earlier attempts set, if they may have run; nothing if no further attempt is allowed.
+  // The bounds set by earlier attempts that may have run; nothing if no further attempt is allowed.
   std::optional<AttemptBounds> Bounds(const Request& request) const;
   // Whether another attempt may be made now.
   bool MayAttempt(const Request& request, const std::optional<AttemptBounds>& bounds) const;
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -1,4 +1,4 @@
-// The health of an upstream route: served, suspected to be out (recovery trials only), or in slow start.
+// The health of an upstream route: healthy, suspected to be out (recovery trials only), or in slow start.
 #pragma once
 
 #include "decision/context.h"
@@ -26,7 +26,7 @@
   void ScheduleFirstTrial(Seconds now, RecoveryBudget& budget);
   // `initial_tokens`: calls that may be sent immediately.
   void StartSlowStart(double initial_tokens, Seconds now);
-  // Puts a route that was not used into recovery, so that a slow start limits its calls.
+  // Puts a route that has been out of use into recovery, so that a slow start limits its calls.
   void RequireSlowStart() { in_recovery_ = true; }
   // How long until slow start allows the next call, at `rate` calls a second.
   Seconds TimeUntilSlowStartCall(double rate, Seconds now);
--- a/src/decision/upstream.cpp
+++ b/src/decision/upstream.cpp
@@ -2,9 +2,9 @@
 
 namespace opalroute::decision {
 
-void Endpoint::RecordOutcome(bool in_objective) {
+void Endpoint::RecordOutcome(bool within_objective) {
   untried = false;
-  latest_within_objective = in_objective;
+  latest_within_objective = within_objective;
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -1,4 +1,4 @@
-// Upstream routes, endpoints and destinations. Each combines parts that are owned by other modules.
+// Upstream routes, endpoints and destinations. Each combines parts whose state other modules own.
 #pragma once
 
 #include <cstdint>
@@ -46,7 +46,7 @@
   bool IsOutlier() const { return !circuit.IsClosed() || !latest_within_objective; }
   bool LooksIdle() const { return in_flight.empty() && (untried || latest_within_objective); }
   // Records whether the latest call was served within the latency objective, not late, rejected or failed.
-  void RecordOutcome(bool in_objective);
+  void RecordOutcome(bool within_objective);
 };
 
 // A group of endpoints that serve the same requests, and the requests that wait for them.
