--- a/src/decision/endpoint_list_lease.cpp
+++ b/src/decision/endpoint_list_lease.cpp
@@ -82,11 +82,11 @@
   return expired;
 }
 
-Seconds EndpointListLease::DrawSpreadDelay() { return spread_ * random_.Unit(); }
+Seconds EndpointListLease::DrawSpreadDelay() { return spread_ * random_.Uniform(); }
 
 Seconds EndpointListLease::DrawSpacing() {
   const Seconds spacing = std::max(term_after_move_ / kRenewalsPerTerm, spread_);
-  return spacing * (1 + kSpacingJitter * random_.Unit());
+  return spacing * (1 + kSpacingJitter * random_.Uniform());
 }
 
 }  // namespace opalroute::decision
