--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -183,7 +183,7 @@
   const std::size_t before = mallinfo2().uordblks;
   MergedEndpointSource pool(loop, config, settings, nobody);
   const double from = clock.Now();
-  while (pool.unanswered() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
+  while (pool.pending_names() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
   const std::size_t after = mallinfo2().uordblks;
   const double took = clock.Now() - from;
   long most = 0, all = 0;
@@ -206,7 +206,7 @@
   message.response = true;
   message.questions = {{NameOf("_api._tcp.example"), dns::Type::kSrv}};
   std::vector<SrvTarget> targets;
-  EndpointMerge merge(MergeOptions{});
+  EndpointMerge merge(EndpointMergeOptions{});
   EndpointListUpdate list;
   list.complete = true;
   for (int i = 0; dns::Encode(message).size() < 65'400; ++i) {
--- a/src/cli/pool_command.cpp
+++ b/src/cli/pool_command.cpp
@@ -39,8 +39,8 @@
   MergedEndpointSource source(loop, config, settings, listener);
   source.ApplyCached(known.value_or(EndpointListUpdate{true, true, {}}));
   const net::Seconds give_up_at = loop.Now() + kResolveTimeout;
-  while (source.unanswered() > 0 && loop.Now() < give_up_at) loop.RunOnce(kLongestWait);
-  return source.Print();
+  while (source.pending_names() > 0 && loop.Now() < give_up_at) loop.RunOnce(kLongestWait);
+  return source.ToJson();
 }
 
 std::string Dump(const ordered_json& value) {
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -8,14 +8,14 @@
 
 namespace opalroute {
 
-Discovery::Discovery(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits,
-                     Listener& listener)
+DiscoveryClient::DiscoveryClient(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits,
+                                 Listener& listener)
     : loop_(loop), address_(address), limits_(limits), listener_(listener) {}
 
-Discovery::~Discovery() { CloseAllBut(nullptr); }
+DiscoveryClient::~DiscoveryClient() { CloseWatchesExcept(nullptr); }
 
-void Discovery::Watch(bool on) {
-  if (!on) return CloseAllBut(nullptr);
+void DiscoveryClient::Watch(bool on) {
+  if (!on) return CloseWatchesExcept(nullptr);
   if (watches_.size() >= limits_.watch_tries) return;
   log::Info("endpoint_list_watch_opened", {{"at", net::FormatAddress(address_)},
                                            {"since", resume_from_.value_or(0)},
@@ -24,17 +24,17 @@
   watches_.push_back(std::make_unique<ListWatch>(loop_, address_, resume_from_, limits_, handler));
 }
 
-void Discovery::MoveTo(const sockaddr_in& address) {
-  CloseAllBut(nullptr);
+void DiscoveryClient::SetAddress(const sockaddr_in& address) {
+  CloseWatchesExcept(nullptr);
   address_ = address;
   resume_from_.reset();
 }
 
-// Closed watches are retired, not destroyed: one of them may be delivering its lines at this moment.
-void Discovery::CloseAllBut(const ListWatch* remaining) {
+// Retires closed watches instead of destroying them, as this may run inside a callback of one of them.
+void DiscoveryClient::CloseWatchesExcept(const ListWatch* kept) {
   std::vector<std::unique_ptr<ListWatch>> open;
   for (std::unique_ptr<ListWatch>& watch : watches_) {
-    if (watch.get() == remaining) {
+    if (watch.get() == kept) {
       open.push_back(std::move(watch));
       continue;
     }
@@ -42,53 +42,55 @@
     loop_.Retire(std::move(watch));
   }
   watches_ = std::move(open);
-  current_watch_ = remaining;
+  current_watch_ = kept;
 }
 
-// Whether a whole list is older than what was published. A replica that lags or a proxy that repeats answers
-// may send such lists again and again. If nothing newer arrives for Limits::list_renumbered_after, discovery
-// was set up anew and its generations start over.
-bool Discovery::IsStale(const EndpointListUpdate& complete_list) {
-  if (!newest_ || complete_list.generation >= *newest_) {
+// Returns whether a complete list is older than the newest one published. A lagging replica, or a proxy that
+// repeats responses, may send such lists repeatedly. If complete lists are still older after
+// Limits::list_renumbered_after, discovery is assumed to have restarted its generation numbers, and the list
+// becomes the newest one.
+bool DiscoveryClient::CheckStale(const EndpointListUpdate& complete_list) {
+  if (!newest_generation_ || complete_list.generation >= *newest_generation_) {
     stale_since_.reset();
     return false;
   }
   if (!stale_since_) stale_since_ = loop_.Now();
   if (loop_.Now() < *stale_since_ + limits_.list_renumbered_after) return true;
-  newest_ = complete_list.generation;
+  newest_generation_ = complete_list.generation;
   stale_since_.reset();
   return false;
 }
 
-void Discovery::LogOlderList(const EndpointListUpdate& update) const {
+void DiscoveryClient::LogOlderList(const EndpointListUpdate& update) const {
   log::Warn("endpoint_list_older", {{"generation", update.generation},
                                     {"current_generation", *generation_},
-                                    {"newest_generation", newest_.value_or(0)}});
+                                    {"newest_generation", newest_generation_.value_or(0)}});
 }
 
-// Changes that lead to an older list than the published one were published already: a replica lags, or an
-// answer was repeated on its way. They are ignored, and the next attempt asks for the whole list. That one
-// may be older too, where discovery was set up anew; the listener decides what a stale list must not undo.
-void Discovery::OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) {
+// Ignores changes to a generation older than the published one: they come from a lagging replica or a
+// repeated response and were published before. The next attempt then requests the complete list. An older
+// complete list is published, as discovery may have restarted its generation numbers; until that is assumed
+// it is marked as stale, and the listener decides what a stale list must not undo.
+void DiscoveryClient::OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) {
   const bool older = generation_ && update.generation < *generation_;
   EndpointListUpdate published = update;
-  published.stale = update.complete && IsStale(update);
+  published.stale = update.complete && CheckStale(update);
   if (older || published.stale) LogOlderList(update);
   if (older && !update.complete) return resume_from_.reset();
-  CloseAllBut(&watch);
+  CloseWatchesExcept(&watch);
   generation_ = resume_from_ = update.generation;
-  newest_ = std::max(newest_.value_or(update.generation), update.generation);
+  newest_generation_ = std::max(newest_generation_.value_or(update.generation), update.generation);
   listener_.OnEndpointList(published);
 }
 
-void Discovery::OnWatchHeartbeat(ListWatch& watch) {
+void DiscoveryClient::OnWatchHeartbeat(ListWatch& watch) {
   const bool has_list = &watch == current_watch_ || (generation_ && watch.since() == generation_);
   if (!has_list) return;
-  CloseAllBut(&watch);
+  CloseWatchesExcept(&watch);
   listener_.OnListConfirmed();
 }
 
-void Discovery::OnWatchEnd(ListWatch& watch, WatchEnd reason) {
+void DiscoveryClient::OnWatchEnded(ListWatch& watch, WatchEndReason reason) {
   log::Warn("endpoint_list_watch_failed", {{"why", NameOf(reason)},
                                            {"at", net::FormatAddress(address_)},
                                            {"current_generation", generation_.value_or(0)}});
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
-// The endpoint list from discovery over HTTP. Keeps one established watch; further attempts may run beside
-// it, and whichever delivers the list first replaces it.
+// Watches the endpoint list of the discovery service over HTTP. Keeps one established watch; further attempts
+// may run in parallel, and the first that delivers the list replaces it.
 #pragma once
 
 #include <netinet/in.h>
@@ -15,42 +15,42 @@
 
 namespace opalroute {
 
-class Discovery : public EndpointSource, private ListWatch::Handler {
+class DiscoveryClient : public EndpointSource, private ListWatch::Handler {
  public:
   // `loop`, `limits` and `listener` must outlive this object.
-  Discovery(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits, Listener& listener);
+  DiscoveryClient(net::EventLoop& loop, const sockaddr_in& address, const Limits& limits, Listener& listener);
 
-  ~Discovery() override;
+  ~DiscoveryClient() override;
 
-  // The relay has the list of this generation from an earlier process: watches ask for the changes since
-  // then.
-  void Resume(long long generation) { generation_ = resume_from_ = newest_ = generation; }
-  // Attempts beyond Limits::watch_tries are ignored while that many are under way.
+  // The relay already has the list of this generation from an earlier process: watches request only the
+  // changes since then.
+  void Resume(long long generation) { generation_ = resume_from_ = newest_generation_ = generation; }
+  // An attempt is ignored while Limits::watch_tries watches, the established one included, are open.
   void Watch(bool on) override;
 
-  // Discovery has another address from now on: watches and attempts at the old one end, and the next asks for
-  // the whole list, whose generations need not continue the old ones. The caller begins the next attempt.
-  void MoveTo(const sockaddr_in& address);
+  // Switches to another discovery address: closes all watches of the old one. The next watch, which the
+  // caller has to start, requests the complete list; its generations need not continue the old ones.
+  void SetAddress(const sockaddr_in& address);
 
  private:
   void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) override;
   void OnWatchHeartbeat(ListWatch& watch) override;
-  void OnWatchEnd(ListWatch& watch, WatchEnd reason) override;
+  void OnWatchEnded(ListWatch& watch, WatchEndReason reason) override;
 
-  void CloseAllBut(const ListWatch* remaining);
-  bool IsStale(const EndpointListUpdate& complete_list);
+  void CloseWatchesExcept(const ListWatch* kept);
+  bool CheckStale(const EndpointListUpdate& complete_list);
   void LogOlderList(const EndpointListUpdate& update) const;
 
   net::EventLoop& loop_;
   sockaddr_in address_;
   const Limits& limits_;
   Listener& listener_;
-  std::optional<long long> generation_;      // of the list that was published last
-  std::optional<long long> newest_;          // the newest ever published; its drains and removals bind
-  std::optional<net::Seconds> stale_since_;  // only older whole lists have arrived since then
-  std::optional<long long> resume_from_;     // the generation from which changes are asked for
-  std::vector<std::unique_ptr<ListWatch>> watches_;  // in the order in which they were opened
-  const ListWatch* current_watch_ = nullptr;         // the one of them that has delivered the list
+  std::optional<long long> generation_;              // of the list published last
+  std::optional<long long> newest_generation_;       // the newest ever published; older lists are stale
+  std::optional<net::Seconds> stale_since_;          // when the first of the current stale lists arrived
+  std::optional<long long> resume_from_;             // watches request the changes since this one
+  std::vector<std::unique_ptr<ListWatch>> watches_;  // in opening order
+  const ListWatch* current_watch_ = nullptr;         // the established one, which has delivered the list
 };
 
 }  // namespace opalroute
--- a/src/discovery/endpoint_list_parser.cpp
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -19,7 +19,7 @@
   record.id = config::Get<std::string>(row, "instanceId");
   record.status = config::Word(kLifecycles, row, "lifecycle");
   const auto address = net::ParseAddress(config::Get<std::string>(row, "hostPort"));
-  if (!address) throw config::FieldError("field 'hostPort' holds no address");
+  if (!address) throw config::FieldError("field 'hostPort' is not an address");
   record.address = *address;
   record.zone = config::Get<std::string>(row, "zone");
   record.kind = config::Get<std::string>(row, "machineType");
@@ -36,7 +36,7 @@
     update.generation = config::Get<long long>(list, "generation");
     update.complete = config::GetOr(list, "reset", false);
     const json& rows = config::Need(list, "instances");
-    if (!rows.is_array()) throw config::FieldError("field 'instances' is no array");
+    if (!rows.is_array()) throw config::FieldError("field 'instances' is not an array");
     for (const json& row : rows) update.endpoints.push_back(ParseRecord(row));
   } catch (const config::FieldError& error) {
     log::Warn("endpoint_list_unreadable", {{"why", error.what()}});
--- a/src/discovery/endpoint_list_parser.h
+++ b/src/discovery/endpoint_list_parser.h
@@ -1,5 +1,4 @@
-// Maps discovery's JSON form of the endpoint list to EndpointListUpdate. Its field names are used nowhere
-// else.
+// Converts discovery's JSON endpoint list to EndpointListUpdate. The JSON field names are used nowhere else.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,7 +8,8 @@
 
 namespace opalroute {
 
-// Reads a whole list or one line of changes. Returns nullopt, and logs the reason, if it has another form.
+// Parses a complete list or a set of changes. Logs the reason and returns nullopt if a field is missing or
+// invalid.
 std::optional<EndpointListUpdate> ParseEndpointList(const nlohmann::json& list);
 
 }  // namespace opalroute
--- a/src/discovery/endpoint_merge.cpp
+++ b/src/discovery/endpoint_merge.cpp
@@ -17,18 +17,18 @@
   return destinations_.try_emplace(id, id, options_).first->second;
 }
 
-void EndpointMerge::SetOwner(long long destination, const sockaddr_in& address) {
+void EndpointMerge::AddOwnAddress(long long destination, const sockaddr_in& address) {
   DestinationOf(destination).AddOwnAddress(address);
 }
 
-// An id that the list names for another destination now has left the one before.
-void EndpointMerge::LeavePreviousDestination(double now, const EndpointRecord& record,
-                                             std::set<long long>& touched) {
-  const auto [home, inserted] = destination_by_id_.emplace(record.id, record.destination);
-  if (!inserted && home->second != record.destination) {
-    DestinationOf(home->second).Withdraw(now, record.id);
-    touched.insert(home->second);
-    home->second = record.destination;
+// Withdraws an endpoint id from its previous destination if the list now assigns it to another one.
+void EndpointMerge::WithdrawFromPreviousDestination(double now, const EndpointRecord& record,
+                                                    std::set<long long>& affected) {
+  const auto [entry, inserted] = destination_by_id_.emplace(record.id, record.destination);
+  if (!inserted && entry->second != record.destination) {
+    DestinationOf(entry->second).Withdraw(now, record.id);
+    affected.insert(entry->second);
+    entry->second = record.destination;
   }
   if (record.status == Status::kRemoved) destination_by_id_.erase(record.id);
 }
@@ -38,26 +38,26 @@
   for (const EndpointRecord& record : list.endpoints) listed_ids[record.destination].insert(record.id);
   for (auto& [id, destination] : destinations_) {
     for (const std::string& list_id : destination.WithdrawUnlisted(now, listed_ids[id])) {
-      const auto home = destination_by_id_.find(list_id);
-      if (home != destination_by_id_.end() && home->second == id) destination_by_id_.erase(home);
+      const auto entry = destination_by_id_.find(list_id);
+      if (entry != destination_by_id_.end() && entry->second == id) destination_by_id_.erase(entry);
     }
   }
 }
 
 EndpointListUpdate EndpointMerge::OnList(double now, const EndpointListUpdate& update) {
-  std::set<long long> touched;
+  std::set<long long> affected;
   for (const EndpointRecord& record : update.endpoints) {
-    LeavePreviousDestination(now, record, touched);
+    WithdrawFromPreviousDestination(now, record, affected);
     DestinationOf(record.destination).ApplyRecord(now, record);
-    touched.insert(record.destination);
+    affected.insert(record.destination);
   }
   if (update.complete) {
     WithdrawUnlisted(now, update);
-    for (const auto& [id, destination] : destinations_) touched.insert(id);
+    for (const auto& [id, destination] : destinations_) affected.insert(id);
   }
   EndpointListUpdate changes;
-  for (const long long id : touched) {
-    DestinationOf(id).UpdateVerdicts(now, false);
+  for (const long long id : affected) {
+    DestinationOf(id).UpdateStatuses(now, false);
     PublishChanges(id, changes);
   }
   return update.complete ? PublishAll() : changes;
@@ -65,7 +65,7 @@
 
 EndpointListUpdate EndpointMerge::OnTargets(double now, long long destination,
                                             const std::vector<SrvTarget>& targets, bool complete) {
-  unowned_targets_ += DestinationOf(destination).ApplyTargets(now, targets, complete);
+  ignored_targets_ += DestinationOf(destination).ApplyTargets(now, targets, complete);
   EndpointListUpdate changes;
   PublishChanges(destination, changes);
   return changes;
@@ -85,7 +85,8 @@
   return changes;
 }
 
-// Appends what has changed of one destination since it was published last: removals, then the others by id.
+// Appends the changes to one destination since it was last published: removals first, then new and changed
+// endpoints, each ordered by id.
 void EndpointMerge::PublishChanges(long long id, EndpointListUpdate& changes) {
   const MergedDestination& destination = destinations_.at(id);
   Records& records = published_[id];
--- a/src/discovery/endpoint_merge.h
+++ b/src/discovery/endpoint_merge.h
@@ -1,7 +1,8 @@
-// Merges the endpoint list with DNS SRV and publishes what has changed. The list owns membership; SRV may
-// order, rate and drain what the list names, and adds only what the operators' file has as the destination's
-// own. The rule for one destination is in MergedDestination; docs/srv.md explains it, and a test plays each
-// row of its table. Pure: no I/O, and the clock is handed in.
+// Merges the endpoint list with DNS SRV records and publishes the changes. The list decides which endpoints
+// belong to a destination. SRV may order, rate and drain listed endpoints; it adds an endpoint only at an
+// address that the operator settings assign to the destination. MergedDestination implements the rules for
+// one destination; docs/srv.md explains them, and each row of tests/merge_table.txt is a test case of them.
+// Does no I/O; callers pass the time.
 #pragma once
 
 #include <map>
@@ -18,43 +19,45 @@
 
 class EndpointMerge {
  public:
-  explicit EndpointMerge(const MergeOptions& options) : options_(options) {}
+  explicit EndpointMerge(const EndpointMergeOptions& options) : options_(options) {}
   EndpointMerge(const EndpointMerge&) = delete;
   EndpointMerge& operator=(const EndpointMerge&) = delete;
 
-  // The operators' file has this address as the destination's own.
-  void SetOwner(long long destination, const sockaddr_in& address);
+  // The operator settings assign this address to the destination: SRV may add an endpoint there.
+  void AddOwnAddress(long long destination, const sockaddr_in& address);
 
-  // Each applies what a source says at `now`, in seconds, and returns what has changed of the merged set: all
-  // of it where a whole list has arrived.
+  // Each of these applies input that a source delivered at `now`, in seconds, and returns the changes to the
+  // merged set, or the complete merged set for a complete list.
   EndpointListUpdate OnList(double now, const EndpointListUpdate& update);
-  // An answer that names targets. Not complete: the addresses of some are not known, so nothing is drained.
+  // An answer that names targets. If not `complete`, addresses of some targets may be missing, so nothing is
+  // drained.
   EndpointListUpdate OnTargets(double now, long long destination, const std::vector<SrvTarget>& targets,
                                bool complete);
   // The answer is the target ".".
   EndpointListUpdate OnNotOffered(double now, long long destination);
-  // No such name, no such record, a failure or an answer that is too old: all stays as it was. Expired:
-  // earlier answers no longer count either.
+  // The query failed, the name or record does not exist, or the answer is stale: the last answer stays in
+  // effect. If `expired`, it no longer does.
   EndpointListUpdate OnNoAnswer(double now, long long destination, bool expired);
 
   std::vector<MergedEndpoint> Endpoints() const;  // by destination and id
-  // Targets ignored so far, as they are not the destination's own.
-  long unowned_targets() const { return unowned_targets_; }
+  // The number of targets ignored so far (MergedDestination::ApplyTargets).
+  long ignored_targets() const { return ignored_targets_; }
 
  private:
   using Records = std::map<std::string, EndpointRecord>;  // by id
 
   MergedDestination& DestinationOf(long long id);
-  void LeavePreviousDestination(double now, const EndpointRecord& record, std::set<long long>& touched);
+  void WithdrawFromPreviousDestination(double now, const EndpointRecord& record,
+                                       std::set<long long>& affected);
   void WithdrawUnlisted(double now, const EndpointListUpdate& list);
   void PublishChanges(long long id, EndpointListUpdate& changes);
   EndpointListUpdate PublishAll();
 
-  const MergeOptions options_;
+  const EndpointMergeOptions options_;
   std::map<long long, MergedDestination> destinations_;
-  std::map<long long, Records> published_;                        // by destination, as the relay has it
-  std::unordered_map<std::string, long long> destination_by_id_;  // by the list's id
-  long unowned_targets_ = 0;
+  std::map<long long, Records> published_;                        // by destination, as last published
+  std::unordered_map<std::string, long long> destination_by_id_;  // by id in the list
+  long ignored_targets_ = 0;
 };
 
 }  // namespace opalroute
--- a/src/discovery/endpoint_source.h
+++ b/src/discovery/endpoint_source.h
@@ -1,5 +1,5 @@
-// The endpoint list as the relay gets it, and the interface of whatever provides it: discovery over HTTP, or
-// the list merged with DNS SRV.
+// The endpoint list as the relay receives it, and the interface of its sources: the discovery service, or the
+// list merged with DNS SRV records.
 #pragma once
 
 #include <netinet/in.h>
@@ -9,7 +9,7 @@
 
 namespace opalroute {
 
-// One endpoint of a destination.
+// An endpoint of a destination, as a source describes it.
 struct EndpointRecord {
   enum class Status { kInService, kDraining, kRemoved };
 
@@ -19,17 +19,18 @@
   sockaddr_in address{};
   long long destination = 0;
   Status status = Status::kInService;
-  double weight = 0;  // the listed rating, requests a second; 0: none is listed
+  double weight = 0;  // rating, in requests per second; 0 if none is given
 };
 
-// The whole list, or what has changed of it.
+// A complete list, or changes to the previous one.
 struct EndpointListUpdate {
-  bool complete = false;  // the whole list: endpoints that it does not name are removed
-  bool from_list = true;  // false: another source has changed the set, and the list may not have arrived yet
+  bool complete = false;  // a complete list: endpoints that it does not name are removed
+  bool from_list = true;  // false: changed by another source, perhaps before any list arrived
   std::vector<EndpointRecord> endpoints;
-  // A whole list that is older than one published before: draining endpoints do not return to service by it.
+  // A complete list older than one published before. It must neither return draining endpoints to service nor
+  // restore removed ones.
   bool stale = false;
-  long long generation = 0;  // discovery's number of the list that this leads to; 0: none
+  long long generation = 0;  // discovery's number of the resulting list; 0 if it has none
 };
 
 class EndpointSource {
@@ -38,13 +39,13 @@
    public:
     virtual ~Listener() = default;
     virtual void OnEndpointList(const EndpointListUpdate& update) = 0;
-    virtual void OnListConfirmed() {}  // the watch reports that nothing has changed
-    virtual void OnWatchFailed() = 0;  // an attempt to watch has failed, or the watch has ended
+    virtual void OnListConfirmed() {}  // a heartbeat: the list has not changed
+    virtual void OnWatchFailed() = 0;  // an attempt failed, or the established watch ended
   };
 
   virtual ~EndpointSource() = default;
-  // On: begins one more attempt to watch the list; an established watch goes on until the attempt has
-  // delivered the list. Off: ends all watches and attempts.
+  // If `on`, starts another attempt to watch the list; an established watch stays open until the attempt has
+  // delivered the list. Otherwise closes all watches and attempts.
   virtual void Watch(bool on) = 0;
 };
 
--- a/src/discovery/endpoint_verdict.cpp
+++ b/src/discovery/endpoint_verdict.cpp
@@ -2,23 +2,23 @@
 
 namespace opalroute {
 
-const char* NameOf(Verdict verdict) {
-  switch (verdict) {
-    case Verdict::kList:
+const char* NameOf(StatusReason reason) {
+  switch (reason) {
+    case StatusReason::kList:
       return "list";
-    case Verdict::kListDraining:
+    case StatusReason::kListDraining:
       return "list drains";
-    case Verdict::kAdded:
+    case StatusReason::kAdded:
       return "srv, own";
-    case Verdict::kAbsent:
+    case StatusReason::kNotNamed:
       return "srv names others";
-    case Verdict::kStandby:
+    case StatusReason::kStandby:
       return "srv: standby";
-    case Verdict::kNotOffered:
+    case StatusReason::kNotOffered:
       return "srv: not offered";
-    case Verdict::kRetained:
+    case StatusReason::kRetained:
       return "held";
-    case Verdict::kReturning:
+    case StatusReason::kReturning:
       return "srv: returning";
   }
   return "";
--- a/src/discovery/endpoint_verdict.h
+++ b/src/discovery/endpoint_verdict.h
@@ -1,20 +1,20 @@
-// Why a merged endpoint is, or is not, in service.
+// The reason why a merged endpoint is or is not in service.
 #pragma once
 
 namespace opalroute {
 
-enum class Verdict {
-  kList,          // in service by the list, and SRV does not exclude it
-  kListDraining,  // the list drains it
-  kAdded,         // only SRV names it, and the operators' file has its address as the destination's own
-  kAbsent,        // SRV names others of this destination, and not this one
-  kStandby,       // SRV names others of a better priority
-  kNotOffered,    // SRV says that the service is not offered
-  kRetained,      // SRV excludes it, but too many would be drained at once, or the last one
-  kReturning      // SRV names it again, not yet for long enough
+enum class StatusReason {
+  kList,          // in service: listed, and not excluded by SRV
+  kListDraining,  // draining in the list
+  kAdded,         // in service: named by SRV only, at an address that the operator settings assign
+  kNotNamed,      // draining: SRV names other endpoints of the destination only
+  kStandby,       // draining: SRV names endpoints with a better priority
+  kNotOffered,    // draining: SRV says that the service is not offered
+  kRetained,      // in service: excluded by SRV, but the drain limit or the last-endpoint rule keeps it
+  kReturning      // draining: SRV names it again, but not yet for the return delay
 };
 
-// The text that operators are shown.
-const char* NameOf(Verdict verdict);
+// The text in the /pool page and in `opalroute pool`.
+const char* NameOf(StatusReason reason);
 
 }  // namespace opalroute
--- a/src/discovery/list_watch.cpp
+++ b/src/discovery/list_watch.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr char kBlanks[] = " \r\t\n";
+constexpr char kWhitespace[] = " \r\t\n";
 
-// Whether more text could make this an object.
-bool IsBeginningOfObject(const std::string& text) {
-  if (text[text.find_first_not_of(kBlanks)] != '{') return false;
+// Whether `text` is a JSON object or the beginning of one.
+bool IsObjectPrefix(const std::string& text) {
+  if (text[text.find_first_not_of(kWhitespace)] != '{') return false;
   try {
     return json::parse(text).is_object();
   } catch (const json::parse_error& error) {
-    return error.byte > text.size();  // all of it is the beginning of JSON
+    return error.byte > text.size();  // the error is at the end of the text: more could follow
   }
 }
 
@@ -30,22 +30,22 @@
 
 }  // namespace
 
-const char* NameOf(WatchEnd reason) {
+const char* NameOf(WatchEndReason reason) {
   switch (reason) {
-    case WatchEnd::kNotConnected:
+    case WatchEndReason::kNotConnected:
       return "no connection";
-    case WatchEnd::kTimedOut:
+    case WatchEndReason::kTimedOut:
       return "silent";
-    case WatchEnd::kUnreadableLine:
-      return "a line can't be read";
-    case WatchEnd::kNotHttp:
-      return "no HTTP answer";
-    case WatchEnd::kRejected:
+    case WatchEndReason::kUnreadableLine:
+      return "unreadable line";
+    case WatchEndReason::kNotHttp:
+      return "invalid HTTP response";
+    case WatchEndReason::kRejected:
       return "refused";
-    case WatchEnd::kAnswerComplete:
+    case WatchEndReason::kResponseEnded:
       return "ended";
-    case WatchEnd::kConnectionClosed:
-      return "connection ended";
+    case WatchEndReason::kConnectionClosed:
+      return "connection closed";
   }
   return "";
 }
@@ -61,7 +61,7 @@
       timer_(loop) {
   parser_.StreamTo([this](std::string_view chunk) { ReadChunk(chunk); });
   connection_ = net::Connection::Connect(loop_, address_, *this, limits_.head_bytes, limits_.head_bytes);
-  ExpectLine(connection_ ? limits_.list_time : 0);
+  StartLineTimeout(connection_ ? limits_.list_time : 0);
 }
 
 ListWatch::~ListWatch() { Close(); }
@@ -72,14 +72,14 @@
   loop_.Retire(std::move(connection_));
 }
 
-void ListWatch::ExpectLine(net::Seconds within) {
-  timer_.Start(loop_.Now() + within,
-               [this] { End(connection_ ? WatchEnd::kTimedOut : WatchEnd::kNotConnected); });
+void ListWatch::StartLineTimeout(net::Seconds timeout) {
+  timer_.Start(loop_.Now() + timeout,
+               [this] { End(connection_ ? WatchEndReason::kTimedOut : WatchEndReason::kNotConnected); });
 }
 
-void ListWatch::End(WatchEnd reason) {
+void ListWatch::End(WatchEndReason reason) {
   Close();
-  handler_.OnWatchEnd(*this, reason);
+  handler_.OnWatchEnded(*this, reason);
 }
 
 void ListWatch::OnOpen(net::Connection& connection) {
@@ -95,13 +95,13 @@
   }
   DeliverLines();
   if (!connection_) return;
-  if (unreadable_) return End(WatchEnd::kUnreadableLine);
-  if (parser_.failed()) return End(WatchEnd::kNotHttp);
-  if (parser_.head_done() && parser_.message().status != 200) return End(WatchEnd::kRejected);
-  if (parser_.done()) return End(WatchEnd::kAnswerComplete);
+  if (unreadable_) return End(WatchEndReason::kUnreadableLine);
+  if (parser_.failed()) return End(WatchEndReason::kNotHttp);
+  if (parser_.head_done() && parser_.message().status != 200) return End(WatchEndReason::kRejected);
+  if (parser_.done()) return End(WatchEndReason::kResponseEnded);
 }
 
-// The handler may close this watch at any line.
+// The handler may close this watch in any of these callbacks.
 void ListWatch::DeliverLines() {
   for (const Line& line : std::exchange(lines_, {})) {
     if (!connection_) return;
@@ -113,37 +113,37 @@
   }
 }
 
-void ListWatch::OnEnd(net::Connection&, net::Connection::End) { End(WatchEnd::kConnectionClosed); }
+void ListWatch::OnEnd(net::Connection&, net::Connection::End) { End(WatchEndReason::kConnectionClosed); }
 
-// Lines may be cut anywhere between chunks. An empty line or a complete object extends the time given for the
-// next one; an object that is never finished does not.
+// A line may be split across chunks at any byte. An empty line or a complete object restarts the line
+// timeout; lines of an unfinished object do not.
 void ListWatch::ReadChunk(std::string_view chunk) {
   if (parser_.message().status != 200) return;
   while (!chunk.empty() && !unreadable_) {
     const std::size_t end = chunk.find('\n');
-    text_.append(chunk.substr(0, end));
-    if (text_.size() > limits_.list_bytes) unreadable_ = true;
+    object_text_.append(chunk.substr(0, end));
+    if (object_text_.size() > limits_.list_bytes) unreadable_ = true;
     if (end == std::string_view::npos) return;
     chunk.remove_prefix(end + 1);
     ReadLine();
   }
 }
 
-// An object may be indented over several lines, so a line may or may not complete one.
+// An object may be indented over several lines, so a line need not complete one.
 void ListWatch::ReadLine() {
-  const std::size_t last = text_.find_last_not_of(kBlanks);
+  const std::size_t last = object_text_.find_last_not_of(kWhitespace);
   if (last == std::string::npos) return ReadCompleteLine(nullptr);
   json list;
-  if (text_[last] == '}') list = json::parse(text_, nullptr, false);
+  if (object_text_[last] == '}') list = json::parse(object_text_, nullptr, false);
   if (list.is_object()) return ReadCompleteLine(&list);
   CheckUnfinishedObject();
-  text_ += '\n';
+  object_text_ += '\n';
 }
 
-// `list`: the object of the line, null for a heartbeat.
+// `list` is the JSON object, or null for a heartbeat.
 void ListWatch::ReadCompleteLine(const json* list) {
-  ExpectLine(limits_.watch_silence);
-  text_.clear();
+  StartLineTimeout(limits_.watch_silence);
+  object_text_.clear();
   checked_bytes_ = 0;
   Line line;
   if (list != nullptr) line = ParseEndpointList(*list);
@@ -151,12 +151,13 @@
   if (!unreadable_) lines_.push_back(std::move(line));
 }
 
-// Parses the text only each time that it has doubled: parsing it at each line would cost its square.
+// Parses the text only when its size has doubled: parsing it at every line would take quadratic time.
 void ListWatch::CheckUnfinishedObject() {
-  if (text_.size() < 2 * checked_bytes_) return;
-  unreadable_ = !IsBeginningOfObject(text_);
-  checked_bytes_ = text_.size();
-  if (unreadable_) log::Warn("endpoint_list_unreadable", {{"bytes", text_.size()}, {"why", "no JSON"}});
+  if (object_text_.size() < 2 * checked_bytes_) return;
+  unreadable_ = !IsObjectPrefix(object_text_);
+  checked_bytes_ = object_text_.size();
+  if (unreadable_)
+    log::Warn("endpoint_list_unreadable", {{"bytes", object_text_.size()}, {"why", "invalid JSON"}});
 }
 
 }  // namespace opalroute
--- a/src/discovery/list_watch.h
+++ b/src/discovery/list_watch.h
@@ -1,5 +1,5 @@
-// One watch on the endpoint list: an HTTP request to discovery whose chunked answer stays open and carries a
-// JSON object for each change, and empty lines as heartbeats.
+// A watch on the endpoint list: an HTTP request to discovery whose chunked response stays open and carries a
+// JSON object for each update, and empty lines as heartbeats.
 #pragma once
 
 #include <memory>
@@ -17,17 +17,17 @@
 
 namespace opalroute {
 
-// Why a watch is of no use any more.
-enum class WatchEnd {
+// Why a watch has ended.
+enum class WatchEndReason {
   kNotConnected,      // the connection could not be opened
-  kTimedOut,          // no complete line in time
-  kUnreadableLine,    // a line that is no endpoint list
-  kNotHttp,           // the answer breaks HTTP or the bounds set for it
-  kRejected,          // another status than 200
-  kAnswerComplete,    // discovery has ended the answer
-  kConnectionClosed,  // the connection was closed or broke
+  kTimedOut,          // no update or heartbeat in time
+  kUnreadableLine,    // a line that is not an endpoint list
+  kNotHttp,           // the response is invalid or exceeds the HTTP limits
+  kRejected,          // a status other than 200
+  kResponseEnded,     // discovery has ended the response
+  kConnectionClosed,  // the connection was closed or failed
 };
-const char* NameOf(WatchEnd reason);
+const char* NameOf(WatchEndReason reason);
 
 class ListWatch : private net::Connection::Owner {
  public:
@@ -36,13 +36,13 @@
     virtual ~Handler() = default;
     virtual void OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) = 0;
     virtual void OnWatchHeartbeat(ListWatch& watch) = 0;
-    // Called once at most, and never after Close.
-    virtual void OnWatchEnd(ListWatch& watch, WatchEnd reason) = 0;
+    // Called at most once, and never after Close.
+    virtual void OnWatchEnded(ListWatch& watch, WatchEndReason reason) = 0;
   };
 
-  // Asks discovery at `address` for the changes after the generation `since`, or for the whole list. A
-  // failure to connect is reported by OnWatchEnd in a later round of the loop. `loop`, `limits` and `handler`
-  // must outlive the watch.
+  // Requests the changes after generation `since`, or the complete list without one, from discovery at
+  // `address`. OnWatchEnded reports a failure to connect, in a later iteration of the event loop. `loop`,
+  // `limits` and `handler` must outlive the watch.
   ListWatch(net::EventLoop& loop, const sockaddr_in& address, std::optional<long long> since,
             const Limits& limits, Handler& handler);
   ~ListWatch() override;
@@ -60,10 +60,10 @@
   void ReadCompleteLine(const nlohmann::json* list);
   void CheckUnfinishedObject();
   void DeliverLines();
-  void ExpectLine(net::Seconds within);
-  void End(WatchEnd reason);
+  void StartLineTimeout(net::Seconds within);
+  void End(WatchEndReason reason);
 
-  // A line of the answer: an update, or nothing for a heartbeat.
+  // An update, or nullopt for a heartbeat.
   using Line = std::optional<EndpointListUpdate>;
 
   net::EventLoop& loop_;
@@ -73,10 +73,10 @@
   Handler& handler_;
   std::unique_ptr<net::Connection> connection_;
   net::HttpParser parser_;
-  std::string text_;               // of an object that is not complete yet
-  std::size_t checked_bytes_ = 0;  // of `text_`: found to be the beginning of an object
-  std::vector<Line> lines_;        // read and not yet delivered
-  bool unreadable_ = false;        // a line can't be read
+  std::string object_text_;        // an object that is not complete yet
+  std::size_t checked_bytes_ = 0;  // size of `object_text_` at its latest check
+  std::vector<Line> lines_;        // not delivered yet
+  bool unreadable_ = false;        // a line is not an endpoint list or too long
   net::Timer timer_;
 };
 
--- a/src/discovery/merged_destination.cpp
+++ b/src/discovery/merged_destination.cpp
@@ -11,10 +11,11 @@
 
 using Status = EndpointRecord::Status;
 
-// RFC 2782 gives a weight of 0 'a very small chance' beside others: a tenth of the least other weight.
+// RFC 2782 gives targets with weight 0 "a very small chance of being selected" among others. They count as a
+// tenth of the smallest other weight.
 constexpr double kEffectiveZeroWeight = 0.1;
 
-// SRV's priorities are numbers of 16 bits.
+// Worse than any SRV priority, which has 16 bits.
 constexpr int kNoPriority = 1 << 16;
 
 double EffectiveWeight(const SrvTarget& target) {
@@ -23,7 +24,7 @@
 
 }  // namespace
 
-void MergedDestination::Endpoint::ForgetAnswers() {
+void MergedDestination::Endpoint::ResetAnswers() {
   target.reset();
   excluded_since = -1;
   included_since = -1;
@@ -48,9 +49,9 @@
   endpoints_.erase(it);
 }
 
-// The id that a listed endpoint has here. One that SRV named before the list did keeps the id of then, and
-// with it the Retry-After and the health that the relay has for it, until the list moves it to another
-// address.
+// Returns the id under which a listed endpoint is published. An endpoint that SRV added before the list named
+// it keeps its first id, so that the relay keeps its Retry-After and health, until the list moves it to
+// another address.
 std::string MergedDestination::ResolveId(const EndpointRecord& record) {
   const AddressKey key = KeyOf(record.address);
   const auto alias = aliases_.find(record.id);
@@ -75,7 +76,7 @@
   const std::string id = ResolveId(record);
   Endpoint& endpoint = endpoints_[id];
   const bool moved = !endpoint.record.id.empty() && KeyOf(endpoint.record.address) != KeyOf(record.address);
-  if (moved) endpoint.ForgetAnswers();  // they were about another address
+  if (moved) endpoint.ResetAnswers();  // they named the old address
   endpoint.record = record;
   endpoint.record.id = id;
   endpoint.added = false;
@@ -83,7 +84,7 @@
 
 std::vector<std::string> MergedDestination::WithdrawUnlisted(double now,
                                                              const std::set<std::string>& listed_ids) {
-  std::map<std::string, std::string> list_ids;  // by the id here
+  std::map<std::string, std::string> list_ids;  // by published id
   for (const auto& [list_id, id] : aliases_) list_ids[id] = list_id;
   std::vector<std::string> unlisted;
   for (const auto& [id, endpoint] : endpoints_) {
@@ -95,8 +96,7 @@
   return unlisted;
 }
 
-// ---- SRV
-// ---------------------------------------------------------------------------------------------------
+// ---- SRV answers -----------------------------------------------------------------------------------------
 
 bool MergedDestination::MayAdd(double now, AddressKey key) const {
   const auto tombstone = tombstones_.find(key);
@@ -111,24 +111,24 @@
   endpoint.record = {id, options_.added_zone, options_.added_kind, address, id_, Status::kInService, 0};
 }
 
-// Adds endpoints for targets that the list does not name. Returns the number of targets that may not be
-// added.
+// Adds endpoints for targets at own addresses that the list does not name. Returns the number of targets that
+// are neither listed nor allowed.
 long MergedDestination::AddOwnTargets(double now, const std::vector<SrvTarget>& targets) {
   std::map<AddressKey, const Endpoint*> known;
   for (const auto& [id, endpoint] : endpoints_) known[KeyOf(endpoint.record.address)] = &endpoint;
   long ignored = 0;
   for (const SrvTarget& target : targets) {
     const AddressKey key = KeyOf(target.address);
-    const auto there = known.find(key);
-    if (there != known.end() && !there->second->added) continue;
+    const auto existing = known.find(key);
+    if (existing != known.end() && !existing->second->added) continue;
     if (!MayAdd(now, key)) {
       ++ignored;
       continue;
     }
-    // Another host name at the same address is another machine, so the name is a part of the id.
+    // The id includes the host name: another name at the same address is a different machine.
     const std::string id = "srv/" + target.target + "/" + net::FormatAddress(target.address);
-    if (there != known.end() && there->second->record.id == id) continue;
-    if (there != known.end()) endpoints_.erase(there->second->record.id);
+    if (existing != known.end() && existing->second->record.id == id) continue;
+    if (existing != known.end()) endpoints_.erase(existing->second->record.id);
     AddEndpoint(now, id, target.address);
     known[key] = &endpoints_.at(id);
   }
@@ -143,8 +143,9 @@
   return best;
 }
 
-// Notes for each endpoint whether the answer includes or excludes it. Excluded: not named, named with a worse
-// priority than the best one in service, or the service is not offered at all.
+// Records for each endpoint whether the answer includes or excludes it. An endpoint is excluded if it is not
+// named, if its priority is worse than the best one in service, or if the service is not offered. Only a
+// complete answer excludes endpoints.
 void MergedDestination::ApplyAnswer(double now, bool complete) {
   const int best = BestPriority();
   for (auto& [id, endpoint] : endpoints_) {
@@ -164,8 +165,8 @@
 }
 
 long MergedDestination::ApplyTargets(double now, const std::vector<SrvTarget>& targets, bool complete) {
-  std::map<AddressKey, const SrvTarget*>
-      by_address;  // of several at one address, the one of the best priority
+  // If several targets share an address, the one with the best priority.
+  std::map<AddressKey, const SrvTarget*> by_address;
   for (const SrvTarget& target : targets) {
     const auto [it, inserted] = by_address.emplace(KeyOf(target.address), &target);
     if (!inserted && target.priority < it->second->priority) it->second = &target;
@@ -175,7 +176,7 @@
     const Endpoint& endpoint = entry.second;
     return by_address.count(KeyOf(endpoint.record.address)) > 0 && endpoint.ListedInService();
   });
-  // An answer that names none of the destination's endpoints is about something else.
+  // An answer that names no endpoint of the destination in service is likely wrong and counts as no answer.
   if (!names_one_in_service) {
     ApplyNoAnswer(now, false);
     return ignored;
@@ -190,7 +191,7 @@
     }
   }
   ApplyAnswer(now, complete);
-  UpdateVerdicts(now, complete);
+  UpdateStatuses(now, complete);
   return ignored;
 }
 
@@ -198,7 +199,7 @@
   not_offered_ = true;
   for (auto& [id, endpoint] : endpoints_) endpoint.target.reset();
   ApplyAnswer(now, true);
-  UpdateVerdicts(now, true);
+  UpdateStatuses(now, true);
 }
 
 void MergedDestination::ApplyNoAnswer(double now, bool expired) {
@@ -209,20 +210,20 @@
       return !entry.second.added && entry.second.ListedInService();
     });
     for (auto it = endpoints_.begin(); it != endpoints_.end();) {
-      it->second.ForgetAnswers();
+      it->second.ResetAnswers();
       it = it->second.added && any_listed ? endpoints_.erase(it) : std::next(it);
     }
   }
-  UpdateVerdicts(now, false);
+  UpdateStatuses(now, false);
 }
 
-// ---- verdicts
-// ----------------------------------------------------------------------------------------------
+// ---- status ----------------------------------------------------------------------------------------------
 
 bool MergedDestination::MayDrain(double now, std::size_t in_service) const {
   const auto recent = std::count_if(unconfirmed_drains_.begin(), unconfirmed_drains_.end(),
-                                    [&](double at) { return now - at < options_.removal_window; });
-  return static_cast<double>(recent + 1) <= options_.max_removed_share * static_cast<double>(in_service);
+                                    [&](double at) { return now - at < options_.drain_window; });
+  return static_cast<double>(recent + 1) <=
+         options_.max_unconfirmed_drain_share * static_cast<double>(in_service);
 }
 
 void MergedDestination::DrainExcluded(double now, std::size_t in_service) {
@@ -234,7 +235,7 @@
   }
 }
 
-// An endpoint that only SRV named is removed once the answers that no longer name it are confirmed.
+// Removes drained endpoints that only SRV had named, once their absence from the answers is confirmed.
 void MergedDestination::EraseExcludedAdditions() {
   for (auto it = endpoints_.begin(); it != endpoints_.end();) {
     const Endpoint& endpoint = it->second;
@@ -243,15 +244,16 @@
   }
 }
 
-// Whether confirmed answers say that the service is not offered.
-bool MergedDestination::IsClosed() const {
+// Whether confirmed answers say that the service is not offered. Only then may SRV drain every endpoint.
+bool MergedDestination::IsConfirmedNotOffered() const {
   return not_offered_ && std::all_of(endpoints_.begin(), endpoints_.end(), [](const auto& entry) {
            return entry.second.exclusion_confirmed || !entry.second.ListedInService();
          });
 }
 
-// Where SRV has drained all, returns those that its latest answer names, or all if it names none.
-void MergedDestination::KeepOneInService() {
+// If no endpoint is in service, ends the SRV drains of those that the latest answer names, or all SRV drains
+// if that is not enough.
+void MergedDestination::RestoreIfAllDrained() {
   for (const bool named_only : {true, false}) {
     const bool any_in_service = std::any_of(endpoints_.begin(), endpoints_.end(),
                                             [](const auto& entry) { return entry.second.InService(); });
@@ -262,42 +264,42 @@
   }
 }
 
-Verdict MergedDestination::VerdictOf(const Endpoint& endpoint) const {
+StatusReason MergedDestination::ReasonOf(const Endpoint& endpoint) const {
   const bool excluded = endpoint.excluded_since >= 0;
-  if (endpoint.record.status == Status::kDraining) return Verdict::kListDraining;
-  if (!endpoint.drained && excluded) return Verdict::kRetained;
-  if (!endpoint.drained) return endpoint.added ? Verdict::kAdded : Verdict::kList;
-  if (!excluded) return Verdict::kReturning;
-  if (not_offered_) return Verdict::kNotOffered;
-  return endpoint.target ? Verdict::kStandby : Verdict::kAbsent;
+  if (endpoint.record.status == Status::kDraining) return StatusReason::kListDraining;
+  if (!endpoint.drained && excluded) return StatusReason::kRetained;
+  if (!endpoint.drained) return endpoint.added ? StatusReason::kAdded : StatusReason::kList;
+  if (!excluded) return StatusReason::kReturning;
+  if (not_offered_) return StatusReason::kNotOffered;
+  return endpoint.target ? StatusReason::kStandby : StatusReason::kNotNamed;
 }
 
-void MergedDestination::UpdateVerdicts(double now, bool answered) {
-  // Endpoints that this answer has added do not raise the number that it may drain.
+void MergedDestination::UpdateStatuses(double now, bool answered) {
+  // Endpoints added by the current answer must not raise the number of endpoints that it may drain.
   const auto in_service = std::count_if(endpoints_.begin(), endpoints_.end(), [&](const auto& entry) {
     return entry.second.ListedInService() && entry.second.added_at < now;
   });
   unconfirmed_drains_.erase(std::remove_if(unconfirmed_drains_.begin(), unconfirmed_drains_.end(),
-                                           [&](double at) { return now - at >= options_.removal_window; }),
+                                           [&](double at) { return now - at >= options_.drain_window; }),
                             unconfirmed_drains_.end());
   if (answered) {
     DrainExcluded(now, static_cast<std::size_t>(in_service));
     EraseExcludedAdditions();
   }
-  if (!IsClosed()) KeepOneInService();
-  for (auto& [id, endpoint] : endpoints_) endpoint.verdict = VerdictOf(endpoint);
+  if (!IsConfirmedNotOffered()) RestoreIfAllDrained();
+  for (auto& [id, endpoint] : endpoints_) endpoint.reason = ReasonOf(endpoint);
 }
 
-// ---- what the relay gets
-// -----------------------------------------------------------------------------------
+// ---- published records -----------------------------------------------------------------------------------
 
 bool MergedDestination::IsRatedByWeight(const Endpoint& endpoint) const {
   return endpoint.target && endpoint.InService() &&
          options_.kinds_with_endpoint_limits.count(endpoint.record.kind) > 0;
 }
 
-// Where endpoints have limits of their own, SRV's weights divide the sum of the list's ratings among those
-// that it names: a rating of the list is in requests a second, a weight only a share of the whole.
+// For kinds whose limits apply per endpoint, divides the sum of the listed ratings among the endpoints that
+// SRV names, in proportion to their SRV weights. A listed rating is in requests per second; a weight is only
+// a relative share.
 double MergedDestination::RatingOf(const Endpoint& endpoint) const {
   if (!IsRatedByWeight(endpoint)) return endpoint.record.weight;
   double ratings = 0;
@@ -321,7 +323,7 @@
   std::vector<MergedEndpoint> endpoints;
   endpoints.reserve(endpoints_.size());
   for (const auto& [id, endpoint] : endpoints_) {
-    endpoints.push_back({MergedRecord(endpoint), endpoint.verdict});
+    endpoints.push_back({MergedRecord(endpoint), endpoint.reason});
   }
   return endpoints;
 }
--- a/src/discovery/merged_destination.h
+++ b/src/discovery/merged_destination.h
@@ -1,5 +1,5 @@
-// One destination's endpoints as the endpoint list and DNS SRV together give them, and whether each is in
-// service: the rule of docs/srv.md. Pure: no I/O, and the clock is handed in.
+// The endpoints of one destination, merged from the endpoint list and DNS SRV records, and whether each is in
+// service; docs/srv.md has the rules. Does no I/O; callers pass the time.
 #pragma once
 
 #include <cstdint>
@@ -16,50 +16,52 @@
 namespace opalroute {
 
 // Times in seconds.
-struct MergeOptions {
-  // The share of a destination's endpoints that unconfirmed answers may drain within `removal_window`.
-  double max_removed_share = 0.5;
-  double removal_window = 30;
-  double confirmation_delay = 2;  // an exclusion that a later answer repeats after this time is confirmed
-  double return_delay = 10;       // a drained endpoint returns once answers have named it for this time
-  double tombstone_time = 600;    // an address that the list has withdrawn is not added by SRV for this time
-  std::set<std::string> kinds_with_endpoint_limits;  // whose endpoints are rated by SRV's weights
+struct EndpointMergeOptions {
+  // The share of a destination's endpoints, not counting those that the list drains, that unconfirmed answers
+  // may drain within `drain_window`.
+  double max_unconfirmed_drain_share = 0.5;
+  double drain_window = 30;
+  double confirmation_delay = 2;  // an exclusion is confirmed once a later answer repeats it after this time
+  double return_delay = 10;       // a drained endpoint returns once answers have included it for this time
+  double tombstone_time = 600;    // for which SRV must not add an address that the list has withdrawn
+  std::set<std::string> kinds_with_endpoint_limits;  // SRV weights rate their endpoints
   std::string added_zone;                            // of endpoints that only SRV names
   std::string added_kind;
 };
 
 struct MergedEndpoint {
-  EndpointRecord endpoint;  // as the relay gets it
-  Verdict verdict{};
+  EndpointRecord endpoint;  // as published to the relay
+  StatusReason reason{};
 };
 
 class MergedDestination {
  public:
   // `options` must outlive this object.
-  MergedDestination(long long id, const MergeOptions& options) : id_(id), options_(options) {}
+  MergedDestination(long long id, const EndpointMergeOptions& options) : id_(id), options_(options) {}
 
-  // The operators' file has this address as the destination's own: SRV may add an endpoint there.
+  // The operator settings assign this address to the destination: SRV may add an endpoint there.
   void AddOwnAddress(const sockaddr_in& address);
 
-  // The list names an endpoint, or removes it. UpdateVerdicts has to follow.
+  // Applies a record of the list: adds, updates or removes an endpoint. Must be followed by UpdateStatuses.
   void ApplyRecord(double now, const EndpointRecord& record);
-  // The list removes an endpoint. UpdateVerdicts has to follow.
+  // Removes an endpoint that the list no longer has. Must be followed by UpdateStatuses.
   void Withdraw(double now, const std::string& list_id);
-  // A whole list names only these: withdraws the others and returns their ids in the list. UpdateVerdicts has
-  // to follow.
+  // Withdraws the listed endpoints that a complete list no longer names, and returns their ids in the list.
+  // Must be followed by UpdateStatuses.
   std::vector<std::string> WithdrawUnlisted(double now, const std::set<std::string>& listed_ids);
 
-  // An answer that names targets. Not complete: the addresses of some are not known, so nothing is drained.
-  // Returns the number of targets that were ignored, as they are not the destination's own.
+  // An answer that names targets. If not `complete`, addresses of some targets may be missing, so nothing is
+  // drained. Returns the number of ignored targets: those that the list does not name and that may not be
+  // added, as their addresses are not own addresses or were withdrawn recently.
   long ApplyTargets(double now, const std::vector<SrvTarget>& targets, bool complete);
-  // The answer is the target ".": the service is decidedly not offered.
+  // The answer is the target ".": the service is not offered (RFC 2782).
   void ApplyNotOffered(double now);
-  // No such name, no such record, a failure or an answer that is too old: all stays as it was. Expired:
-  // earlier answers no longer count either.
+  // The query failed, the name or record does not exist, or the answer is stale: the last answer stays in
+  // effect. If `expired`, it no longer does.
   void ApplyNoAnswer(double now, bool expired);
 
-  // Decides who is in service. Only a complete answer of SRV (`answered`) drains anything.
-  void UpdateVerdicts(double now, bool answered);
+  // Decides which endpoints are in service. Drains endpoints only after a complete SRV answer (`answered`).
+  void UpdateStatuses(double now, bool answered);
 
   bool Contains(const std::string& id) const { return endpoints_.count(id) > 0; }
   std::vector<MergedEndpoint> Endpoints() const;  // by id
@@ -67,20 +69,20 @@
  private:
   using AddressKey = std::uint64_t;
   struct Endpoint {
-    EndpointRecord record;  // as its source has it, but with the id that it has here
-    bool added = false;     // by SRV, and the list has not named it
+    EndpointRecord record;  // from its source, but with the published id
+    bool added = false;     // by SRV; the list has not named it so far
     double added_at = -1;
-    std::optional<SrvTarget> target;  // that names it in the latest answer
-    // Since when all answers have excluded or included it; below 0: the latest one did not.
+    std::optional<SrvTarget> target;  // in the latest answer, if that names it
+    // When the current run of answers that exclude or include the endpoint began; below 0 outside such a run.
     double excluded_since = -1;
     double included_since = -1;
     bool exclusion_confirmed = false;
     bool drained = false;  // by SRV
-    Verdict verdict = Verdict::kList;
+    StatusReason reason = StatusReason::kList;
 
     bool ListedInService() const { return record.status == EndpointRecord::Status::kInService; }
     bool InService() const { return ListedInService() && !drained; }
-    void ForgetAnswers();
+    void ResetAnswers();
   };
 
   static AddressKey KeyOf(const sockaddr_in& address);
@@ -92,22 +94,22 @@
   int BestPriority() const;
   void DrainExcluded(double now, std::size_t in_service);
   void EraseExcludedAdditions();
-  void KeepOneInService();
+  void RestoreIfAllDrained();
   bool MayDrain(double now, std::size_t in_service) const;
-  bool IsClosed() const;
-  Verdict VerdictOf(const Endpoint& endpoint) const;
+  bool IsConfirmedNotOffered() const;
+  StatusReason ReasonOf(const Endpoint& endpoint) const;
   bool IsRatedByWeight(const Endpoint& endpoint) const;
   double RatingOf(const Endpoint& endpoint) const;
   EndpointRecord MergedRecord(const Endpoint& endpoint) const;
 
   const long long id_;
-  const MergeOptions& options_;
+  const EndpointMergeOptions& options_;
   bool not_offered_ = false;
   std::set<AddressKey> own_addresses_;
-  std::map<std::string, Endpoint> endpoints_;   // by the id that they have here
-  std::map<std::string, std::string> aliases_;  // the list's id to the one here, where they differ
-  std::map<AddressKey, double> tombstones_;     // withdrawn addresses, until
-  std::vector<double> unconfirmed_drains_;      // when, within the removal window
+  std::map<std::string, Endpoint> endpoints_;   // by published id
+  std::map<std::string, std::string> aliases_;  // id in the list to published id, where they differ
+  std::map<AddressKey, double> tombstones_;     // withdrawn addresses and when each may be added again
+  std::vector<double> unconfirmed_drains_;      // times within the drain window
 };
 
 }  // namespace opalroute
--- a/src/discovery/merged_endpoint_source.cpp
+++ b/src/discovery/merged_endpoint_source.cpp
@@ -20,8 +20,8 @@
   return limits;
 }
 
-MergeOptions MergeOptionsOf(const Config& config) {
-  MergeOptions options;
+EndpointMergeOptions EndpointMergeOptionsOf(const Config& config) {
+  EndpointMergeOptions options;
   for (std::size_t i = 0; i < config.kinds.size(); ++i) {
     if (config.settings.kinds[i].limits_per_endpoint) {
       options.kinds_with_endpoint_limits.insert(config.kinds[i]);
@@ -38,8 +38,8 @@
   return names;
 }
 
-// Query ids that can be guessed let anyone forge answers (RFC 5452), so they don't come from the configured
-// seed.
+// Predictable query ids let an attacker forge answers (RFC 5452), so the configured seed is not used for
+// them.
 std::uint64_t UnpredictableSeed() {
   std::random_device device;
   return static_cast<std::uint64_t>(device()) << 32 | device();
@@ -52,10 +52,10 @@
     : loop_(loop),
       limits_(LimitsOf(config, settings.dns)),
       listener_(listener),
-      merge_(MergeOptionsOf(config)),
+      merge_(EndpointMergeOptionsOf(config)),
       resolver_(loop, settings.dns.servers, limits_, UnpredictableSeed()),
       source_(loop, resolver_, limits_, SrvNamesOf(settings), *this) {
-  for (const auto& [destination, address] : settings.srv_own) merge_.SetOwner(destination, address);
+  for (const auto& [destination, address] : settings.srv_own) merge_.AddOwnAddress(destination, address);
 }
 
 EndpointListUpdate MergedEndpointSource::ApplyCached(const EndpointListUpdate& list) {
@@ -78,13 +78,14 @@
 
 void MergedEndpointSource::OnTargets(long long destination, const std::vector<SrvTarget>& targets,
                                      bool complete) {
-  if (unanswered_.erase(destination) > 0) log::Info("srv_answered_again", {{"destination", destination}});
-  const long ignored_before = merge_.unowned_targets();
+  if (failures_.erase(destination) > 0) log::Info("srv_answered_again", {{"destination", destination}});
+  const long ignored_before = merge_.ignored_targets();
   EndpointListUpdate update = merge_.OnTargets(loop_.Now(), destination, targets, complete);
-  const long ignored = merge_.unowned_targets() - ignored_before;
+  const long ignored = merge_.ignored_targets() - ignored_before;
   if (ignored > 0) {
-    log::Debug("srv_targets_ignored",
-               {{"destination", destination}, {"targets", ignored}, {"why", "not the partner's own"}});
+    log::Debug(
+        "srv_targets_ignored",
+        {{"destination", destination}, {"targets", ignored}, {"why", "not assigned to the destination"}});
   }
   PublishFromSrv(std::move(update));
 }
@@ -95,14 +96,14 @@
 }
 
 void MergedEndpointSource::OnNoAnswer(long long destination, const char* reason, bool expired) {
-  // Logged once until the destination's name is answered again, not for every attempt.
-  if (unanswered_.emplace(destination, reason).second || expired) {
+  // Logs only the first failure until an answer names targets, and each expiry.
+  if (failures_.emplace(destination, reason).second || expired) {
     log::Warn("srv_unanswered", {{"destination", destination}, {"why", reason}, {"expired", expired}});
   }
   PublishFromSrv(merge_.OnNoAnswer(loop_.Now(), destination, expired));
 }
 
-ordered_json MergedEndpointSource::PrintEndpoints() const {
+ordered_json MergedEndpointSource::EndpointsToJson() const {
   ordered_json rows = ordered_json::array();
   for (const MergedEndpoint& merged : merge_.Endpoints()) {
     const EndpointRecord& record = merged.endpoint;
@@ -110,23 +111,23 @@
                     {"endpoint", record.id},
                     {"address", net::FormatAddress(record.address)},
                     {"in_service", record.status == EndpointRecord::Status::kInService},
-                    {"why", NameOf(merged.verdict)},
+                    {"why", NameOf(merged.reason)},
                     {"rating", record.weight}});
   }
   return rows;
 }
 
-ordered_json MergedEndpointSource::PrintUnanswered() const {
+ordered_json MergedEndpointSource::FailuresToJson() const {
   ordered_json reasons = ordered_json::object();
-  for (const auto& [destination, reason] : unanswered_) reasons[std::to_string(destination)] = reason;
+  for (const auto& [destination, reason] : failures_) reasons[std::to_string(destination)] = reason;
   return reasons;
 }
 
-ordered_json MergedEndpointSource::Print() const {
+ordered_json MergedEndpointSource::ToJson() const {
   const dns::ResolverCounters& counters = resolver_.counters();
-  return {{"members", PrintEndpoints()},
-          {"silent", PrintUnanswered()},
-          {"targets_passed_over", merge_.unowned_targets()},
+  return {{"members", EndpointsToJson()},
+          {"silent", FailuresToJson()},
+          {"targets_passed_over", merge_.ignored_targets()},
           {"dns",
            {{"queries", counters.queries},
             {"tcp", counters.tcp},
--- a/src/discovery/merged_endpoint_source.h
+++ b/src/discovery/merged_endpoint_source.h
@@ -1,5 +1,5 @@
-// Stands between the endpoint list's source and its listener, and merges DNS SRV into the list. The listener
-// sees one source.
+// Merges DNS SRV records into the endpoint list. Sits between the source of the list and its listener, which
+// sees a single source.
 #pragma once
 
 #include <map>
@@ -18,32 +18,33 @@
 
 class MergedEndpointSource : public EndpointSource::Listener, private SrvSource::Listener {
  public:
-  // Reports the merged set to `listener`, but never before this constructor returns. `loop` and `listener`
-  // must outlive this object. Throws std::invalid_argument if the settings name something that is no domain
-  // name.
+  // Starts the SRV queries. Reports the merged set to `listener`, but never before this constructor returns.
+  // `loop` and `listener` must outlive this object. Throws std::invalid_argument if an SRV name in the
+  // settings is not a valid domain name.
   MergedEndpointSource(net::EventLoop& loop, const Config& config, const Operator& settings,
                        EndpointSource::Listener& listener);
 
-  // Applies the list that an earlier process or the configuration has left. Returns the merged set, and does
-  // not report it to the listener.
+  // Applies a cached list, saved by an earlier process or given in the configuration. Returns the merged set
+  // without reporting it to the listener.
   EndpointListUpdate ApplyCached(const EndpointListUpdate& list);
 
   void OnEndpointList(const EndpointListUpdate& update) override;
   void OnListConfirmed() override { listener_.OnListConfirmed(); }
   void OnWatchFailed() override;
 
-  // SRV names whose first answer, or failure, has not arrived yet.
-  std::size_t unanswered() const { return source_.unanswered(); }
-  // The merged set with the reason of each verdict, as operators are shown it.
-  nlohmann::ordered_json Print() const;
+  // The number of SRV names whose first answer or failure has not arrived yet.
+  std::size_t pending_names() const { return source_.pending_names(); }
+  // The merged set with the reason for each endpoint's status, the SRV failures and the DNS counters, for the
+  // /pool page.
+  nlohmann::ordered_json ToJson() const;
 
  private:
   void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) override;
   void OnNotOffered(long long destination) override;
   void OnNoAnswer(long long destination, const char* reason, bool expired) override;
   void PublishFromSrv(EndpointListUpdate update);
-  nlohmann::ordered_json PrintEndpoints() const;
-  nlohmann::ordered_json PrintUnanswered() const;
+  nlohmann::ordered_json EndpointsToJson() const;
+  nlohmann::ordered_json FailuresToJson() const;
 
   net::EventLoop& loop_;
   const Limits limits_;
@@ -51,7 +52,7 @@
   EndpointMerge merge_;
   dns::Resolver resolver_;
   SrvSource source_;
-  std::map<long long, std::string> unanswered_;  // why, by destination
+  std::map<long long, std::string> failures_;  // by destination, until an answer names targets
 };
 
 }  // namespace opalroute
--- a/src/discovery/srv_source.cpp
+++ b/src/discovery/srv_source.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-std::vector<SrvTarget> TargetsOf(const dns::Srv& service, const std::set<std::uint32_t>& addresses) {
+std::vector<SrvTarget> TargetsOf(const dns::Srv& record, const std::set<std::uint32_t>& addresses) {
   std::vector<SrvTarget> targets;
   for (const std::uint32_t address : addresses) {
     sockaddr_in socket_address{};
     socket_address.sin_family = AF_INET;
     socket_address.sin_addr.s_addr = address;
-    socket_address.sin_port = htons(service.port);
-    targets.push_back({service.target.Text(), socket_address, service.priority, service.weight});
+    socket_address.sin_port = htons(record.port);
+    targets.push_back({record.target.Text(), socket_address, record.priority, record.weight});
   }
   return targets;
 }
@@ -29,12 +29,13 @@
     : loop_(loop), resolver_(resolver), limits_(limits), listener_(listener) {
   for (const Name& name : names) {
     const auto parsed = dns::Name::Parse(name.name);
-    if (!parsed || parsed->root()) throw std::invalid_argument("'" + name.name + "' is no domain name");
+    if (!parsed || parsed->root())
+      throw std::invalid_argument("'" + name.name + "' is not a valid domain name");
     const dns::Question question = {*parsed, dns::Type::kSrv};
     lookups_.push_back(std::make_unique<Lookup>(loop_, question, name.destination));
   }
-  unanswered_ = lookups_.size();
-  for (const auto& lookup : lookups_) QueryServices(*lookup, false);
+  pending_names_ = lookups_.size();
+  for (const auto& lookup : lookups_) QuerySrvRecords(*lookup, false);
 }
 
 SrvSource::~SrvSource() {
@@ -44,78 +45,79 @@
   }
 }
 
-void SrvSource::QueryServices(Lookup& lookup, bool newer) {
-  lookup.ticket = resolver_.Ask(
-      lookup.question, newer, [this, &lookup](const dns::Outcome& outcome) { OnServices(lookup, outcome); });
+void SrvSource::QuerySrvRecords(Lookup& lookup, bool bypass_cache) {
+  lookup.ticket = resolver_.Ask(lookup.question, bypass_cache, [this, &lookup](const dns::Outcome& outcome) {
+    OnSrvRecords(lookup, outcome);
+  });
 }
 
 void SrvSource::ScheduleQuery(Lookup& lookup, net::Seconds at) {
   const net::Seconds earliest = loop_.Now() + limits_.dns_least_lifetime / 2;
   lookup.timer.Start(std::max(at, earliest), [this, &lookup] {
-    // Only addresses whose lifetime ends are queried again. Names that share a target would otherwise all be
-    // queried when that one's address expires.
-    if (loop_.Now() < lookup.services_refresh_at) return QueryAddresses(lookup);
-    QueryServices(lookup, true);
+    // While the SRV answer is current, only the addresses are queried. Otherwise all names that share a
+    // target would be queried again whenever its address is due.
+    if (loop_.Now() < lookup.srv_refresh_at) return QueryAddresses(lookup);
+    QuerySrvRecords(lookup, true);
   });
 }
 
-void SrvSource::NoteFirstResult(Lookup& lookup) {
-  if (!std::exchange(lookup.first_result_seen, true)) --unanswered_;
+void SrvSource::RecordFirstResult(Lookup& lookup) {
+  if (!std::exchange(lookup.first_result_seen, true)) --pending_names_;
 }
 
-void SrvSource::NoteAnswer(Lookup& lookup) {
-  NoteFirstResult(lookup);
+void SrvSource::RecordAnswer(Lookup& lookup) {
+  RecordFirstResult(lookup);
   lookup.has_answer = true;
   lookup.last_answer_at = loop_.Now();
 }
 
 void SrvSource::ReportNotOffered(Lookup& lookup) {
-  NoteAnswer(lookup);
+  RecordAnswer(lookup);
   listener_.OnNotOffered(lookup.destination);
-  ScheduleQuery(lookup, lookup.services_refresh_at);
+  ScheduleQuery(lookup, lookup.srv_refresh_at);
 }
 
 void SrvSource::ReportNoAnswer(Lookup& lookup, const char* reason, net::Seconds retry_at) {
-  NoteFirstResult(lookup);
-  lookup.services_refresh_at = 0;
+  RecordFirstResult(lookup);
+  lookup.srv_refresh_at = 0;
   const bool expired = lookup.has_answer && loop_.Now() - lookup.last_answer_at >= limits_.dns_stale;
   if (expired) lookup.has_answer = false;
   listener_.OnNoAnswer(lookup.destination, reason, expired);
   ScheduleQuery(lookup, retry_at);
 }
 
-// 'No such name' counts as no answer: a zone that was lost looks the same.
-void SrvSource::OnServices(Lookup& lookup, const dns::Outcome& outcome) {
+// "No such name" counts as no answer: the loss of a zone looks the same.
+void SrvSource::OnSrvRecords(Lookup& lookup, const dns::Outcome& outcome) {
   if (!outcome.answer || outcome.stale) return ReportNoAnswer(lookup, outcome.why, outcome.refresh_at);
   const Answer& answer = *outcome.answer;
   if (answer.kind == Answer::Kind::kNoName) {
     return ReportNoAnswer(lookup, "no such name", outcome.refresh_at);
   }
   if (answer.kind != Answer::Kind::kRecords) {
-    return ReportNoAnswer(lookup, "no SRV record there", outcome.refresh_at);
+    return ReportNoAnswer(lookup, "no SRV record", outcome.refresh_at);
   }
-  lookup.services_refresh_at = outcome.refresh_at;
-  lookup.services_are_new = true;
-  lookup.services.clear();
-  // A target of "." has a meaning only where it is alone (RFC 2782).
-  for (const dns::Srv& service : answer.services) {
-    if (!service.target.root()) lookup.services.push_back(service);
+  lookup.srv_refresh_at = outcome.refresh_at;
+  lookup.records_unpublished = true;
+  lookup.records.clear();
+  // A target "." means that the service is not offered only if it is the sole target (RFC 2782).
+  for (const dns::Srv& record : answer.services) {
+    if (!record.target.root()) lookup.records.push_back(record);
   }
-  if (lookup.services.empty()) return ReportNotOffered(lookup);
+  if (lookup.records.empty()) return ReportNotOffered(lookup);
   QueryAddresses(lookup);
 }
 
 void SrvSource::QueryAddresses(Lookup& lookup) {
-  lookup.refresh_at = lookup.services_refresh_at;
+  lookup.refresh_at = lookup.srv_refresh_at;
   lookup.complete = true;
   lookup.addresses.clear();
   std::set<dns::Name> hosts;
-  for (const dns::Srv& service : lookup.services) hosts.insert(service.target);
+  for (const dns::Srv& record : lookup.records) hosts.insert(record.target);
   for (const dns::Name& host : hosts) QueryAddress(lookup, host);
 }
 
 void SrvSource::QueryAddress(Lookup& lookup, const dns::Name& host) {
-  // The callback needs the ticket, which is known only once Ask has returned; it is never called before that.
+  // The callback needs the ticket that Ask returns. Ask never calls it before returning.
   const auto ticket = std::make_shared<dns::Resolver::Ticket>(0);
   *ticket =
       resolver_.Ask({host, dns::Type::kA}, false, [this, &lookup, host, ticket](const dns::Outcome& outcome) {
@@ -136,15 +138,15 @@
 
 void SrvSource::Publish(Lookup& lookup) {
   std::vector<SrvTarget> targets;
-  for (const dns::Srv& service : lookup.services) {
-    for (SrvTarget& target : TargetsOf(service, lookup.addresses[service.target])) {
+  for (const dns::Srv& record : lookup.records) {
+    for (SrvTarget& target : TargetsOf(record, lookup.addresses[record.target])) {
       targets.push_back(std::move(target));
     }
   }
-  if (targets.empty()) return ReportNoAnswer(lookup, "no address of any target", lookup.refresh_at);
-  NoteAnswer(lookup);
-  // The same SRV answer with the same addresses is not a new answer, and confirms nothing.
-  if (std::exchange(lookup.services_are_new, false) || lookup.addresses != lookup.published_addresses) {
+  if (targets.empty()) return ReportNoAnswer(lookup, "no target has an address", lookup.refresh_at);
+  RecordAnswer(lookup);
+  // Unchanged addresses after an address query alone are not a new answer and must not confirm an exclusion.
+  if (std::exchange(lookup.records_unpublished, false) || lookup.addresses != lookup.published_addresses) {
     lookup.published_addresses = lookup.addresses;
     listener_.OnTargets(lookup.destination, targets, lookup.complete);
   }
--- a/src/discovery/srv_target.h
+++ b/src/discovery/srv_target.h
@@ -1,4 +1,4 @@
-// A target of an SRV record, resolved to one address (RFC 2782).
+// A target of an SRV record (RFC 2782), resolved to one address.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,9 +8,9 @@
 namespace opalroute {
 
 struct SrvTarget {
-  std::string target;  // the host name that the record gives
+  std::string target;  // the host name in the record
   sockaddr_in address{};
-  int priority = 0;  // the lowest is preferred
+  int priority = 0;  // the lowest value is preferred
   int weight = 0;
 };
 
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -187,7 +187,7 @@
   }
   log::Info("reload_done", {{"discovery", now}, {"before", before}});
   discovery_address_ = discovery;
-  discovery_.MoveTo(discovery);
+  discovery_.SetAddress(discovery);
   decisions_.Post(DiscoveryMoved{});
   notifier_.MoveTo(discovery);
 }
@@ -229,7 +229,7 @@
 }
 
 std::string Relay::PrintPool() const {
-  return merged_source_ ? merged_source_->Print().dump() : endpoints_.Print().dump();
+  return merged_source_ ? merged_source_->ToJson().dump() : endpoints_.Print().dump();
 }
 
 std::string Relay::PrintZones() const {
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -135,7 +135,7 @@
   UpstreamCalls calls_;
   EndpointSuspension suspension_;
   std::unique_ptr<MergedEndpointSource> merged_source_;  // where the list is not the only source
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   FailureNotifier notifier_;
   RequestEnding ending_;
   RequestRecovery recovery_;
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -1,7 +1,8 @@
-// How old a relay's endpoint list may grow: processes of the program, each with a discovery of its own that
-// is overloaded while configurations move it, down for a while, or silent twice in a row. A drain that is
-// published meanwhile has to reach the relay within the protocol's bounds, and no call may go to the draining
-// endpoint after its grace period. All relays run at the same time, with seeds of their own.
+// Bounds how outdated a relay's endpoint list may become. Runs relay processes, each with its own discovery
+// service, which is overloaded while reloads change its address, or down for a while, or stops responding
+// twice in a row. A drain published during the fault must reach the relay within the protocol's bounds, and
+// no call may go to the draining endpoint after the grace period. All relays run at the same time, each with
+// its own seed.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -22,31 +23,33 @@
 using nlohmann::json;
 using Reply = DiscoveryStandIn::Reply;
 
-// docs/acceptance.md: a change counts as notified this long after discovery had it and could be reached, or
-// after SIGHUP. Calls may go on for the grace period after that. The platform allows 50 ms of slack.
+// Bounds of docs/acceptance.md, in seconds. A relay counts as notified of a change kNotifiedWithin after
+// discovery had the change and was reachable, or kNotifiedAfterReload after SIGHUP. Calls may continue for
+// the grace period after that. The platform tolerates 50 ms more.
 constexpr Seconds kNotifiedWithin = 6;
 constexpr Seconds kNotifiedAfterReload = 4;
-constexpr Seconds kGrace = 2;
-constexpr Seconds kSlack = 0.05;
+constexpr Seconds kGracePeriod = 2;
+constexpr Seconds kTolerance = 0.05;
 
-enum class Fault { kOverloadedMoves, kOutage, kSilentTwice };
+enum class Fault { kOverloadedAddressChanges, kOutage, kUnresponsiveTwice };
 
-// One relay, its discovery, its two endpoints and a client. Times count from Begin.
+// A relay with its discovery service, two endpoints and a client. Times are in seconds after Begin.
 class RelayUnderFault : private lab::RelayProcess::Owner {
  public:
   RelayUnderFault(net::EventLoop& loop, const fs::path& folder, int number, Fault fault)
       : loop_(loop),
         fault_(fault),
         number_(number),
-        first_(loop),
-        second_(loop),
-        discovery_(loop, first_.address(), second_.address(), [this] { return ReplyNow(); }),
-        relay_(loop, number, PlanOf(folder / std::to_string(number)), *this) {
+        draining_endpoint_(loop),
+        other_endpoint_(loop),
+        discovery_(loop, draining_endpoint_.address(), other_endpoint_.address(),
+                   [this] { return CurrentReply(); }),
+        relay_(loop, number, PlanFor(folder / std::to_string(number)), *this) {
     relay_.Start();
   }
 
   bool ready() const { return relay_.ready(); }
-  std::string Diagnosis() const {
+  std::string DiagnosticLog() const {
     return crash_.empty() ? relay_.LastLog() : crash_ + "\n" + relay_.LastLog();
   }
   void Poll() { relay_.Poll(); }
@@ -54,48 +57,50 @@
     start_ = loop_.Now();
     client_ = std::make_unique<ClientStandIn>(loop_, relay_.address(), "m" + std::to_string(number_));
     switch (fault_) {
-      case Fault::kOverloadedMoves:
-        for (const Seconds at : {1.0, 1.3, 1.7, kLastMove}) At(at, [this] { Move(); });
+      case Fault::kOverloadedAddressChanges:
+        for (const Seconds at : {1.0, 1.3, 1.7, kLastAddressChange}) At(at, [this] { ChangeAddress(); });
         At(2.4, [this] { discovery_.Drain(); });
-        bound_ = kLastMove + kNotifiedAfterReload;
-        notified_by_ = bound_ + kGrace;  // discovery is overloaded almost until `bound_`
+        notification_due_ = kLastAddressChange + kNotifiedAfterReload;
+        notified_by_ =
+            notification_due_ + kGracePeriod;  // discovery is overloaded almost until `notification_due_`
         break;
       case Fault::kOutage:
         At(1.0, [this] { discovery_.GoDown(); });
         At(2.0, [this] { discovery_.Drain(); });
-        At(kReturn, [this] { discovery_.Return(); });
-        bound_ = notified_by_ = kReturn + kNotifiedWithin;
+        At(kOutageEnd, [this] { discovery_.Return(); });
+        notification_due_ = notified_by_ = kOutageEnd + kNotifiedWithin;
         break;
-      case Fault::kSilentTwice:
+      case Fault::kUnresponsiveTwice:
         At(1.0, [this] { discovery_.Mute(); });
         At(1.2, [this] { discovery_.Drain(); });
-        bound_ = notified_by_ = 1.0 + kNotifiedWithin;
+        notification_due_ = notified_by_ = 1.0 + kNotifiedWithin;
         break;
     }
   }
 
-  // The latest instant of interest.
-  Seconds end() const { return bound_ + kGrace + 3; }
+  // When the run may stop: the last bound and some time to observe calls after it.
+  Seconds end() const { return notification_due_ + kGracePeriod + 3; }
   void Check() const {
     CAPTURE(number_);
     CAPTURE(discovery_.calls());
     CAPTURE(relay_.LastLog());
     CHECK_MESSAGE(crash_.empty(), crash_);
     const Seconds notified = discovery_.told_at() < 0 ? 1e9 : discovery_.told_at() - start_;
-    CHECK_MESSAGE(notified <= notified_by_ + kSlack, "notified at ", notified, " s, bound ", notified_by_);
-    const Seconds latest = first_.latest_call() - start_;
-    CHECK_MESSAGE(latest <= std::min(notified, bound_) + kGrace + kSlack, "called at ", latest,
-                  " s, notified at ", notified, ", bound to it from ", bound_);
-    CHECK(first_.calls() > 3);
-    CHECK(second_.calls() > 20);  // service went on
+    CHECK_MESSAGE(notified <= notified_by_ + kTolerance, "notified at ", notified, " s, bound ",
+                  notified_by_);
+    const Seconds latest = draining_endpoint_.latest_call() - start_;
+    CHECK_MESSAGE(latest <= std::min(notified, notification_due_) + kGracePeriod + kTolerance, "called at ",
+                  latest, " s, notified at ", notified, ", counts as notified from ", notification_due_);
+    CHECK(draining_endpoint_.calls() > 3);
+    CHECK(other_endpoint_.calls() > 20);  // the other endpoint stayed in service
     CHECK(discovery_.calls() < 40);
   }
 
  private:
-  static constexpr Seconds kLastMove = 2.6, kOverloadedUntil = kLastMove + 3.5;
-  static constexpr Seconds kReturn = 11;
+  static constexpr Seconds kLastAddressChange = 2.6, kOverloadedUntil = kLastAddressChange + 3.5;
+  static constexpr Seconds kOutageEnd = 11;
 
-  lab::RelayProcess::Plan PlanOf(const fs::path& folder) {
+  lab::RelayProcess::Plan PlanFor(const fs::path& folder) {
     lab::RelayProcess::Plan plan;
     plan.program = RELAY_PROGRAM;
     plan.folder = folder.string();
@@ -110,32 +115,32 @@
     };
     return plan;
   }
-  void At(Seconds after, std::function<void()> what) { loop_.At(start_ + after, std::move(what)); }
-  void Move() {
+  void At(Seconds after, std::function<void()> action) { loop_.At(start_ + after, std::move(action)); }
+  void ChangeAddress() {
     discovery_.Move();
     relay_.Reload();
   }
-  Reply ReplyNow() {
+  Reply CurrentReply() {
     const Seconds now = start_ > 0 ? loop_.Now() - start_ : 0;
     switch (fault_) {
-      case Fault::kOverloadedMoves:
+      case Fault::kOverloadedAddressChanges:
         return now > 1 && now < kOverloadedUntil ? Reply::kBusy : Reply::kServe;
       case Fault::kOutage:
         return Reply::kServe;
-      case Fault::kSilentTwice:
-        return now > 1 && ++calls_since_ == 1 ? Reply::kSilent : Reply::kServe;
+      case Fault::kUnresponsiveTwice:
+        return now > 1 && ++watches_after_fault_ == 1 ? Reply::kSilent : Reply::kServe;
     }
     return Reply::kServe;
   }
   void OnReady(int) override {}
-  void OnCrash(int, const std::string& how) override { crash_ = "the relay has ended: " + how; }
+  void OnCrash(int, const std::string& how) override { crash_ = "the relay process ended: " + how; }
 
   net::EventLoop& loop_;
   const Fault fault_;
   const int number_;
-  EndpointStandIn first_, second_;
-  int calls_since_ = 0;
-  Seconds start_ = 0, bound_ = 0, notified_by_ = 0;
+  EndpointStandIn draining_endpoint_, other_endpoint_;
+  int watches_after_fault_ = 0;
+  Seconds start_ = 0, notification_due_ = 0, notified_by_ = 0;
   std::string crash_;
   DiscoveryStandIn discovery_;
   lab::RelayProcess relay_;
@@ -154,12 +159,13 @@
   const fs::path path_;
 };
 
-TEST_CASE("processes: a drain reaches each relay in time while discovery is overloaded, down or silent") {
+TEST_CASE(
+    "processes: a drain reaches each relay in time while discovery is overloaded, down or unresponsive") {
   const Folder folder;
   const net::SystemClock clock;
   net::EventLoop loop(clock);
   std::vector<std::unique_ptr<RelayUnderFault>> relays;
-  for (const Fault fault : {Fault::kOverloadedMoves, Fault::kOutage, Fault::kSilentTwice})
+  for (const Fault fault : {Fault::kOverloadedAddressChanges, Fault::kOutage, Fault::kUnresponsiveTwice})
     for (int i = 0; i < 6; ++i)
       relays.push_back(
           std::make_unique<RelayUnderFault>(loop, folder.path(), static_cast<int>(relays.size()) + 1, fault));
@@ -174,7 +180,7 @@
   };
   run(loop.Now() + 60, all_ready);
   for (const auto& relay : relays)
-    if (!relay->ready()) MESSAGE("not ready: ", relay->Diagnosis());
+    if (!relay->ready()) MESSAGE("not ready: ", relay->DiagnosticLog());
   REQUIRE(all_ready());
   Seconds longest = 0;
   for (const auto& relay : relays) {
--- a/tests/discovery/endpoint_merge_test.cpp
+++ b/tests/discovery/endpoint_merge_test.cpp
@@ -1,5 +1,6 @@
-// The merge of the endpoint list and SRV: every row of its table, identity, ratings, and long random
-// sequences against a model that knows the guarantees of docs/srv.md and nothing of the code.
+// Tests the merge of the endpoint list with SRV: every row of merge_table.txt, endpoint ids, ratings, and
+// long random sequences that are checked against a model of the guarantees in docs/srv.md. The model is
+// independent of the implementation.
 #include "discovery/endpoint_merge.h"
 
 #include <doctest/doctest.h>
@@ -26,25 +27,25 @@
   return static_cast<char>('a' + (ntohl(record.address.sin_addr.s_addr) & 255) - 1);
 }
 
-EndpointRecord RecordOf(char letter, Status status = Status::kInService, double weight = 10) {
+EndpointRecord MakeRecord(char letter, Status status = Status::kInService, double weight = 10) {
   return {"e" + std::string(1, letter), "z", "apart", AddressOf(letter), kDestination, status, weight};
 }
 
-MergeOptions Options() {
-  MergeOptions options;
+EndpointMergeOptions Options() {
+  EndpointMergeOptions options;
   options.kinds_with_endpoint_limits = {"apart"};
   options.added_zone = "z";
   options.added_kind = "apart";
   return options;
 }
 
-// Plays a row's steps and applies what is published, as a relay does.
+// Runs the steps of a table row and applies the published updates, as a relay does.
 class Scenario {
  public:
-  Scenario() : merge(Options()) { merge.SetOwner(kDestination, AddressOf('x')); }
-  void Play(const std::string& steps) {
+  Scenario() : merge(Options()) { merge.AddOwnAddress(kDestination, AddressOf('x')); }
+  void Run(const std::string& steps) {
     std::istringstream all(steps);
-    for (std::string step; std::getline(all, step, ';');) Step(step);
+    for (std::string step; std::getline(all, step, ';');) RunStep(step);
   }
   void Apply(const EndpointListUpdate& update) {
     if (update.complete) published.clear();
@@ -53,7 +54,7 @@
       if (record.status == Status::kRemoved) published.erase(record.id);
     }
   }
-  // As in the table, and checked against what was published.
+  // The result in the notation of the table. Also checks it against the published updates.
   std::string Result() const {
     std::string text;
     const std::vector<MergedEndpoint> rows = merge.Endpoints();
@@ -63,7 +64,7 @@
       CHECK(published.at(row.endpoint.id).status == row.endpoint.status);
       const char letter = LetterOf(row.endpoint);
       text += std::string(text.empty() ? "" : ", ") +
-              (row.endpoint.status == Status::kInService ? "+" : "-") + letter + " " + NameOf(row.verdict);
+              (row.endpoint.status == Status::kInService ? "+" : "-") + letter + " " + NameOf(row.reason);
     }
     return text;
   }
@@ -73,7 +74,7 @@
   std::string target = "host";
 
  private:
-  void Step(const std::string& step) {
+  void RunStep(const std::string& step) {
     std::istringstream words(step);
     std::string verb, word;
     words >> verb;
@@ -87,9 +88,9 @@
       EndpointListUpdate update;
       update.complete = verb == "list";
       while (words >> word)
-        update.endpoints.push_back(RecordOf(word[0], verb == "list"    ? Status::kInService
-                                                     : verb == "drain" ? Status::kDraining
-                                                                       : Status::kRemoved));
+        update.endpoints.push_back(MakeRecord(word[0], verb == "list"    ? Status::kInService
+                                                       : verb == "drain" ? Status::kDraining
+                                                                         : Status::kRemoved));
       Apply(merge.OnList(now, update));
     } else if (verb == "srv" || verb == "part") {
       std::vector<SrvTarget> targets;
@@ -118,7 +119,7 @@
     REQUIRE(arrow != std::string::npos);
     CAPTURE(line);
     Scenario scenario;
-    scenario.Play(line.substr(0, arrow));
+    scenario.Run(line.substr(0, arrow));
     std::string expected = line.substr(arrow + 2);
     expected.erase(0, expected.find_first_not_of(' ') == std::string::npos ? expected.size()
                                                                            : expected.find_first_not_of(' '));
@@ -128,15 +129,14 @@
   CHECK(rows >= 60);
 }
 
-TEST_CASE(
-    "merge: a machine keeps its name when the list names it too, and another at its address gets another") {
+TEST_CASE("merge: a machine keeps its id once the list names it; another at its address gets a new one") {
   Scenario scenario;
-  scenario.Play("list; srv x");
+  scenario.Run("list; srv x");
   REQUIRE(scenario.published.size() == 1);
   const std::string first = scenario.published.begin()->first;
-  scenario.Play("list x");
-  CHECK(scenario.published.begin()->first == first);  // what the relay knows of it stays valid
-  EndpointRecord moved = RecordOf('x');
+  scenario.Run("list x");
+  CHECK(scenario.published.begin()->first == first);  // the relay's state for it stays valid
+  EndpointRecord moved = MakeRecord('x');
   moved.address = AddressOf('b');
   EndpointListUpdate update;
   update.endpoints = {moved};
@@ -144,29 +144,29 @@
   REQUIRE(scenario.published.size() == 1);
   CHECK(scenario.published.begin()->first == "ex");
   Scenario other;
-  other.Play("list; srv x");
+  other.Run("list; srv x");
   const std::string before = other.published.begin()->first;
-  other.Play("as another; srv x");
+  other.Run("as another; srv x");
   REQUIRE(other.published.size() == 1);
   CHECK(other.published.begin()->first != before);
 }
 
-TEST_CASE("merge: weights part the list's ratings among routes apart") {
+TEST_CASE("merge: SRV weights divide the listed ratings among endpoints with limits of their own") {
   Scenario scenario;
-  scenario.Play("list a b c; srv a*6 b*3 c*0");
+  scenario.Run("list a b c; srv a*6 b*3 c*0");
   CHECK(scenario.published.at("ea").weight == doctest::Approx(30 * 6 / 9.1));
   CHECK(scenario.published.at("eb").weight == doctest::Approx(30 * 3 / 9.1));
   CHECK(scenario.published.at("ec").weight == doctest::Approx(30 * 0.1 / 9.1));
-  scenario.Play("srv a*0 b*0 c*0");
+  scenario.Run("srv a*0 b*0 c*0");
   for (const char* id : {"ea", "eb", "ec"}) CHECK(scenario.published.at(id).weight == doctest::Approx(10));
-  scenario.Play("expired");
+  scenario.Run("expired");
   CHECK(scenario.published.at("ea").weight == 10);
 }
 
-TEST_CASE("merge: an id that moves to another destination leaves the first") {
+TEST_CASE("merge: an id that moves to another destination is removed from the first") {
   Scenario scenario;
-  scenario.Play("list a b");
-  EndpointRecord moved = RecordOf('a');
+  scenario.Run("list a b");
+  EndpointRecord moved = MakeRecord('a');
   moved.destination = 8;
   EndpointListUpdate update;
   update.endpoints = {moved};
@@ -177,63 +177,63 @@
   CHECK(changes.endpoints[1].destination == 8);
 }
 
-// ---- random sequences
-// --------------------------------------------------------------------------------------
+// ---- random sequences ------------------------------------------------------------------------------------
 
-// Records what the sources have said, to check what is published against the guarantees of docs/srv.md.
-class Model {
+// Records the input of both sources, to check the published updates against the guarantees of docs/srv.md.
+class ReferenceModel {
  public:
   std::map<char, Status> list;
   struct Answer {
     double at = 0;
-    bool names = false;  // the endpoint
+    bool includes = false;  // the endpoint
   };
-  std::map<char, std::vector<Answer>> answers;  // the complete ones, by endpoint
+  std::map<char, std::vector<Answer>> answers;  // complete answers, by endpoint
   bool not_offered = false;
 
-  // Whether a later answer repeats an exclusion after the confirmation delay, and none between contradicts
-  // it.
+  // Whether an exclusion is confirmed: an answer repeats it after the confirmation delay, and no answer in
+  // between contradicts it.
   bool Confirmed(char letter, double now) const {
     const auto it = answers.find(letter);
     if (it == answers.end()) return false;
     double since = -1;
-    for (const Answer& answer : it->second) since = answer.names ? -1 : since < 0 ? answer.at : since;
+    for (const Answer& answer : it->second) since = answer.includes ? -1 : since < 0 ? answer.at : since;
     return since >= 0 && now - since >= 2;
   }
 };
 
-void Check(const Scenario& scenario, const Model& model, const std::map<char, bool>& before,
-           const std::string& step, std::vector<double>& unconfirmed) {
+void CheckGuarantees(const Scenario& scenario, const ReferenceModel& model,
+                     const std::map<char, bool>& before, const std::string& step,
+                     std::vector<double>& unconfirmed) {
   CAPTURE(step);
-  int in_list = 0, serving = 0, ready = 0;
+  int listed_in_service = 0, in_service = 0, eligible = 0;
   std::map<char, bool> after;
   for (const auto& [id, record] : scenario.published) {
     const char letter = LetterOf(record);
-    // Only the destination's own endpoints.
+    // Only listed endpoints and the own address are published.
     CHECK((model.list.count(letter) > 0 || letter == 'x'));
     after[letter] = record.status == Status::kInService;
-    serving += record.status == Status::kInService;
+    in_service += record.status == Status::kInService;
   }
   for (const auto& [letter, status] : model.list) {
-    in_list += status == Status::kInService;
-    // A drain by the list holds at once, whatever SRV says.
+    listed_in_service += status == Status::kInService;
+    // A drain by the list takes effect at once, whatever SRV says.
     REQUIRE(after.count(letter) == 1);
     if (status == Status::kDraining) CHECK(!after[letter]);
   }
-  // Somebody stays in service, unless the service is decidedly not offered.
-  if (in_list > 0 && !model.not_offered) CHECK(serving > 0);
-  ready = in_list + static_cast<int>(before.count('x'));
+  // An endpoint stays in service, unless SRV says that the service is not offered.
+  if (listed_in_service > 0 && !model.not_offered) CHECK(in_service > 0);
+  eligible = listed_in_service + static_cast<int>(before.count('x'));
   for (const auto& [letter, served] : before) {
     if (!served || after.count(letter) == 0 || after[letter]) continue;
     const auto listed = model.list.find(letter);
     if (listed != model.list.end() && listed->second != Status::kInService) continue;
-    // Drained by SRV: only by an answer, and unconfirmed only up to the stated share.
+    // SRV drains only by a complete answer, and without confirmation only up to the permitted share.
     CHECK((step.rfind("srv", 0) == 0 || step == "dot"));
     if (model.Confirmed(letter, scenario.now)) continue;
     unconfirmed.push_back(scenario.now);
     const auto recent = std::count_if(unconfirmed.begin(), unconfirmed.end(),
                                       [&](double at) { return scenario.now - at < 30; });
-    CHECK(recent <= ready / 2);
+    CHECK(recent <= eligible / 2);
   }
 }
 
@@ -244,7 +244,7 @@
   return step.find(std::string(" ") + letter) != std::string::npos;
 }
 
-// Some of all letters, each left out with a chance of one in `one_in`, some with a worse priority.
+// A random selection of all letters, each left out with probability 1 / `one_in`, some with a worse priority.
 std::string RandomTargets(pcg32& random, std::uint32_t one_in) {
   std::string chosen;
   for (const char letter : kListLetters + "xyz") {
@@ -253,8 +253,9 @@
   return chosen;
 }
 
-// A whole list of some letters; an id that the list has dropped or taken up is another machine.
-std::string RandomList(pcg32& random, Model& model) {
+// A complete list of random letters. An id that the list adds or drops stands for a different machine from
+// then on, so its earlier answers no longer count.
+std::string RandomList(pcg32& random, ReferenceModel& model) {
   std::string step = "list";
   const auto old = std::exchange(model.list, {});
   for (const char letter : kListLetters) {
@@ -267,8 +268,8 @@
   return step;
 }
 
-// A change of one endpoint; empty where the list can't drain what it does not name.
-std::string RandomChange(pcg32& random, Model& model) {
+// A drain or removal of one endpoint. Empty for a drain of an endpoint that is not listed.
+std::string RandomChange(pcg32& random, ReferenceModel& model) {
   const char letter = kListLetters[random(6)];
   const bool drain = random(2) == 0;
   if (drain && model.list.count(letter) == 0) return "";
@@ -281,8 +282,8 @@
   return std::string(drain ? "drain " : "gone ") + letter;
 }
 
-// The next step; empty: none this time. What the list says is noted in the model.
-std::string RandomStep(pcg32& random, Model& model, bool first) {
+// Returns the next step, or an empty string for none. Records list changes in the model.
+std::string RandomStep(pcg32& random, ReferenceModel& model, bool first) {
   switch (first ? 0 : random(9)) {
     case 0:
       return RandomList(random, model);
@@ -300,8 +301,9 @@
   }
 }
 
-// Notes whether a complete answer includes each: named, with the best priority of those in service.
-void NoteAnswer(Model& model, const std::string& step, double now) {
+// Records for each endpoint whether a complete answer includes it: names it with the best priority of those
+// in service.
+void RecordAnswer(ReferenceModel& model, const std::string& step, double now) {
   const auto priority = [&](char letter) {
     const std::size_t at = step.find(std::string(" ") + letter);
     return at == std::string::npos ? 9 : step[std::min(at + 2, step.size() - 1)] == '/' ? 2 : 1;
@@ -315,8 +317,9 @@
   }
 }
 
-// Notes what SRV says by a step.
-void NoteSrv(Model& model, const std::string& step, double now, std::vector<double>& unconfirmed) {
+// Records the SRV input of a step.
+void RecordSrvStep(ReferenceModel& model, const std::string& step, double now,
+                   std::vector<double>& unconfirmed) {
   const bool complete = step.rfind("srv", 0) == 0;
   const bool not_offered = step == "dot";
   const bool answer = complete || not_offered || step.rfind("part", 0) == 0;
@@ -331,7 +334,7 @@
     model.answers.clear();
     unconfirmed.clear();
   }
-  if (not_offered || (complete && names_one)) NoteAnswer(model, step, now);
+  if (not_offered || (complete && names_one)) RecordAnswer(model, step, now);
 }
 
 std::map<char, bool> InServiceByLetter(const Scenario& scenario) {
@@ -342,27 +345,27 @@
   return in_service;
 }
 
-void PlayRandomSequence(std::uint64_t seed) {
+void RunRandomSequence(std::uint64_t seed) {
   CAPTURE(seed);
   pcg32 random(seed, 9);
   Scenario scenario;
-  Model model;
+  ReferenceModel model;
   std::vector<double> unconfirmed;
   double clock = 0;
   for (int i = 0; i < 60; ++i) {
     clock += random(3) == 0 ? random(20) : random(20) * 0.1;
-    scenario.Play("at " + std::to_string(clock));
+    scenario.Run("at " + std::to_string(clock));
     const std::map<char, bool> before = InServiceByLetter(scenario);
     const std::string step = RandomStep(random, model, i == 0);
     if (step.empty()) continue;
-    NoteSrv(model, step, scenario.now, unconfirmed);
-    scenario.Play(step);
-    Check(scenario, model, before, step, unconfirmed);
+    RecordSrvStep(model, step, scenario.now, unconfirmed);
+    scenario.Run(step);
+    CheckGuarantees(scenario, model, before, step, unconfirmed);
   }
 }
 
-TEST_CASE("merge: 1,000 random sequences with faults keep every guarantee, step by step") {
-  for (std::uint64_t seed = 1; seed <= 1000; ++seed) PlayRandomSequence(seed);
+TEST_CASE("merge: every step of 1,000 random sequences with faults keeps the guarantees") {
+  for (std::uint64_t seed = 1; seed <= 1000; ++seed) RunRandomSequence(seed);
 }
 
 }  // namespace
--- a/tests/discovery/srv_records.h
+++ b/tests/discovery/srv_records.h
@@ -1,4 +1,4 @@
-// DNS records of one destination's SRV name, for the tests of SRV as a source of endpoints.
+// DNS questions and answers for the SRV name of one destination, for tests of SRV as an endpoint source.
 #pragma once
 
 #include <arpa/inet.h>
@@ -23,27 +23,26 @@
 
 inline dns::Question AddressQuestion(const std::string& host) { return {DomainName(host), dns::Type::kA}; }
 
-struct SrvService {
+struct SrvEndpoint {
   std::string target;
   std::uint16_t port = 0;
 };
 
-// The answer to kSrvName's question; `lifetime` in seconds.
-inline lab::NameServer::Entry SrvAnswer(const std::vector<SrvService>& services, std::uint32_t lifetime) {
+// An answer to the SRV question for kSrvName; `ttl` in seconds.
+inline lab::NameServer::Entry SrvAnswer(const std::vector<SrvEndpoint>& endpoints, std::uint32_t ttl) {
   lab::NameServer::Entry entry;
-  for (const SrvService& service : services) {
-    const dns::Srv record{1, 1, service.port, DomainName(service.target)};
-    entry.answers.push_back({DomainName(kSrvName), dns::Type::kSrv, dns::kInternet, lifetime, record});
+  for (const SrvEndpoint& endpoint : endpoints) {
+    const dns::Srv record{1, 1, endpoint.port, DomainName(endpoint.target)};
+    entry.answers.push_back({DomainName(kSrvName), dns::Type::kSrv, dns::kInternet, ttl, record});
   }
   return entry;
 }
 
-inline lab::NameServer::Entry AddressAnswer(const std::string& host, const char* address,
-                                            std::uint32_t lifetime) {
+inline lab::NameServer::Entry AddressAnswer(const std::string& host, const char* address, std::uint32_t ttl) {
   in_addr ip{};
   inet_pton(AF_INET, address, &ip);
   lab::NameServer::Entry entry;
-  entry.answers = {{DomainName(host), dns::Type::kA, dns::kInternet, lifetime, ip}};
+  entry.answers = {{DomainName(host), dns::Type::kA, dns::kInternet, ttl, ip}};
   return entry;
 }
 
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -1,4 +1,4 @@
-// SRV as a source of endpoints in a whole relay: its settings, the calls that follow, and `opalroute pool`.
+// SRV as an endpoint source of a complete relay: the settings, the calls to endpoints, and `opalroute pool`.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -25,7 +25,7 @@
 
 using lab::NameServer;
 
-TEST_CASE("srv: settings are checked, and nothing is asked for unless they say so") {
+TEST_CASE("srv: settings are validated, and no name is queried by default") {
   const auto read = [](std::vector<std::string> flags) {
     CLI::App app;
     const config::OperatorOptions options(app, [](const char*) { return std::nullopt; });
@@ -36,20 +36,20 @@
     return result;
   };
   CHECK(read({}).first.srv_names.empty());
-  const auto good = read(
+  const auto valid = read(
       {"--dns-server", "127.0.0.1:53", "--srv", kSrvName + "=7,_b._tcp.x=8", "--srv-own", "7=127.0.0.1:80"});
-  CHECK(good.second.empty());
-  CHECK(good.first.srv_names.size() == 2);
-  CHECK(good.first.srv_own[0].first == 7);
+  CHECK(valid.second.empty());
+  CHECK(valid.first.srv_names.size() == 2);
+  CHECK(valid.first.srv_own[0].first == 7);
   CHECK(read({"--srv", kSrvName + "=7"}).second ==
         std::vector<std::string>{"'dns.server' must name a server where 'srv' names what to ask for"});
-  for (const char* wrong : {"x", "x=", "=7", "x=7x", "a..b=7", "x=7,y=7", ".=7"})
-    CHECK(read({"--dns-server", "127.0.0.1:53", "--srv", wrong}).second.size() == 1);
-  for (const char* wrong : {"7", "7=127.0.0.1", "x=127.0.0.1:80", "7=127.0.0.1:0"})
-    CHECK(read({"--srv-own", wrong}).second.size() == 1);
+  for (const char* invalid : {"x", "x=", "=7", "x=7x", "a..b=7", "x=7,y=7", ".=7"})
+    CHECK(read({"--dns-server", "127.0.0.1:53", "--srv", invalid}).second.size() == 1);
+  for (const char* invalid : {"7", "7=127.0.0.1", "x=127.0.0.1:80", "7=127.0.0.1:0"})
+    CHECK(read({"--srv-own", invalid}).second.size() == 1);
 }
 
-nlohmann::json ListOf(const std::vector<std::pair<std::string, std::string>>& addresses_by_id) {
+nlohmann::json EndpointListJson(const std::vector<std::pair<std::string, std::string>>& addresses_by_id) {
   nlohmann::json list = {{"generation", 1}, {"reset", true}, {"instances", nlohmann::json::array()}};
   for (const auto& [id, address] : addresses_by_id)
     list["instances"].push_back({{"instanceId", id},
@@ -60,7 +60,8 @@
                                  {"lifecycle", "ready"}});
   return list;
 }
-nlohmann::json ConfigOf(const std::string& folder, const sockaddr_in& discovery, const nlohmann::json& list) {
+nlohmann::json ConfigJson(const std::string& folder, const sockaddr_in& discovery,
+                          const nlohmann::json& list) {
   return {{"name", "n0"},
           {"listen", "127.0.0.1:0"},
           {"discovery", net::FormatAddress(discovery)},
@@ -83,23 +84,23 @@
   const fs::path path_;
 };
 
-TEST_CASE("srv: a relay sends nothing more to what SRV has drained, and nothing ever to a stranger") {
+TEST_CASE("srv: a relay sends no more calls to a drained endpoint, and none to an unlisted target") {
   const Folder folder;
   lab::Clock clock;
   net::EventLoop loop(clock);
   NameServer server(loop);
   lab::Platform platform(loop);
   lab::PartnerSettings partner;
-  lab::Partner a(loop, partner, 1, 1), b(loop, partner, 1, 1), stranger(loop, partner, 1, 1);
-  const auto port = [](const lab::Partner& partner_of) { return ntohs(partner_of.Address(0, 0).sin_port); };
+  lab::Partner a(loop, partner, 1, 1), b(loop, partner, 1, 1), unlisted(loop, partner, 1, 1);
+  const auto port = [](const lab::Partner& target) { return ntohs(target.Address(0, 0).sin_port); };
   server.Set(AddressQuestion("host.example"), AddressAnswer("host.example", "127.0.0.1", 60));
   server.Set(
       SrvQuestion(),
-      SrvAnswer({{"host.example", port(a)}, {"host.example", port(b)}, {"host.example", port(stranger)}}, 2));
-  const auto list =
-      ListOf({{"a", net::FormatAddress(a.Address(0, 0))}, {"b", net::FormatAddress(b.Address(0, 0))}});
+      SrvAnswer({{"host.example", port(a)}, {"host.example", port(b)}, {"host.example", port(unlisted)}}, 2));
+  const auto list = EndpointListJson(
+      {{"a", net::FormatAddress(a.Address(0, 0))}, {"b", net::FormatAddress(b.Address(0, 0))}});
   platform.SetList(list);
-  const auto file = ConfigOf(folder / "state", platform.address(), list);
+  const auto file = ConfigJson(folder / "state", platform.address(), list);
   fs::create_directories(folder / "state");
   const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
   Operator settings;
@@ -115,20 +116,18 @@
   lab::PlayUntil(loop, clock, clock.Now() + 5);
   CHECK(a.model().calls().size() > 10);
   CHECK(b.model().calls().size() > 10);
-  server.Set(SrvQuestion(), SrvAnswer({{"host.example", port(a)}, {"host.example", port(stranger)}}, 2));
+  server.Set(SrvQuestion(), SrvAnswer({{"host.example", port(a)}, {"host.example", port(unlisted)}}, 2));
   const double changed = clock.Now();
   lab::PlayUntil(loop, clock, changed + 15);
-  CHECK(b.model().calls().back().at <
-        changed + 2);  // the answer's lifetime; the relay has the new one by then
+  CHECK(b.model().calls().back().at < changed + 2);  // the answer's TTL: by then the relay has the new answer
   CHECK(a.model().calls().back().at > changed + 10);
-  CHECK(stranger.model().calls().empty());
+  CHECK(unlisted.model().calls().empty());
   lab::PlayUntil(loop, clock, clock.Now() + 10);
   for (const auto& [id, message] : load.messages()) CHECK(message.status == 202);
   CHECK(a.delivered().size() + b.delivered().size() == load.messages().size());
 }
 
-TEST_CASE(
-    "srv: the merged endpoints are printed with their reasons, by querying once and from a running relay") {
+TEST_CASE("srv: `opalroute pool` prints the merged endpoints, by its own queries or from a running relay") {
   const Folder folder;
   const net::SystemClock clock;
   net::EventLoop loop(clock);
@@ -136,10 +135,10 @@
   server.Set(AddressQuestion("a.example"), AddressAnswer("a.example", "127.0.0.1", 60));
   server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}}, 60));
   lab::Platform platform(loop);
-  const auto list = ListOf({{"a", "127.0.0.1:80"}, {"b", "127.0.0.2:80"}});
+  const auto list = EndpointListJson({{"a", "127.0.0.1:80"}, {"b", "127.0.0.2:80"}});
   platform.SetList(list);
   fs::create_directories(folder / "state");
-  const auto file = ConfigOf(folder / "state", platform.address(), list);
+  const auto file = ConfigJson(folder / "state", platform.address(), list);
   std::ofstream(folder / "config.json") << file.dump();
   const auto print = [&](std::vector<std::string> arguments) {
     arguments.insert(arguments.begin(), "pool");
@@ -152,12 +151,12 @@
     return nlohmann::json::parse(program.LastLog());
   };
   const std::string dns = net::FormatAddress(server.address());
-  const auto once = print({"--dns-server", dns, "--srv", kSrvName + "=7"});
-  REQUIRE(once["members"].size() == 2);
-  CHECK(once["members"][0]["why"] == "list");
-  CHECK(once["members"][1]["endpoint"] == "b");
-  CHECK(once["members"][1]["why"] == "srv names others");
-  CHECK(once["members"][1]["in_service"] == false);
+  const auto queried = print({"--dns-server", dns, "--srv", kSrvName + "=7"});
+  REQUIRE(queried["members"].size() == 2);
+  CHECK(queried["members"][0]["why"] == "list");
+  CHECK(queried["members"][1]["endpoint"] == "b");
+  CHECK(queried["members"][1]["why"] == "srv names others");
+  CHECK(queried["members"][1]["in_service"] == false);
   const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
   Operator settings;
   settings.admin_listen = *net::ParseAddress("127.0.0.1:0");
