--- a/src/discovery/endpoint_merge.h
+++ b/src/discovery/endpoint_merge.h
@@ -36,7 +36,7 @@
   // The answer is the target ".".
   EndpointListUpdate OnNotOffered(double now, long long destination);
   // The query failed, the name or record does not exist, or the answer is stale: the last answer stays in
-  // effect. If `expired`, it no longer does.
+  // effect. If `expired`, earlier answers no longer count.
   EndpointListUpdate OnNoAnswer(double now, long long destination, bool expired);
 
   std::vector<MergedEndpoint> Endpoints() const;  // by destination and id
--- a/src/discovery/merged_destination.cpp
+++ b/src/discovery/merged_destination.cpp
@@ -176,7 +176,8 @@
     const Endpoint& endpoint = entry.second;
     return by_address.count(KeyOf(endpoint.record.address)) > 0 && endpoint.ListedInService();
   });
-  // An answer that names no endpoint of the destination in service is likely wrong and counts as no answer.
+  // An answer that names none of the endpoints that the list has in service, or that were added, is about
+  // some other service and counts as no answer.
   if (!names_one_in_service) {
     ApplyNoAnswer(now, false);
     return ignored;
--- a/src/discovery/merged_destination.h
+++ b/src/discovery/merged_destination.h
@@ -44,7 +44,8 @@
 
   // Applies a record of the list: adds, updates or removes an endpoint. Must be followed by UpdateStatuses.
   void ApplyRecord(double now, const EndpointRecord& record);
-  // Removes an endpoint that the list no longer has. Must be followed by UpdateStatuses.
+  // Removes an endpoint that the list no longer has, and keeps SRV from adding its address for
+  // `tombstone_time`. Must be followed by UpdateStatuses.
   void Withdraw(double now, const std::string& list_id);
   // Withdraws the listed endpoints that a complete list no longer names, and returns their ids in the list.
   // Must be followed by UpdateStatuses.
@@ -57,7 +58,7 @@
   // The answer is the target ".": the service is not offered (RFC 2782).
   void ApplyNotOffered(double now);
   // The query failed, the name or record does not exist, or the answer is stale: the last answer stays in
-  // effect. If `expired`, it no longer does.
+  // effect. If `expired`, earlier answers no longer count.
   void ApplyNoAnswer(double now, bool expired);
 
   // Decides which endpoints are in service. Drains endpoints only after a complete SRV answer (`answered`).
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -140,7 +140,9 @@
   const int number_;
   EndpointStandIn draining_endpoint_, other_endpoint_;
   int watches_after_fault_ = 0;
-  Seconds start_ = 0, notification_due_ = 0, notified_by_ = 0;
+  Seconds start_ = 0;
+  Seconds notification_due_ = 0;  // the relay counts as notified from then on, even without the list
+  Seconds notified_by_ = 0;       // when the list must have reached it
   std::string crash_;
   DiscoveryStandIn discovery_;
   lab::RelayProcess relay_;
