--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -135,7 +135,7 @@
   UpstreamCalls calls_;
   EndpointSuspension suspension_;
   std::unique_ptr<MergedEndpointSource> merged_source_;  // only if DNS SRV names are configured
-  Discovery discovery_;
+  DiscoveryClient discovery_;
   FailureNotifier notifier_;
   RequestEnding ending_;
   RequestRecovery recovery_;
