--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -45,7 +45,7 @@
       if (!Answer(query)) return;
     }
   }
-  void OnEnd(net::Connection&, net::Connection::End) override { server_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Drop(*this); }
 
  private:
   // False: the connection is no more.
--- a/lab/faults/requests_read.cpp
+++ b/lab/faults/requests_read.cpp
@@ -46,7 +46,7 @@
 
 void RequestsRead::Take(net::HttpParser& parser, std::string_view bytes) {
   while (!bytes.empty() && !parser.failed()) {
-    bytes.remove_prefix(parser.Take(bytes));
+    bytes.remove_prefix(parser.Parse(bytes));
     if (!parser.done()) continue;
     Record(parser.message());
     parser.Reset();
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -11,9 +11,9 @@
   bounds.http = {16 * 1024, 64, 64 * 1024};
   bounds.request_bytes = 64 * 1024;
   bounds.connections = 64;
-  bounds.connect_time = 1;
-  bounds.idle_time = 5;
-  bounds.answer_time = 1;
+  bounds.connect_timeout = 1;
+  bounds.idle_timeout = 5;
+  bounds.response_timeout = 1;
   return bounds;
 }
 
@@ -26,8 +26,8 @@
 
  private:
   std::string OnReady() override { return request_; }
-  void OnAnswer(net::HttpMessage& answer) override { End(answer.status); }
-  void OnBroken(net::HttpClient::Broken, int status) override { End(status); }
+  void OnResponse(net::HttpMessage& answer) override { End(answer.status); }
+  void OnFailure(net::HttpClient::Failure, int status) override { End(status); }
   void End(int status) {
     load_.messages_[id_].status = status;
     const auto it = load_.calls_.find(this);
@@ -81,7 +81,7 @@
                           {"X-Addressing", "dest=" + std::to_string(destination)}};
   if (std::string(message_class) == "notice-order") headers.emplace_back("Idempotency-Key", "k" + id);
   auto call = std::make_unique<Call>(
-      *this, id, net::WriteRequest("POST", "/api", headers, std::string(message_class) + " " + id));
+      *this, id, net::FormatRequest("POST", "/api", headers, std::string(message_class) + " " + id));
   Call* const key = call.get();
   calls_.emplace(key, std::move(call));
   client_.Start({relay_, 0}, *key);
--- a/lab/partner.cpp
+++ b/lab/partner.cpp
@@ -32,12 +32,12 @@
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
     while (timer_ == 0 && !in.empty()) {
-      in.Consume(parser_.Take(in.Front()));
+      in.Consume(parser_.Parse(in.Front()));
       if (parser_.failed()) return partner_.sessions_.Drop(*this);
       if (parser_.done()) Answer();
     }
   }
-  void OnEnd(net::Connection&, net::Connection::End) override { partner_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { partner_.sessions_.Drop(*this); }
 
  private:
   void Answer() {
@@ -60,7 +60,7 @@
     if (wait > 0)
       headers.emplace_back("X-RateLimit-Wait-Ms", std::to_string(static_cast<long>(std::ceil(wait * 1000))));
     if (status == 200) partner_.delivered_.emplace(id, partner_.loop_.Now());
-    connection_->Write(net::WriteAnswer(status, headers, {}));
+    connection_->Write(net::FormatResponse(status, headers, {}));
   }
 
   Partner& partner_;
--- a/lab/platform.h
+++ b/lab/platform.h
@@ -25,16 +25,16 @@
   static net::ServerBounds Bounds() {
     net::ServerBounds bounds;
     bounds.http = {16 * 1024, 64, 256 * 1024};
-    bounds.answer_bytes = 4 << 20;
+    bounds.response_bytes = 4 << 20;
     bounds.connections = 64;
     bounds.reject_connections = 8;
-    bounds.requests_a_turn = 16;
-    bounds.first_time = bounds.request_time = bounds.idle_time = 30;
-    bounds.rest_time = bounds.silent_time = bounds.linger_time = 1;
+    bounds.requests_per_turn = 16;
+    bounds.first_request_timeout = bounds.request_timeout = bounds.idle_timeout = 30;
+    bounds.crowded_idle_timeout = bounds.silent_timeout = bounds.linger_timeout = 1;
     bounds.linger_bytes = 1 << 20;
     return bounds;
   }
-  net::HttpAnswer OnRequest(net::HttpMessage& request) override {
+  net::HttpResponse OnRequest(net::HttpMessage& request) override {
     if (request.method == "GET") return {200, {}, list_.dump() + "\n", 0};
     std::istringstream lines(request.body);
     for (std::string line; std::getline(lines, line);) {
@@ -43,7 +43,7 @@
     }
     return {204, {}, {}, 0};
   }
-  void OnAnswerLost(std::uint64_t) override {}
+  void OnResponseLost(std::uint64_t) override {}
 
   nlohmann::json list_ = {{"generation", 1}, {"reset", true}, {"instances", nlohmann::json::array()}};
   std::map<std::string, std::string> notices_;
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -62,16 +62,16 @@
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
     while (phase_ == Phase::kRests && !in.empty()) {
-      in.Consume(parser_.Take(in.Front()));
+      in.Consume(parser_.Parse(in.Front()));
       if (parser_.failed()) return End(Outcome::kReset);
       if (!parser_.done()) continue;
       const net::HttpMessage request = std::move(parser_.message());
       parser_.Reset();
       Begin(request);
     }
-    if (connection.peer_ended()) End(Outcome::kTimeout);
+    if (connection.peer_closed()) End(Outcome::kTimeout);
   }
-  void OnEnd(net::Connection&, net::Connection::End) override { End(Outcome::kTimeout); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { End(Outcome::kTimeout); }
 
   // It is over: its relay has given up, or its machine goes. A call on its way still arrives.
   void End(Outcome outcome) {
@@ -144,7 +144,7 @@
       for (const Member& member : std::exchange(awaited_, {}))
         if (member.attempt != Ledger::kVoid)
           all_.ledger_.Over(now, member.id, member.attempt, Outcome::kOutOfConnections);
-      connection_->Write(net::WriteAnswer(503, {{"Connection", "close"}}, {}));
+      connection_->Write(net::FormatResponse(503, {{"Connection", "close"}}, {}));
       return all_.sessions_.Drop(*this);
     }
     const bool all_void = !probe_ && std::all_of(members_.begin(), members_.end(), [](const Member& member) {
@@ -206,7 +206,7 @@
     if (wait > 0)
       headers.emplace_back("X-RateLimit-Wait-Ms", std::to_string(static_cast<long>(std::ceil(wait * 1000))));
     phase_ = Phase::kRests;
-    connection_->Write(net::WriteAnswer(status, headers, body));
+    connection_->Write(net::FormatResponse(status, headers, body));
     OnData(*connection_);
   }
 
--- a/lab/sockets/front.cpp
+++ b/lab/sockets/front.cpp
@@ -29,9 +29,9 @@
   bounds.http = {16 * 1024, 64, 64 * 1024};
   bounds.request_bytes = 64 * 1024;
   bounds.connections = 4096;
-  bounds.connect_time = Front::kAnswerTime;
-  bounds.idle_time = 5;  // less than a relay keeps a client's connection
-  bounds.answer_time = bounds.rest_time = Front::kAnswerTime;
+  bounds.connect_timeout = Front::kAnswerTime;
+  bounds.idle_timeout = 5;  // less than a relay keeps a client's connection
+  bounds.response_timeout = bounds.response_rest_timeout = Front::kAnswerTime;
   return bounds;
 }
 
@@ -56,7 +56,7 @@
       timer_ = 0;
       const bool is_same_process = front_.relays_[Index()].starts == starts;
       if (!is_same_process || !connection_->Send(request_.substr(bytes_now)))
-        return OnBroken(net::HttpClient::Broken::kUnwritten, 0);
+        return OnFailure(net::HttpClient::Failure::kNotWritten, 0);
       sent_ = front_.loop_.Now();
       AwaitAnswer();
       connection_->Watch(front_.loop_, *this);
@@ -76,7 +76,7 @@
     sent_ = front_.loop_.Now();
     return request_;
   }
-  void OnAnswer(net::HttpMessage& answer) override {
+  void OnResponse(net::HttpMessage& answer) override {
     const Seconds now = front_.now();
     if (answer.status == 202 || answer.status == 200) {
       front_.answer_times_.Add(front_.loop_.Now() - sent_);
@@ -91,9 +91,9 @@
     }
     front_.Drop(*this);
   }
-  void OnBroken(net::HttpClient::Broken how, int) override {
-    if (how == net::HttpClient::Broken::kNotConnected) front_.Avoid(relay_);
-    if (how == net::HttpClient::Broken::kReset && front_.on_closed)
+  void OnFailure(net::HttpClient::Failure how, int) override {
+    if (how == net::HttpClient::Failure::kNotConnected) front_.Avoid(relay_);
+    if (how == net::HttpClient::Failure::kReset && front_.on_closed)
       front_.on_closed(relay_, id_, connection_ != nullptr);
     ComeElsewhere();
   }
@@ -226,7 +226,7 @@
 
 bool Front::MayTake(int relay) const {
   const Relay& to = relays_[static_cast<std::size_t>(relay)];
-  return to.alive && (!to.open_connections_only || client_.HasIdle({to.address, 0}));
+  return to.alive && (!to.open_connections_only || client_.HasIdleConnection({to.address, 0}));
 }
 
 int Front::PickRelay(int preferred) {
@@ -264,7 +264,7 @@
     headers.emplace_back("Idempotency-Key", "k" + std::to_string(client));
   if (resent != nullptr) headers.emplace_back("X-Resent", resent);
   auto call = std::make_unique<Call>(
-      *this, client, relay, id, net::WriteRequest("POST", "/api", headers, std::string(kBodyBytes, 'x')));
+      *this, client, relay, id, net::FormatRequest("POST", "/api", headers, std::string(kBodyBytes, 'x')));
   Call& added = *call;
   calls_.emplace(&added, std::move(call));
   return added;
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -71,7 +71,7 @@
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
     while (!in.empty()) {
-      in.Consume(parser_.Take(in.Front()));
+      in.Consume(parser_.Parse(in.Front()));
       if (parser_.failed()) return registry_.sessions_.Drop(*this);
       if (!parser_.done()) continue;
       const net::HttpMessage request = std::move(parser_.message());
@@ -79,9 +79,9 @@
       Answer(request);
       if (!connection.open()) return;
     }
-    if (connection.peer_ended()) registry_.sessions_.Drop(*this);
+    if (connection.peer_closed()) registry_.sessions_.Drop(*this);
   }
-  void OnEnd(net::Connection&, net::Connection::End) override { registry_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { registry_.sessions_.Drop(*this); }
 
  private:
   // In a cut nothing comes through; what was sent arrives once it is over.
@@ -137,7 +137,9 @@
                                 notice.value("retry_in_ms", 0.0) / 1000);
     Write(204, {});
   }
-  void Write(int status, const std::string& body) { connection_->Write(net::WriteAnswer(status, {}, body)); }
+  void Write(int status, const std::string& body) {
+    connection_->Write(net::FormatResponse(status, {}, body));
+  }
   void LookAgain() {
     registry_.loop_.Cancel(look_);
     look_ = registry_.loop_.At(registry_.loop_.Now() + kLookEvery, [this] {
--- a/lab/sockets/relay_process.cpp
+++ b/lab/sockets/relay_process.cpp
@@ -20,7 +20,7 @@
   bounds.http = {16 * 1024, 64, 64 * 1024};
   bounds.request_bytes = 4096;
   bounds.connections = 2;
-  bounds.connect_time = bounds.idle_time = bounds.answer_time = bounds.rest_time = 1;
+  bounds.connect_timeout = bounds.idle_timeout = bounds.response_timeout = bounds.response_rest_timeout = 1;
   return bounds;
 }
 
@@ -31,9 +31,9 @@
   explicit Check(RelayProcess& relay) : relay_(relay) {}
 
  private:
-  std::string OnReady() override { return net::WriteRequest("GET", "/health/ready", {{"Host", "lab"}}, {}); }
-  void OnAnswer(net::HttpMessage& answer) override { End(answer.status == 200); }
-  void OnBroken(net::HttpClient::Broken, int) override { End(false); }
+  std::string OnReady() override { return net::FormatRequest("GET", "/health/ready", {{"Host", "lab"}}, {}); }
+  void OnResponse(net::HttpMessage& answer) override { End(answer.status == 200); }
+  void OnFailure(net::HttpClient::Failure, int) override { End(false); }
   void End(bool ready) {
     RelayProcess& relay = relay_;
     relay.loop_.Retire(std::move(relay.check_));
@@ -50,8 +50,8 @@
 
  private:
   std::string OnReady() override { return request_; }
-  void OnAnswer(net::HttpMessage&) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
-  void OnBroken(net::HttpClient::Broken, int) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
+  void OnResponse(net::HttpMessage&) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
+  void OnFailure(net::HttpClient::Failure, int) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
   RelayProcess& relay_;
   const std::string request_;
 };
@@ -157,7 +157,7 @@
 
 void RelayProcess::Order(const std::string& path, std::string body) {
   if (!process_ || posted_ || !pages_) return;
-  posted_ = std::make_unique<Posted>(*this, net::WriteRequest("POST", path, {{"Host", "lab"}}, body));
+  posted_ = std::make_unique<Posted>(*this, net::FormatRequest("POST", path, {{"Host", "lab"}}, body));
   client_.Start({pages_->address(), 0}, *posted_);
 }
 
--- a/lab/sockets/rude_clients.cpp
+++ b/lab/sockets/rude_clients.cpp
@@ -55,7 +55,7 @@
     connection.Close();
     all_.Drop(*this);
   }
-  void OnEnd(Connection&, Connection::End) override { all_.Drop(*this); }
+  void OnClosed(Connection&, Connection::CloseReason) override { all_.Drop(*this); }
 
   net::EventLoop& loop_;
   RudeClients& all_;
--- a/lab/sockets/unwatched_connection.cpp
+++ b/lab/sockets/unwatched_connection.cpp
@@ -9,7 +9,7 @@
 namespace opalroute::lab {
 
 using net::Connection;
-using Broken = net::HttpClient::Broken;
+using Failure = net::HttpClient::Failure;
 
 std::unique_ptr<UnwatchedConnection> UnwatchedConnection::Connect(const sockaddr_in& address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -36,16 +36,16 @@
 
 void UnwatchedConnection::OnData(Connection& connection) {
   net::RingBuffer& in = connection.in();
-  while (!in.empty() && !answer_.done() && !answer_.failed()) in.Consume(answer_.Take(in.Front()));
-  if (connection.peer_ended() && answer_.begun()) answer_.TakeEnd();
-  if (!answer_.done() && !answer_.failed()) return;  // OnEnd follows where the other side has ended
+  while (!in.empty() && !answer_.done() && !answer_.failed()) in.Consume(answer_.Parse(in.Front()));
+  if (connection.peer_closed() && answer_.begun()) answer_.HandleEndOfInput();
+  if (!answer_.done() && !answer_.failed()) return;  // OnClosed follows where the other side has ended
   connection.Close();
   if (answer_.failed()) return Break();
-  call_->OnAnswer(answer_.message());
+  call_->OnResponse(answer_.message());
 }
 
-void UnwatchedConnection::OnEnd(Connection&, Connection::End) { Break(); }
+void UnwatchedConnection::OnClosed(Connection&, Connection::CloseReason) { Break(); }
 
-void UnwatchedConnection::Break() { call_->OnBroken(Broken::kReset, 0); }
+void UnwatchedConnection::Break() { call_->OnFailure(Failure::kReset, 0); }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/unwatched_connection.h
+++ b/lab/sockets/unwatched_connection.h
@@ -27,9 +27,9 @@
   void Watch(net::EventLoop& loop, net::HttpClient::Call& call);
 
  private:
-  explicit UnwatchedConnection(int fd) : fd_(fd), answer_(net::HttpParser::Kind::kAnswer, kBounds) {}
+  explicit UnwatchedConnection(int fd) : fd_(fd), answer_(net::HttpParser::Kind::kResponse, kBounds) {}
   void OnData(net::Connection& connection) override;
-  void OnEnd(net::Connection& connection, net::Connection::End how) override;
+  void OnClosed(net::Connection& connection, net::Connection::CloseReason how) override;
   void Break();
 
   static constexpr net::HttpBounds kBounds{16 * 1024, 64, 64 * 1024};
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -12,11 +12,11 @@
 net::ServerBounds BoundsOf(const Limits& limits) {
   net::ServerBounds bounds = ServerBoundsOf(limits);
   bounds.http.body_bytes = limits.name_bytes;
-  bounds.answer_bytes = limits.admin_bytes;
+  bounds.response_bytes = limits.admin_bytes;
   bounds.connections = limits.admin_connections;
   bounds.reject_connections = 0;
-  bounds.requests_a_turn = 1;
-  bounds.first_time = limits.request_time;
+  bounds.requests_per_turn = 1;
+  bounds.first_request_timeout = limits.request_time;
   return bounds;
 }
 
@@ -36,12 +36,12 @@
       commands_(std::move(commands)),
       http_(loop, listen, BoundsOf(limits), *this) {}
 
-net::HttpAnswer AdminServer::OnRequest(net::HttpMessage& request) {
+net::HttpResponse AdminServer::OnRequest(net::HttpMessage& request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   const Command* command = FindByPath(commands_, path);
   if (request.method == "POST" && command != nullptr) return command->run(request.body);
   const Page* page = FindByPath(pages_, path);
-  if (request.method != "GET" || page == nullptr) return net::PlainAnswer(404, "there is no such page");
+  if (request.method != "GET" || page == nullptr) return net::PlainTextResponse(404, "there is no such page");
   return {200, {{"Content-Type", "application/json"}}, page->print() + "\n", 0};
 }
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -20,7 +20,7 @@
   // Answers POST of `path`, with the request's body, as `run` does.
   struct Command {
     std::string path;
-    std::function<net::HttpAnswer(const std::string& body)> run;
+    std::function<net::HttpResponse(const std::string& body)> run;
   };
   using Pages = std::vector<Page>;
   using Commands = std::vector<Command>;
@@ -31,8 +31,8 @@
   sockaddr_in address() const { return http_.address(); }
 
  private:
-  net::HttpAnswer OnRequest(net::HttpMessage& request) override;
-  void OnAnswerLost(std::uint64_t) override {}
+  net::HttpResponse OnRequest(net::HttpMessage& request) override;
+  void OnResponseLost(std::uint64_t) override {}
 
   const Pages pages_;
   const Commands commands_;
--- a/src/admin/operations_server.cpp
+++ b/src/admin/operations_server.cpp
@@ -9,12 +9,12 @@
 net::ServerBounds BoundsOf(const Limits& limits) {
   net::ServerBounds bounds;
   bounds.http = {limits.head_bytes, limits.header_count, limits.name_bytes};
-  bounds.answer_bytes = limits.door_answer_bytes;
+  bounds.response_bytes = limits.door_answer_bytes;
   bounds.connections = limits.door_connections;
-  bounds.requests_a_turn = 1;
-  bounds.first_time = limits.door_time;
-  bounds.silent_time = limits.client_silent;
-  bounds.linger_time = limits.door_linger;
+  bounds.requests_per_turn = 1;
+  bounds.first_request_timeout = limits.door_time;
+  bounds.silent_timeout = limits.client_silent;
+  bounds.linger_timeout = limits.door_linger;
   bounds.linger_bytes = limits.head_bytes;
   return bounds;
 }
@@ -31,39 +31,40 @@
 OperationsServer::OperationsServer(net::EventLoop& loop, const sockaddr_in& listen, const Limits& limits,
                                    OperationsHandler& handler)
     : handler_(handler), http_(loop, listen, BoundsOf(limits), *this) {
-  http_.CloseAfterAnswers();
+  http_.CloseAfterResponses();
 }
 
-net::HttpAnswer OperationsServer::OnRequest(net::HttpMessage& request) {
+net::HttpResponse OperationsServer::OnRequest(net::HttpMessage& request) {
   std::string_view path = request.target;
   path = path.substr(0, path.find('?'));
   if (path == "/v1/readyz" || path == "/v1/metrics") {
-    if (request.method != "GET") return net::PlainAnswer(405, "GET only");
+    if (request.method != "GET") return net::PlainTextResponse(405, "GET only");
     if (path == "/v1/metrics") return {200, {{"Content-Type", "text/plain"}}, handler_.Metrics(), 0};
-    return handler_.AcceptsClients() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
+    return handler_.AcceptsClients() ? net::PlainTextResponse(200, "ready")
+                                     : net::PlainTextResponse(503, "not ready");
   }
   if (RemovePrefix(path, "/v1/endpoints/")) return OnEndpointCommand(request, path);
-  return net::PlainAnswer(404, "no such call");
+  return net::PlainTextResponse(404, "no such call");
 }
 
-net::HttpAnswer OperationsServer::OnEndpointCommand(const net::HttpMessage& request,
-                                                    std::string_view command_path) {
+net::HttpResponse OperationsServer::OnEndpointCommand(const net::HttpMessage& request,
+                                                      std::string_view command_path) {
   const std::size_t slash = command_path.rfind('/');
-  if (slash == std::string_view::npos || slash == 0) return net::PlainAnswer(404, "no such call");
+  if (slash == std::string_view::npos || slash == 0) return net::PlainTextResponse(404, "no such call");
   const std::string id(command_path.substr(0, slash));
   const std::string command(command_path.substr(slash + 1));
-  if (command != "suspend" && command != "resume") return net::PlainAnswer(404, "no such call");
-  if (request.method != "POST") return net::PlainAnswer(405, "POST only");
+  if (command != "suspend" && command != "resume") return net::PlainTextResponse(404, "no such call");
+  if (request.method != "POST") return net::PlainTextResponse(405, "POST only");
   switch (handler_.SetSuspended(id, command == "suspend")) {
     case CommandResult::kUnknownEndpoint:
-      return net::PlainAnswer(404, "endpoint " + id + " was never listed");
+      return net::PlainTextResponse(404, "endpoint " + id + " was never listed");
     case CommandResult::kNotPersisted:
-      return net::PlainAnswer(507, "nothing changed: the state folder can't be written");
+      return net::PlainTextResponse(507, "nothing changed: the state folder can't be written");
     case CommandResult::kDone:
       break;
   }
   log::Info("endpoint_command", {{"endpoint", id}, {"command", command}});
-  return net::PlainAnswer(200, "done");
+  return net::PlainTextResponse(200, "done");
 }
 
 }  // namespace opalroute::admin
--- a/src/admin/operations_server.h
+++ b/src/admin/operations_server.h
@@ -37,10 +37,10 @@
   sockaddr_in address() const { return http_.address(); }
 
  private:
-  net::HttpAnswer OnRequest(net::HttpMessage& request) override;
-  void OnAnswerLost(std::uint64_t) override {}
+  net::HttpResponse OnRequest(net::HttpMessage& request) override;
+  void OnResponseLost(std::uint64_t) override {}
   // `command_path`: what follows /v1/endpoints/.
-  net::HttpAnswer OnEndpointCommand(const net::HttpMessage& request, std::string_view command_path);
+  net::HttpResponse OnEndpointCommand(const net::HttpMessage& request, std::string_view command_path);
 
   OperationsHandler& handler_;
   net::HttpServer http_;
--- a/src/admin/zone_command.cpp
+++ b/src/admin/zone_command.cpp
@@ -33,15 +33,15 @@
   return command;
 }
 
-net::HttpAnswer HandleZoneCommand(const std::string& body,
-                                  const std::function<bool(const ZoneCommand&)>& apply) {
+net::HttpResponse HandleZoneCommand(const std::string& body,
+                                    const std::function<bool(const ZoneCommand&)>& apply) {
   try {
     const ZoneCommand command = ParseZoneCommand(body);
-    if (!apply(command)) return net::PlainAnswer(404, "there is no zone '" + command.zone + "'");
+    if (!apply(command)) return net::PlainTextResponse(404, "there is no zone '" + command.zone + "'");
   } catch (const config::FieldError& error) {
-    return net::PlainAnswer(400, error.what());
+    return net::PlainTextResponse(400, error.what());
   }
-  return net::PlainAnswer(200, "done");
+  return net::PlainTextResponse(200, "done");
 }
 
 }  // namespace opalroute
--- a/src/admin/zone_command.h
+++ b/src/admin/zone_command.h
@@ -22,7 +22,7 @@
 
 // Parses `body` and hands the command to `apply`, which returns whether the zone exists. Answers 200, 400
 // with what is wrong with the body, or 404 for an unknown zone.
-net::HttpAnswer HandleZoneCommand(const std::string& body,
-                                  const std::function<bool(const ZoneCommand&)>& apply);
+net::HttpResponse HandleZoneCommand(const std::string& body,
+                                    const std::function<bool(const ZoneCommand&)>& apply);
 
 }  // namespace opalroute
--- a/src/cli/page.cpp
+++ b/src/cli/page.cpp
@@ -33,19 +33,20 @@
     bounds.http = {limits.head_bytes, limits.header_count, limits.admin_bytes};
     bounds.request_bytes = limits.head_bytes;
     bounds.connections = 1;
-    bounds.connect_time = bounds.idle_time = bounds.answer_time = bounds.rest_time = kTime;
+    bounds.connect_timeout = bounds.idle_timeout = bounds.response_timeout = bounds.response_rest_timeout =
+        kTime;
     return bounds;
   }
   std::string OnReady() override {
-    return net::WriteRequest(body_.empty() ? "GET" : "POST", path_, {{"Host", "admin"}}, body_);
+    return net::FormatRequest(body_.empty() ? "GET" : "POST", path_, {{"Host", "admin"}}, body_);
   }
-  void OnAnswer(net::HttpMessage& answer) override {
+  void OnResponse(net::HttpMessage& answer) override {
     status = answer.status;
     text = std::move(answer.body);
     settled_ = true;
     loop_.Stop();
   }
-  void OnBroken(net::HttpClient::Broken, int) override {
+  void OnFailure(net::HttpClient::Failure, int) override {
     settled_ = true;
     loop_.Stop();
   }
--- a/src/discovery/list_watch.cpp
+++ b/src/discovery/list_watch.cpp
@@ -57,9 +57,9 @@
       since_(since),
       limits_(limits),
       handler_(handler),
-      parser_(net::HttpParser::Kind::kAnswer, BoundsOf(limits)),
+      parser_(net::HttpParser::Kind::kResponse, BoundsOf(limits)),
       timer_(loop) {
-  parser_.StreamTo([this](std::string_view chunk) { ReadChunk(chunk); });
+  parser_.StreamBodyTo([this](std::string_view chunk) { ReadChunk(chunk); });
   connection_ = net::Connection::Connect(loop_, address_, *this, limits_.head_bytes, limits_.head_bytes);
   ExpectLine(connection_ ? limits_.list_time : 0);
 }
@@ -84,14 +84,14 @@
 
 void ListWatch::OnOpen(net::Connection& connection) {
   const std::string since = since_ ? "&since=" + std::to_string(*since_) : "";
-  connection.Write(net::WriteRequest("GET", "/registry/instances?follow=1" + since,
-                                     {{"Host", net::FormatAddress(address_)}}, ""));
+  connection.Write(net::FormatRequest("GET", "/registry/instances?follow=1" + since,
+                                      {{"Host", net::FormatAddress(address_)}}, ""));
 }
 
 void ListWatch::OnData(net::Connection& connection) {
   net::RingBuffer& in = connection.in();
   while (!in.empty() && !parser_.done() && !parser_.failed() && !unreadable_) {
-    in.Consume(parser_.Take(in.Front()));
+    in.Consume(parser_.Parse(in.Front()));
   }
   DeliverLines();
   if (!connection_) return;
@@ -113,7 +113,7 @@
   }
 }
 
-void ListWatch::OnEnd(net::Connection&, net::Connection::End) { End(WatchEnd::kConnectionClosed); }
+void ListWatch::OnClosed(net::Connection&, net::Connection::CloseReason) { End(WatchEnd::kConnectionClosed); }
 
 // Lines may be cut anywhere between chunks. An empty line or a complete object extends the time given for the
 // next one; an object that is never finished does not.
--- a/src/discovery/list_watch.h
+++ b/src/discovery/list_watch.h
@@ -53,7 +53,7 @@
  private:
   void OnOpen(net::Connection& connection) override;
   void OnData(net::Connection& connection) override;
-  void OnEnd(net::Connection& connection, net::Connection::End how) override;
+  void OnClosed(net::Connection& connection, net::Connection::CloseReason how) override;
 
   void ReadChunk(std::string_view chunk);
   void ReadLine();
--- a/src/dns/tcp_channel.cpp
+++ b/src/dns/tcp_channel.cpp
@@ -86,6 +86,6 @@
   }
 }
 
-void TcpChannel::OnEnd(net::Connection&, net::Connection::End) { FailAll(); }
+void TcpChannel::OnClosed(net::Connection&, net::Connection::CloseReason) { FailAll(); }
 
 }  // namespace opalroute::dns
--- a/src/dns/tcp_channel.h
+++ b/src/dns/tcp_channel.h
@@ -30,7 +30,7 @@
 
  private:
   void OnData(net::Connection& connection) override;
-  void OnEnd(net::Connection& connection, net::Connection::End how) override;
+  void OnClosed(net::Connection& connection, net::Connection::CloseReason how) override;
   void Close();
   void FailAll();
   void RestIfIdle();
--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -54,28 +54,29 @@
   if (sound) ++counters_.Of(rejected.request_class).dropped;
 }
 
-net::HttpAnswer RequestListener::OnRequest(net::HttpMessage& request) {
+net::HttpResponse RequestListener::OnRequest(net::HttpMessage& request) {
   const std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/api")
-    return request.method == "POST" ? OnRequestPosted(request) : net::PlainAnswer(405, "POST only");
-  if (request.method != "GET") return net::PlainAnswer(404, "nothing here");
+    return request.method == "POST" ? OnRequestPosted(request) : net::PlainTextResponse(405, "POST only");
+  if (request.method != "GET") return net::PlainTextResponse(404, "nothing here");
   if (path == "/health/ready")
-    return requests_.Ready() ? net::PlainAnswer(200, "ready") : net::PlainAnswer(503, "not ready");
-  if (path == "/health/live") return net::PlainAnswer(200, "alive");
+    return requests_.Ready() ? net::PlainTextResponse(200, "ready")
+                             : net::PlainTextResponse(503, "not ready");
+  if (path == "/health/live") return net::PlainTextResponse(200, "alive");
   if (path == "/counters") return {200, {{"Content-Type", "application/json"}}, counters_.Print() + "\n", 0};
-  return net::PlainAnswer(404, "nothing here");
+  return net::PlainTextResponse(404, "nothing here");
 }
 
-void RequestListener::OnAnswerLost(std::uint64_t ticket) { requests_.Abort(ticket); }
+void RequestListener::OnResponseLost(std::uint64_t ticket) { requests_.Abort(ticket); }
 
-net::HttpAnswer RequestListener::OnRequestPosted(net::HttpMessage& request) {
+net::HttpResponse RequestListener::OnRequestPosted(net::HttpMessage& request) {
   ++counters_.requests;
   ClientRequest client_request;
   const std::string fault = Read(request, client_request);
   if (!fault.empty()) {
     ++counters_.bad_requests;
     log::Debug("bad_request", {{"why", fault}});  // counted; bad clients must not fill the log
-    return net::PlainAnswer(400, fault);
+    return net::PlainTextResponse(400, fault);
   }
   std::uint64_t ticket = 0;
   const int request_class = client_request.request_class;
@@ -96,19 +97,19 @@
       return Reject(request_class, "destination not known yet");
     case AcceptResult::kIdInUse:
       ++counters_.bad_requests;
-      return net::PlainAnswer(409, "X-Txn: this id is another message's");
+      return net::PlainTextResponse(409, "X-Txn: this id is another message's");
     default:
       ++counters_.bad_requests;
-      return net::PlainAnswer(404, "X-Addressing: no such destination");
+      return net::PlainTextResponse(404, "X-Addressing: no such destination");
   }
 }
 
-net::HttpAnswer RequestListener::Reject(int request_class, const char* why) {
+net::HttpResponse RequestListener::Reject(int request_class, const char* why) {
   ++counters_.Of(request_class).dropped;
   if (log::Writes(log::Level::debug))
     log::Debug("client_rejected", {{"class", config_.classes[request_class]}, {"why", why}});
-  net::HttpAnswer answer = net::PlainAnswer(503, why);
-  answer.headers.emplace_back("Retry-After", net::WriteSeconds(config_.limits.reject_wait));
+  net::HttpResponse answer = net::PlainTextResponse(503, why);
+  answer.headers.emplace_back("Retry-After", net::FormatSeconds(config_.limits.reject_wait));
   return answer;
 }
 
--- a/src/ingress/request_listener.h
+++ b/src/ingress/request_listener.h
@@ -53,13 +53,13 @@
   net::HttpServer& http() { return http_; }
 
  private:
-  net::HttpAnswer OnRequest(net::HttpMessage& request) override;
-  void OnAnswerLost(std::uint64_t ticket) override;
+  net::HttpResponse OnRequest(net::HttpMessage& request) override;
+  void OnResponseLost(std::uint64_t ticket) override;
   void OnReject(net::HttpMessage& request) override;
-  net::HttpAnswer OnRequestPosted(net::HttpMessage& request);
+  net::HttpResponse OnRequestPosted(net::HttpMessage& request);
   // Fills `out`; returns what is wrong with the request, or an empty text.
   std::string Read(net::HttpMessage& request, ClientRequest& out) const;
-  net::HttpAnswer Reject(int request_class, const char* why);
+  net::HttpResponse Reject(int request_class, const char* why);
 
   const Config& config_;
   Counters& counters_;
--- a/src/ingress/server_bounds.h
+++ b/src/ingress/server_bounds.h
@@ -9,18 +9,18 @@
 inline net::ServerBounds ServerBoundsOf(const Limits& limits) {
   net::ServerBounds bounds;
   bounds.http = {limits.head_bytes, limits.header_count, limits.body_bytes};
-  bounds.answer_bytes = limits.head_bytes;
+  bounds.response_bytes = limits.head_bytes;
   bounds.connections = limits.client_connections;
   bounds.reject_connections = limits.reject_connections;
-  bounds.requests_a_turn = limits.requests_a_turn;
-  bounds.first_time = limits.first_time;
-  bounds.request_time = limits.request_time;
-  bounds.rest_time = limits.client_rest;
-  bounds.silent_time = limits.client_silent;
-  bounds.linger_time = limits.client_linger;
+  bounds.requests_per_turn = limits.requests_a_turn;
+  bounds.first_request_timeout = limits.first_time;
+  bounds.request_timeout = limits.request_time;
+  bounds.crowded_idle_timeout = limits.client_rest;
+  bounds.silent_timeout = limits.client_silent;
+  bounds.linger_timeout = limits.client_linger;
   bounds.linger_bytes = limits.linger_bytes;
-  bounds.idle_time = limits.client_idle;
-  bounds.reject_wait = limits.reject_wait;
+  bounds.idle_timeout = limits.client_idle;
+  bounds.reject_retry_after = limits.reject_wait;
   return bounds;
 }
 
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using net::Frame;
+using net::EncodeFrame;
 
 constexpr std::size_t kOtherFilesBytes = 4 * kDiskBlockBytes;  // left to small files beside the journal
 constexpr std::size_t kBytesPerRequestToCome = 512;  // reserved for an attempt, an end, a notification
@@ -164,7 +164,7 @@
 }
 
 bool Journal::Write(const std::string& record) {
-  return record.size() <= journal_record::kMaxBytes && WritePendingEnds() && WriteFrames(Frame(record));
+  return record.size() <= journal_record::kMaxBytes && WritePendingEnds() && WriteFrames(EncodeFrame(record));
 }
 
 // Invariant: ends are written in their order and before any other record. An id whose end is not written
@@ -172,7 +172,7 @@
 bool Journal::WritePendingEnds() {
   while (!pending_ends_.empty()) {
     const std::string record = pending_ends_.front();
-    if (!WriteFrames(Frame(record))) return false;
+    if (!WriteFrames(EncodeFrame(record))) return false;
     const bool compacted = pending_ends_.empty();
     if (!compacted) pending_ends_.erase(pending_ends_.begin());
   }
--- a/src/journal/journal_file.cpp
+++ b/src/journal/journal_file.cpp
@@ -32,7 +32,7 @@
   for (;;) {
     const net::FrameRead frame =
         net::ReadFrame(std::string_view(content).substr(bytes_), journal_record::kMaxBytes);
-    if (frame.state != net::FrameState::kWhole || !apply(frame.record)) break;
+    if (frame.state != net::FrameState::kComplete || !apply(frame.record)) break;
     bytes_ += frame.size;
   }
   const std::size_t lost_bytes = content.size() - bytes_;
--- a/src/journal/journal_record.cpp
+++ b/src/journal/journal_record.cpp
@@ -164,29 +164,29 @@
   if (!entry.notification.empty()) {
     JournalEntry ended;
     ended.id = entry.id;
-    return net::Frame(EncodeAccepted(ended)) +
-           net::Frame(EncodeEndWithNotification(entry.id, entry.notification));
+    return net::EncodeFrame(EncodeAccepted(ended)) +
+           net::EncodeFrame(EncodeEndWithNotification(entry.id, entry.notification));
   }
-  std::string frames = net::Frame(EncodeAccepted(entry));
+  std::string frames = net::EncodeFrame(EncodeAccepted(entry));
   for (std::size_t i = 0; i < entry.attempts.size(); ++i) {
-    frames += net::Frame(EncodeAttempt(entry.id, entry.attempts[i]));
-    if (!entry.attempts[i].may_have_run) frames += net::Frame(EncodeNotExecuted(entry.id, i));
+    frames += net::EncodeFrame(EncodeAttempt(entry.id, entry.attempts[i]));
+    if (!entry.attempts[i].may_have_run) frames += net::EncodeFrame(EncodeNotExecuted(entry.id, i));
   }
   return frames;
 }
 
 std::size_t FrameBytesOfAccepted(const JournalEntry& entry) {
-  return net::kFrameHead + HeaderBytes(entry.id) + TextBytes(entry.request_class) + TextBytes(entry.tenant) +
-         TextBytes(entry.key) + TextBytes(entry.body) + 2 * kNumberBytes;
+  return net::kFrameHeaderSize + HeaderBytes(entry.id) + TextBytes(entry.request_class) +
+         TextBytes(entry.tenant) + TextBytes(entry.key) + TextBytes(entry.body) + 2 * kNumberBytes;
 }
 
 std::size_t FrameBytesOfAttempt(const std::string& id, const JournalAttempt& attempt) {
-  return net::kFrameHead + HeaderBytes(id) + TextBytes(attempt.endpoint) + TextBytes(attempt.zone) +
+  return net::kFrameHeaderSize + HeaderBytes(id) + TextBytes(attempt.endpoint) + TextBytes(attempt.zone) +
          kNumberBytes;
 }
 
 std::size_t FrameBytesOfNotExecuted(const std::string& id) {
-  return net::kFrameHead + HeaderBytes(id) + kNumberBytes;
+  return net::kFrameHeaderSize + HeaderBytes(id) + kNumberBytes;
 }
 
 }  // namespace opalroute::journal_record
--- a/src/journal/persistent_clock.cpp
+++ b/src/journal/persistent_clock.cpp
@@ -31,7 +31,7 @@
   const std::optional<std::string> bytes = ReadFileIfExists(path());
   if (bytes) {
     const net::FrameRead frame = net::ReadFrame(*bytes, kMaxRecordBytes);
-    resumed_ = frame.state == net::FrameState::kWhole && Resume(frame.record);
+    resumed_ = frame.state == net::FrameState::kComplete && Resume(frame.record);
     persisted_ = resumed_;
   }
   if (!resumed_) offset_ = clock_.WallMicros() - MonotonicMicros();
@@ -62,7 +62,7 @@
   if (persisted_) return true;
   const nlohmann::json record = {
       {"version", kVersion}, {"boot", boot_id_}, {"offset", offset_}, {"monotonic", MonotonicMicros()}};
-  persisted_ = ReplaceFile(path(), net::Frame(record.dump()));
+  persisted_ = ReplaceFile(path(), net::EncodeFrame(record.dump()));
   return persisted_;
 }
 
--- a/src/net/base64.h
+++ b/src/net/base64.h
@@ -1,4 +1,4 @@
-// Base64 with padding (RFC 4648).
+// Base64 (RFC 4648). Encoding pads; decoding stops at the first padding character.
 #pragma once
 
 #include <optional>
@@ -7,6 +7,7 @@
 namespace opalroute::net {
 
 std::string EncodeBase64(const std::string& bytes);
-std::optional<std::string> DecodeBase64(const std::string& text);  // none: it is no Base64
+// Returns nullopt for a character outside of the alphabet.
+std::optional<std::string> DecodeBase64(const std::string& text);
 
 }  // namespace opalroute::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,4 +1,5 @@
-// The one source of time: a steady clock for everything inside, the wall clock for what outlives the process.
+// The only source of time: a steady clock for use within the process, and the wall clock for times that
+// outlive it.
 #pragma once
 
 #include <cstdint>
@@ -10,8 +11,8 @@
 class Clock {
  public:
   virtual ~Clock() = default;
-  virtual Seconds Now() const = 0;              // never goes back
-  virtual std::int64_t WallMicros() const = 0;  // Unix time
+  virtual Seconds Now() const = 0;              // monotonic
+  virtual std::int64_t WallMicros() const = 0;  // microseconds since the Unix epoch
 };
 
 class SystemClock : public Clock {
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -12,34 +12,35 @@
 
 namespace opalroute::net {
 
-Connection::Connection(EventLoop& loop, int fd, Owner& owner, std::size_t most_in, std::size_t most_out)
-    : loop_(loop), owner_(owner), fd_(fd), in_(most_in), out_(most_out) {
+Connection::Connection(EventLoop& loop, int fd, Owner& owner, std::size_t max_in, std::size_t max_out)
+    : loop_(loop), owner_(owner), fd_(fd), in_(max_in), out_(max_out) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
 Connection::~Connection() { Close(); }
 
-std::unique_ptr<Connection> Connection::Adopt(EventLoop& loop, int fd, Owner& owner, std::size_t most_in,
-                                              std::size_t most_out) {
-  std::unique_ptr<Connection> connection(new Connection(loop, fd, owner, most_in, most_out));
+std::unique_ptr<Connection> Connection::Adopt(EventLoop& loop, int fd, Owner& owner, std::size_t max_in,
+                                              std::size_t max_out) {
+  std::unique_ptr<Connection> connection(new Connection(loop, fd, owner, max_in, max_out));
   return loop.Add(fd, connection.get()) ? std::move(connection) : nullptr;
 }
 
 std::unique_ptr<Connection> Connection::Connect(EventLoop& loop, const sockaddr_in& to, Owner& owner,
-                                                std::size_t most_in, std::size_t most_out) {
+                                                std::size_t max_in, std::size_t max_out) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return nullptr;
-  std::unique_ptr<Connection> connection(new Connection(loop, fd, owner, most_in, most_out));
+  std::unique_ptr<Connection> connection(new Connection(loop, fd, owner, max_in, max_out));
   connection->connecting_ = true;
   const int result = connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to));
   const int error = result < 0 ? errno : 0;
   if (IsLocalConnectError(error)) return nullptr;
-  // Interrupted, it goes on like any other (connect(2)).
+  // After EINTR the connection is established asynchronously, as after EINPROGRESS (connect(2)).
   if (error == 0 || error == EINPROGRESS || error == EINTR)
     return loop.Add(fd, connection.get()) ? std::move(connection) : nullptr;
-  // Danger: the call has taken the socket's error, and an event would find none.
-  connection->GoOnAfter(0);
+  // connect has returned the socket's pending error and cleared it: SO_ERROR would be 0 at the next event. So
+  // the failure is reported by a timer.
+  connection->ResumeAfter(0);
   return connection;
 }
 
@@ -50,7 +51,7 @@
     int error = 0;
     socklen_t size = sizeof(error);
     if (getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size) < 0 || error != 0)
-      return Finish(End::kNotConnected);
+      return Finish(CloseReason::kNotConnected);
     connecting_ = false;
     owner_.OnOpen(*this);
     if (fd_ < 0) return;
@@ -62,35 +63,35 @@
   if (fd_ >= 0 && (events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) Read();
 }
 
-// Edge-triggered: reads until the socket has no more, or the ring is full and its owner takes nothing.
-// Danger: one who sends at full speed would hold the only thread. After a ring's worth the others have a
-// turn.
+// Events are edge-triggered: reads until the socket has no more bytes, or the buffer is full and the owner
+// consumes nothing. One call reads no more bytes than the buffer holds, and then lets other connections have
+// a turn: a peer that sends at full speed would otherwise occupy the only thread.
 void Connection::Read() {
-  std::size_t left = in_.most();
+  std::size_t left = in_.max_size();
   while (fd_ >= 0) {
-    bool drained = false, reset = false, short_of = false;
-    while (!in_.full() && !drained && !peer_ended_ && !reset && left > 0) {
+    bool drained = false, reset = false, shortage = false;
+    while (!in_.full() && !drained && !peer_closed_ && !reset && left > 0) {
       const ssize_t count = in_.ReadFrom(fd_);
       if (count > 0) left -= std::min(left, static_cast<std::size_t>(count));
-      if (count == 0) peer_ended_ = true;
+      if (count == 0) peer_closed_ = true;
       if (count < 0 && errno == EINTR) continue;
       if (count >= 0) continue;
-      short_of = IsShortage(errno);
-      (errno == EAGAIN || short_of ? drained : reset) = true;
+      shortage = IsResourceShortage(errno);
+      (errno == EAGAIN || shortage ? drained : reset) = true;
     }
-    if (short_of) GoOnAfter(kShortagePause);
+    if (shortage) ResumeAfter(kShortageRetryDelay);
     const bool was_full = in_.full();
-    if (reset) peer_ended_ = true;
+    if (reset) peer_closed_ = true;
     owner_.OnData(*this);
     if (fd_ < 0) return;
-    if (reset) return Finish(End::kReset);
-    if (peer_ended_) return Finish(End::kEnded);
+    if (reset) return Finish(CloseReason::kReset);
+    if (peer_closed_) return Finish(CloseReason::kPeerClosed);
     if (drained || (was_full && in_.full())) return;
-    if (left == 0) return loop_.Rearm(fd_, this) ? void() : GoOnAfter(kShortagePause);
+    if (left == 0) return loop_.Rearm(fd_, this) ? void() : ResumeAfter(kShortageRetryDelay);
   }
 }
 
-void Connection::ReadOn() {
+void Connection::ResumeReading() {
   if (open()) Read();
 }
 
@@ -100,14 +101,14 @@
   return true;
 }
 
-// What fails here is told in a later turn, not inside the owner's own call. Danger: neither a shortage nor
-// every break raises an event.
+// A failure is reported in a later iteration of the loop, not from within the owner's own call. That takes a
+// timer: epoll reports no event for a resource shortage, nor for every broken connection.
 void Connection::Flush() {
   while (!out_.empty()) {
     if (out_.WriteTo(fd_) >= 0 || errno == EINTR) continue;
     if (errno == EAGAIN) return;
-    broken_ = !IsShortage(errno);
-    return GoOnAfter(broken_ ? 0 : kShortagePause);
+    write_failed_ = !IsResourceShortage(errno);
+    return ResumeAfter(write_failed_ ? 0 : kShortageRetryDelay);
   }
   if (close_when_written_) {
     shutdown(fd_, SHUT_WR);
@@ -115,23 +116,23 @@
   }
 }
 
-void Connection::GoOnAfter(Seconds pause) {
-  if (go_on_ != 0 || fd_ < 0) return;
-  go_on_ = loop_.At(loop_.Now() + pause, [this] {
-    go_on_ = 0;
-    GoOn();
+void Connection::ResumeAfter(Seconds pause) {
+  if (resume_timer_ != 0 || fd_ < 0) return;
+  resume_timer_ = loop_.At(loop_.Now() + pause, [this] {
+    resume_timer_ = 0;
+    Resume();
   });
 }
 
-void Connection::GoOn() {
-  if (connecting_) return Finish(End::kNotConnected);
-  if (!broken_) return OnEvents(EPOLLIN | EPOLLOUT);
-  Read();  // what the other side had sent before counts
-  if (fd_ >= 0) Finish(End::kReset);
+void Connection::Resume() {
+  if (connecting_) return Finish(CloseReason::kNotConnected);
+  if (!write_failed_) return OnEvents(EPOLLIN | EPOLLOUT);
+  Read();  // delivers what the peer had sent before the connection broke
+  if (fd_ >= 0) Finish(CloseReason::kReset);
 }
 
-// The other side's end of its sending, or a time-out of the owner's, closes the socket itself: closing it
-// with unread bytes would reset the answer away.
+// The socket itself is closed when the peer closes its side, or by a timeout of the owner: closing it with
+// unread bytes would reset the connection, and the peer could lose the response.
 void Connection::CloseWhenWritten() {
   close_when_written_ = true;
   if (open()) Flush();
@@ -148,17 +149,17 @@
 
 bool Connection::SeemsAlive() const {
   const int error = Peek();
-  return !broken_ && (error == EAGAIN || IsShortage(error));
+  return !write_failed_ && (error == EAGAIN || IsResourceShortage(error));
 }
 
-void Connection::Finish(End how) {
+void Connection::Finish(CloseReason how) {
   Close();
-  owner_.OnEnd(*this, how);
+  owner_.OnClosed(*this, how);
 }
 
 void Connection::Close() {
   if (fd_ < 0) return;
-  loop_.Cancel(go_on_);
+  loop_.Cancel(resume_timer_);
   loop_.Remove(fd_);
   close(fd_);
   fd_ = -1;
--- a/src/net/datagram.cpp
+++ b/src/net/datagram.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-constexpr int kErrorsATurn = 16;
+constexpr int kMaxErrorsPerEvent = 16;
 
 }  // namespace
 
-DatagramSocket::DatagramSocket(EventLoop& loop, const sockaddr_in& listen, std::size_t most, Taken taken,
-                               Refused refused)
+DatagramSocket::DatagramSocket(EventLoop& loop, const sockaddr_in& listen, std::size_t max_size,
+                               ReceiveCallback on_receive, RefusedCallback on_refused)
     : loop_(loop),
-      most_(most),
-      taken_(std::move(taken)),
-      refused_(std::move(refused)),
+      max_size_(max_size),
+      on_receive_(std::move(on_receive)),
+      on_refused_(std::move(on_refused)),
       fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
   if (fd_ < 0 || bind(fd_, reinterpret_cast<const sockaddr*>(&listen), sizeof(listen)) < 0 ||
       !loop_.Add(fd_, this)) {
@@ -34,7 +34,7 @@
     throw std::system_error(error, std::generic_category(), "datagram socket");
   }
   const int on = 1;
-  if (refused_ && setsockopt(fd_, IPPROTO_IP, IP_RECVERR, &on, sizeof(on)) != 0) refused_ = nullptr;
+  if (on_refused_ && setsockopt(fd_, IPPROTO_IP, IP_RECVERR, &on, sizeof(on)) != 0) on_refused_ = nullptr;
 }
 
 DatagramSocket::~DatagramSocket() {
@@ -43,37 +43,38 @@
 }
 
 bool DatagramSocket::Send(const sockaddr_in& to, const std::string& bytes) {
-  if (bytes.size() > most_) return false;
+  if (bytes.size() > max_size_) return false;
   const auto* address = reinterpret_cast<const sockaddr*>(&to);
-  // The first try may hear of the fate of an earlier datagram in place of its own, or be interrupted.
-  for (int tries = 0; tries < 2; ++tries) {
+  // The first attempt may report a pending error of an earlier datagram instead of its own, or be
+  // interrupted.
+  for (int attempt = 0; attempt < 2; ++attempt) {
     if (sendto(fd_, bytes.data(), bytes.size(), 0, address, sizeof(to)) >= 0) return true;
-    if (errno == EAGAIN || IsShortage(errno)) return false;
+    if (errno == EAGAIN || IsResourceShortage(errno)) return false;
   }
   return false;
 }
 
 void DatagramSocket::OnEvents(std::uint32_t events) {
   if ((events & (EPOLLIN | EPOLLERR)) == 0) return;
-  if (refused_ && (events & EPOLLERR) != 0) ReadErrors();
-  for (int errors = 0; errors < kErrorsATurn;) {
-    std::string bytes(most_ + 1, '\0');
+  if (on_refused_ && (events & EPOLLERR) != 0) ReadErrors();
+  for (int errors = 0; errors < kMaxErrorsPerEvent;) {
+    std::string bytes(max_size_ + 1, '\0');
     sockaddr_in from{};
     socklen_t size = sizeof(from);
     const ssize_t count =
         recvfrom(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (count < 0 && errno == EAGAIN) return;
-    if (count < 0) {  // of an earlier datagram, mostly: what has come still stands behind it
+    if (count < 0) {  // usually that of a datagram sent earlier: received ones may still be queued
       ++errors;
       continue;
     }
-    if (static_cast<std::size_t>(count) > most_) continue;
+    if (static_cast<std::size_t>(count) > max_size_) continue;
     bytes.resize(static_cast<std::size_t>(count));
-    taken_(from, std::move(bytes));
+    on_receive_(from, std::move(bytes));
   }
 }
 
-// Each error in the queue carries the address that its datagram was sent to.
+// Each entry of the error queue carries the address that the failed datagram was sent to.
 void DatagramSocket::ReadErrors() {
   for (;;) {
     sockaddr_in to{};
@@ -84,11 +85,12 @@
     message.msg_control = control;
     message.msg_controllen = sizeof(control);
     if (recvmsg(fd_, &message, MSG_ERRQUEUE) < 0) return;
-    for (cmsghdr* c = CMSG_FIRSTHDR(&message); c != nullptr; c = CMSG_NXTHDR(&message, c)) {
-      if (c->cmsg_level != IPPROTO_IP || c->cmsg_type != IP_RECVERR) continue;
+    for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr;
+         header = CMSG_NXTHDR(&message, header)) {
+      if (header->cmsg_level != IPPROTO_IP || header->cmsg_type != IP_RECVERR) continue;
       sock_extended_err error{};
-      std::memcpy(&error, CMSG_DATA(c), sizeof(error));
-      if (error.ee_origin == SO_EE_ORIGIN_ICMP && error.ee_errno == ECONNREFUSED) refused_(to);
+      std::memcpy(&error, CMSG_DATA(header), sizeof(error));
+      if (error.ee_origin == SO_EE_ORIGIN_ICMP && error.ee_errno == ECONNREFUSED) on_refused_(to);
     }
   }
 }
--- a/src/net/event_loop.cpp
+++ b/src/net/event_loop.cpp
@@ -33,7 +33,7 @@
 
 namespace {
 
-epoll_event EdgesFor(EventHandler* handler) {
+epoll_event MakeEpollEvent(EventHandler* handler) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
   event.data.ptr = handler;
@@ -43,42 +43,42 @@
 }  // namespace
 
 bool EventLoop::Add(int fd, EventHandler* handler) {
-  epoll_event event = EdgesFor(handler);
+  epoll_event event = MakeEpollEvent(handler);
   return epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event) == 0;
 }
 
 bool EventLoop::Rearm(int fd, EventHandler* handler) {
-  epoll_event event = EdgesFor(handler);
+  epoll_event event = MakeEpollEvent(handler);
   return epoll_ctl(epoll_, EPOLL_CTL_MOD, fd, &event) == 0;
 }
 
 void EventLoop::Remove(int fd) { epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr); }
 
-EventLoop::TimerId EventLoop::At(Seconds when, std::function<void()> due) {
-  const TimerId id = ++last_timer_;
-  due_[id] = timers_.emplace(std::make_pair(when, id), std::move(due)).first;
+EventLoop::TimerId EventLoop::At(Seconds when, std::function<void()> callback) {
+  const TimerId id = ++last_timer_id_;
+  timer_positions_[id] = timers_.emplace(std::make_pair(when, id), std::move(callback)).first;
   return id;
 }
 
 void EventLoop::Cancel(TimerId& timer) {
-  const auto it = due_.find(std::exchange(timer, 0));
-  if (it == due_.end()) return;
+  const auto it = timer_positions_.find(std::exchange(timer, 0));
+  if (it == timer_positions_.end()) return;
   timers_.erase(it->second);
-  due_.erase(it);
+  timer_positions_.erase(it);
 }
 
 void EventLoop::RunTimers() {
   const Seconds now = Now();
   while (!timers_.empty() && timers_.begin()->first.first <= now) {
-    const auto due = std::move(timers_.begin()->second);
-    due_.erase(timers_.begin()->first.second);
+    const auto callback = std::move(timers_.begin()->second);
+    timer_positions_.erase(timers_.begin()->first.second);
     timers_.erase(timers_.begin());
-    due();
+    callback();
   }
 }
 
-void EventLoop::RunOnce(Seconds longest_wait) {
-  Seconds wait = longest_wait;
+void EventLoop::RunOnce(Seconds max_wait) {
+  Seconds wait = max_wait;
   if (!timers_.empty()) wait = std::min(wait, timers_.begin()->first.first - Now());
   std::array<epoll_event, 64> events;
   const int milliseconds = static_cast<int>(std::ceil(std::clamp(wait, 0.0, 60.0) * 1000));
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,4 +1,4 @@
-// One thread, one epoll set (edge-triggered) and timers on an injected clock.
+// A single-threaded event loop: an edge-triggered epoll set, and timers on an injected clock.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
 class EventHandler {
  public:
   virtual ~EventHandler() = default;
-  virtual void OnEvents(std::uint32_t events) = 0;  // epoll's bits
+  virtual void OnEvents(std::uint32_t events) = 0;  // bit mask of epoll (EPOLLIN, ...)
 };
 
 class EventLoop {
@@ -31,21 +31,22 @@
   const Clock& clock() const { return clock_; }
   Seconds Now() const { return clock_.Now(); }
 
-  // Both return false, with errno set, if the system is short of memory.
+  // Both return false, with errno set, if epoll_ctl fails, as it does where the system is short of memory.
   bool Add(int fd, EventHandler* handler);    // for reading and writing, edge-triggered
-  bool Rearm(int fd, EventHandler* handler);  // raises the edge anew if there still is something to do
+  bool Rearm(int fd, EventHandler* handler);  // reports the current readiness once more, as a new edge
   void Remove(int fd);
 
-  TimerId At(Seconds when, std::function<void()> due);
+  // Calls `callback` once at `when` on the clock of the loop.
+  TimerId At(Seconds when, std::function<void()> callback);
   void Cancel(TimerId& timer);  // sets it to 0
 
-  // Keeps an object until no event of the current batch can still name it.
+  // Destroys `object` at the end of the current iteration: an event of the same batch may still point to it.
   template <typename T>
   void Retire(std::unique_ptr<T> object) {
     if (object) retired_.push_back(std::shared_ptr<void>(std::move(object)));
   }
 
-  void RunOnce(Seconds longest_wait);
+  void RunOnce(Seconds max_wait);  // one wait of at most that long, its events and the timers due
   void Run();
   void Stop() { stopped_ = true; }
 
@@ -55,10 +56,10 @@
   const Clock& clock_;
   int epoll_;
   bool stopped_ = false;
-  TimerId last_timer_ = 0;
+  TimerId last_timer_id_ = 0;
   using Timers = std::map<std::pair<Seconds, TimerId>, std::function<void()>>;
   Timers timers_;
-  std::unordered_map<TimerId, Timers::iterator> due_;
+  std::unordered_map<TimerId, Timers::iterator> timer_positions_;
   std::vector<std::shared_ptr<void>> retired_;
 };
 
--- a/src/net/file_descriptor.h
+++ b/src/net/file_descriptor.h
@@ -1,10 +1,10 @@
-// Owner of a file descriptor.
+// Unique ownership of a file descriptor.
 #pragma once
 
 namespace opalroute::net {
 
-// Closes its descriptor at the end of its scope. Closing leaves errno as it was, so that the cause of an
-// earlier failure can still be reported.
+// Closes its descriptor on destruction. Closing preserves errno, so that the cause of an earlier failure can
+// still be reported.
 class FileDescriptor {
  public:
   FileDescriptor() = default;
--- a/src/net/framing.h
+++ b/src/net/framing.h
@@ -1,5 +1,5 @@
-// Records in a stream of bytes or a file: 4 bytes of length, 4 of checksum (CRC-32), both little-endian, then
-// the record itself.
+// Framing of records in a byte stream or a file. A frame is the length of the record (4 bytes), its CRC-32
+// checksum (4 bytes), both little-endian, and the record itself.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace opalroute::net {
 
-constexpr std::size_t kFrameHead = 8;
+constexpr std::size_t kFrameHeaderSize = 8;  // length and checksum
 
-std::string Frame(std::string_view record);
+std::string EncodeFrame(std::string_view record);
 
-enum class FrameState { kWhole, kPartial, kBroken };  // broken: too long, or the checksum does not fit
+enum class FrameState { kComplete, kPartial, kCorrupt };  // corrupt: longer than allowed, or a wrong checksum
 struct FrameRead {
   FrameState state = FrameState::kPartial;
-  std::string_view record;  // if whole; within `bytes`
-  std::size_t size = 0;     // of the whole frame, if whole
+  std::string_view record;  // if complete: points into the bytes that were passed in
+  std::size_t size = 0;     // if complete: of the frame, header included
 };
 
-// Reads the frame at the front. A record is at most `most` bytes long.
-FrameRead ReadFrame(std::string_view bytes, std::size_t most);
+// Reads the frame at the start of `bytes`. A record longer than `max_size` bytes counts as corrupt.
+FrameRead ReadFrame(std::string_view bytes, std::size_t max_size);
 
 }  // namespace opalroute::net
--- a/src/net/http.cpp
+++ b/src/net/http.cpp
@@ -8,12 +8,12 @@
 namespace opalroute::net {
 namespace {
 
-// Of ASCII letters: a header's name has no others, and a locale has no say (RFC 9110, 5.1).
-char Lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+// ASCII only and independent of the locale: header names have no other letters (RFC 9110, 5.1).
+char ToLower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
-bool SameText(std::string_view a, std::string_view b) {
+bool EqualsIgnoreCase(std::string_view a, std::string_view b) {
   return a.size() == b.size() &&
-         std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return Lower(x) == Lower(y); });
+         std::equal(a.begin(), a.end(), b.begin(), [](char x, char y) { return ToLower(x) == ToLower(y); });
 }
 
 bool IsTokenChar(char c) {
@@ -38,18 +38,18 @@
   return text;
 }
 
-bool ParseWhole(std::string_view text, int base, std::size_t& number) {
+bool ParseNumber(std::string_view text, int base, std::size_t& number) {
   if (text.empty() || text.size() > 18) return false;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, base);
   return error == std::errc() && end == text.data() + text.size();
 }
 
-bool MayBeginAnswer(std::string_view line) {
-  constexpr std::string_view kBegin = "HTTP/1.";
-  return line.substr(0, kBegin.size()) == kBegin.substr(0, line.size());
+bool MayBeginResponse(std::string_view line) {
+  constexpr std::string_view kPrefix = "HTTP/1.";
+  return line.substr(0, kPrefix.size()) == kPrefix.substr(0, line.size());
 }
 
-const char* Reason(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -87,22 +87,23 @@
 
 const std::string* HttpMessage::Header(std::string_view name) const {
   for (const auto& [key, value] : headers)
-    if (SameText(key, name)) return &value;
+    if (EqualsIgnoreCase(key, name)) return &value;
   return nullptr;
 }
 
 int HttpMessage::Count(std::string_view name) const {
-  return static_cast<int>(std::count_if(headers.begin(), headers.end(),
-                                        [name](const auto& header) { return SameText(header.first, name); }));
+  return static_cast<int>(std::count_if(headers.begin(), headers.end(), [name](const auto& header) {
+    return EqualsIgnoreCase(header.first, name);
+  }));
 }
 
 void HttpParser::Reset() {
   state_ = State::kStart;
   message_ = HttpMessage();
   line_.clear();
-  head_bytes_ = left_ = 0;
-  chunked_ = old_version_ = false;
-  interim_ = 0;
+  head_bytes_ = remaining_ = 0;
+  chunked_ = http_1_0_ = false;
+  interim_count_ = 0;
   reject_status_ = 0;
 }
 
@@ -111,76 +112,76 @@
   reject_status_ = status;
 }
 
-std::size_t HttpParser::Take(std::string_view bytes) {
-  std::size_t taken = 0;
-  while (taken < bytes.size() && !done() && !failed()) {
-    const std::string_view rest = bytes.substr(taken);
-    if (state_ == State::kBody || state_ == State::kBodyToEnd || state_ == State::kChunk) {
-      taken += TakeBody(rest);
+std::size_t HttpParser::Parse(std::string_view bytes) {
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && !done() && !failed()) {
+    const std::string_view rest = bytes.substr(consumed);
+    if (state_ == State::kBody || state_ == State::kBodyUntilClose || state_ == State::kChunk) {
+      consumed += ParseBody(rest);
       continue;
     }
     const std::size_t end = rest.find('\n');
     const std::size_t count = end == std::string_view::npos ? rest.size() : end + 1;
-    taken += count;
+    consumed += count;
     head_bytes_ += count;
     if (head_bytes_ > bounds_.head_bytes) {
       Fail(431);
       break;
     }
     line_.append(rest.substr(0, count));
-    if (state_ == State::kStart && kind_ == Kind::kAnswer && !MayBeginAnswer(line_)) {
-      Fail(400);  // noise may never bring a line's end
+    if (state_ == State::kStart && kind_ == Kind::kResponse && !MayBeginResponse(line_)) {
+      Fail(400);  // not HTTP: a line end may never arrive
       break;
     }
     if (end == std::string_view::npos) break;
     if (line_.size() < 2 || line_[line_.size() - 2] != '\r') {
       line_.pop_back();
-      if (state_ == State::kStart && kind_ == Kind::kAnswer) TakeStartLine();  // its status still counts
-      Fail(400);  // a bare line feed: two readers could see two messages
+      if (state_ == State::kStart && kind_ == Kind::kResponse) ParseStartLine();  // keeps the status
+      Fail(400);  // a bare LF: recipients could disagree on where the message ends
       break;
     }
     line_.resize(line_.size() - 2);
-    TakeLine();
+    ParseLine();
     line_.clear();
   }
-  return taken;
+  return consumed;
 }
 
-void HttpParser::TakeEnd() {
-  if (state_ == State::kBodyToEnd) {
+void HttpParser::HandleEndOfInput() {
+  if (state_ == State::kBodyUntilClose) {
     state_ = State::kDone;
   } else if (!done() && !failed()) {
     Fail(400);
   }
 }
 
-void HttpParser::TakeLine() {
+void HttpParser::ParseLine() {
   switch (state_) {
     case State::kStart:
-      if (!line_.empty()) TakeStartLine();  // a stray empty line before a request is passed over
+      if (!line_.empty()) ParseStartLine();  // empty lines before a request are ignored
       break;
     case State::kHeaders:
       if (line_.empty()) {
-        EndHead();
+        FinishHead();
       } else {
-        TakeHeader();
+        ParseHeader();
       }
       break;
     case State::kChunkSize:
-      TakeChunkSize();
+      ParseChunkSize();
       break;
     case State::kChunkEnd:
       if (!line_.empty()) return Fail(400);
       head_bytes_ = 0;
       state_ = State::kChunkSize;
       break;
-    default:  // trailers are read and dropped
+    default:  // trailers are parsed and discarded
       if (line_.empty()) state_ = State::kDone;
       break;
   }
 }
 
-void HttpParser::TakeStartLine() {
+void HttpParser::ParseStartLine() {
   const std::string_view line = line_;
   const std::size_t first = line.find(' ');
   if (first == std::string_view::npos || !IsPrintable(line)) return Fail(400);
@@ -194,18 +195,18 @@
     version = line.substr(second + 1);
   } else {
     std::size_t status = 0;
-    if (!ParseWhole(line.substr(first + 1, 3), 10, status) || status < 100 || status > 599 ||
+    if (!ParseNumber(line.substr(first + 1, 3), 10, status) || status < 100 || status > 599 ||
         (line.size() > first + 4 && line[first + 4] != ' '))
       return Fail(400);
     if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail(400);
     message_.status = static_cast<int>(status);
   }
   if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail(400);
-  old_version_ = version == "HTTP/1.0";
+  http_1_0_ = version == "HTTP/1.0";
   state_ = State::kHeaders;
 }
 
-void HttpParser::TakeHeader() {
+void HttpParser::ParseHeader() {
   const std::string_view line = line_;
   const std::size_t colon = line.find(':');
   if (colon == std::string_view::npos || !IsToken(line.substr(0, colon)) || !IsPrintable(line))
@@ -214,34 +215,34 @@
   message_.headers.emplace_back(line.substr(0, colon), Trim(line.substr(colon + 1)));
 }
 
-void HttpParser::EndHead() {
+void HttpParser::FinishHead() {
   bool has_length = false;
   std::size_t length = 0;
-  message_.keep_alive = !old_version_;
+  message_.keep_alive = !http_1_0_;
   for (const auto& [name, value] : message_.headers) {
-    if (SameText(name, "Content-Length")) {
+    if (EqualsIgnoreCase(name, "Content-Length")) {
       std::size_t number = 0;
-      if (has_length || !ParseWhole(value, 10, number)) return Fail(400);
+      if (has_length || !ParseNumber(value, 10, number)) return Fail(400);
       has_length = true;
       length = number;
-    } else if (SameText(name, "Transfer-Encoding")) {
+    } else if (EqualsIgnoreCase(name, "Transfer-Encoding")) {
       if (chunked_) return Fail(400);
-      if (!SameText(value, "chunked")) return Fail(501);
+      if (!EqualsIgnoreCase(value, "chunked")) return Fail(501);
       chunked_ = true;
-    } else if (SameText(name, "Connection")) {
-      if (SameText(value, "close")) message_.keep_alive = false;
-      if (SameText(value, "keep-alive")) message_.keep_alive = true;
+    } else if (EqualsIgnoreCase(name, "Connection")) {
+      if (EqualsIgnoreCase(value, "close")) message_.keep_alive = false;
+      if (EqualsIgnoreCase(value, "keep-alive")) message_.keep_alive = true;
     }
   }
-  if (chunked_ && has_length) return Fail(400);  // two readers could see two messages
+  if (chunked_ && has_length) return Fail(400);  // recipients could disagree on where the message ends
   const int status = message_.status;
-  const bool interim = kind_ == Kind::kAnswer && status < 200;
+  const bool interim = kind_ == Kind::kResponse && status < 200;
   if (interim || status == 204 || status == 304) {
     if (interim) {
-      const int count = interim_ + 1;
-      if (count > bounds_.interim_answers) return Fail(400);
+      const int count = interim_count_ + 1;
+      if (count > bounds_.max_interim_responses) return Fail(400);
       Reset();
-      interim_ = count;
+      interim_count_ = count;
       return;
     }
     state_ = State::kDone;
@@ -250,62 +251,62 @@
     state_ = State::kChunkSize;
   } else if (has_length || kind_ == Kind::kRequest) {
     if (length > bounds_.body_bytes) return Fail(413);
-    left_ = length;
+    remaining_ = length;
     state_ = length > 0 ? State::kBody : State::kDone;
   } else {
     message_.keep_alive = false;
-    state_ = State::kBodyToEnd;
+    state_ = State::kBodyUntilClose;
   }
 }
 
-void HttpParser::TakeChunkSize() {
+void HttpParser::ParseChunkSize() {
   const std::string_view size = Trim(std::string_view(line_).substr(0, line_.find(';')));
-  if (!ParseWhole(size, 16, left_)) return Fail(400);
-  if (left_ == 0) {
+  if (!ParseNumber(size, 16, remaining_)) return Fail(400);
+  if (remaining_ == 0) {
     state_ = State::kTrailers;
-  } else if (!piece_ && left_ > bounds_.body_bytes - message_.body.size()) {
+  } else if (!on_body_ && remaining_ > bounds_.body_bytes - message_.body.size()) {
     Fail(413);
   } else {
     state_ = State::kChunk;
   }
 }
 
-std::size_t HttpParser::TakeBody(std::string_view bytes) {
-  const bool to_end = state_ == State::kBodyToEnd;
-  const std::size_t count = to_end ? bytes.size() : std::min(left_, bytes.size());
-  if (piece_) {
-    piece_(bytes.substr(0, count));
-  } else if (to_end && count > bounds_.body_bytes - message_.body.size()) {
+std::size_t HttpParser::ParseBody(std::string_view bytes) {
+  const bool until_close = state_ == State::kBodyUntilClose;
+  const std::size_t count = until_close ? bytes.size() : std::min(remaining_, bytes.size());
+  if (on_body_) {
+    on_body_(bytes.substr(0, count));
+  } else if (until_close && count > bounds_.body_bytes - message_.body.size()) {
     Fail(413);
     return count;
   } else {
     message_.body.append(bytes.substr(0, count));
   }
-  if (to_end) return count;
-  left_ -= count;
-  if (left_ == 0) {
+  if (until_close) return count;
+  remaining_ -= count;
+  if (remaining_ == 0) {
     state_ = state_ == State::kChunk ? State::kChunkEnd : State::kDone;
     head_bytes_ = 0;
   }
   return count;
 }
 
-std::string WriteRequest(std::string_view method, std::string_view target, const Headers& headers,
-                         std::string_view body) {
+std::string FormatRequest(std::string_view method, std::string_view target, const Headers& headers,
+                          std::string_view body) {
   std::string text;
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
   AppendFields(text, headers, body);
   return text;
 }
 
-std::string WriteSeconds(double seconds) {
+std::string FormatSeconds(double seconds) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.2f", seconds);
   return text;
 }
 
-std::string WriteAnswer(int status, const Headers& headers, std::string_view body) {
-  std::string text = "HTTP/1.1 " + std::to_string(status) + " " + Reason(status) + "\r\n";
+std::string FormatResponse(int status, const Headers& headers, std::string_view body) {
+  std::string text = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n";
   AppendFields(text, headers, body);
   return text;
 }
--- a/src/net/http.h
+++ b/src/net/http.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages: an incremental, bounded parser and a writer.
+// HTTP/1.1 messages: an incremental parser with size limits, and functions that format messages.
 #pragma once
 
 #include <cstddef>
@@ -13,47 +13,49 @@
 using Headers = std::vector<std::pair<std::string, std::string>>;
 
 struct HttpMessage {
-  std::string method, target;  // of a request
-  int status = 0;              // of an answer
+  std::string method, target;  // request only
+  int status = 0;              // response only
   Headers headers;
   std::string body;
   bool keep_alive = true;
 
-  const std::string* Header(std::string_view name) const;  // whatever its case; the first of that name
+  const std::string* Header(
+      std::string_view name) const;  // the first of that name, ignoring case; or nullptr
   int Count(std::string_view name) const;
 };
 
 struct HttpBounds {
   std::size_t head_bytes = 0, header_count = 0, body_bytes = 0;
-  int interim_answers = 8;  // in front of an answer
+  int max_interim_responses = 8;  // 1xx responses before the final one
 };
 
 class HttpParser {
  public:
-  enum class Kind { kRequest, kAnswer };
+  enum class Kind { kRequest, kResponse };
   HttpParser(Kind kind, const HttpBounds& bounds) : kind_(kind), bounds_(bounds) {}
 
-  // Streamed: each piece of the body goes to `piece` and is neither kept nor counted.
-  void StreamTo(std::function<void(std::string_view)> piece) { piece_ = std::move(piece); }
+  // Passes the body to `on_body` in parts instead of storing it. Chunked bodies and those that end with the
+  // connection are then unlimited; a Content-Length above body_bytes is still rejected.
+  void StreamBodyTo(std::function<void(std::string_view)> on_body) { on_body_ = std::move(on_body); }
 
-  std::size_t Take(std::string_view bytes);  // returns how many of them belonged to this message
-  void TakeEnd();                            // the other side has ended its sending
+  std::size_t Parse(std::string_view bytes);  // returns how many bytes belong to this message
+  void HandleEndOfInput();                    // the peer has closed its side
 
   bool begun() const { return state_ != State::kStart || !line_.empty(); }
   bool head_done() const { return state_ > State::kHeaders; }
   bool done() const { return state_ == State::kDone; }
   bool failed() const { return state_ == State::kFailed; }
-  int reject_status() const { return reject_status_; }  // where failed: what a request is answered
+  int reject_status() const { return reject_status_; }  // if failed(): the status to reject a request with
   HttpMessage& message() { return message_; }
   void Reset();  // for the next message
 
  private:
-  // In the order of a message's life; kFailed last.
+  // In the order in which a message passes through them; kFailed last.
   enum class State {
     kStart,
     kHeaders,
     kBody,
-    kBodyToEnd,
+    kBodyUntilClose,
     kChunkSize,
     kChunk,
     kChunkEnd,
@@ -63,30 +65,30 @@
   };
 
   void Fail(int status);
-  void TakeLine();
-  void TakeStartLine();
-  void TakeHeader();
-  void EndHead();
-  void TakeChunkSize();
-  std::size_t TakeBody(std::string_view bytes);
+  void ParseLine();
+  void ParseStartLine();
+  void ParseHeader();
+  void FinishHead();
+  void ParseChunkSize();
+  std::size_t ParseBody(std::string_view bytes);
 
   Kind kind_;
   HttpBounds bounds_;
-  std::function<void(std::string_view)> piece_;
+  std::function<void(std::string_view)> on_body_;
   State state_ = State::kStart;
   HttpMessage message_;
   std::string line_;
-  std::size_t head_bytes_ = 0, left_ = 0;
-  bool chunked_ = false, old_version_ = false;
-  int interim_ = 0;
+  std::size_t head_bytes_ = 0, remaining_ = 0;
+  bool chunked_ = false, http_1_0_ = false;
+  int interim_count_ = 0;
   int reject_status_ = 0;
 };
 
-std::string WriteRequest(std::string_view method, std::string_view target, const Headers& headers,
-                         std::string_view body);
-// Seconds as Retry-After has them here: decimal, two places.
-std::string WriteSeconds(double seconds);
+std::string FormatRequest(std::string_view method, std::string_view target, const Headers& headers,
+                          std::string_view body);
+// Formats seconds for Retry-After: decimal, with two places.
+std::string FormatSeconds(double seconds);
 
-std::string WriteAnswer(int status, const Headers& headers, std::string_view body);
+std::string FormatResponse(int status, const Headers& headers, std::string_view body);
 
 }  // namespace opalroute::net
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -5,28 +5,28 @@
 
 namespace opalroute::net {
 
-class HttpClient::Line : public Connection::Owner {
+class HttpClient::PooledConnection : public Connection::Owner {
  public:
-  Line(HttpClient& client, Place& place)
-      : client_(client), place_(place), parser_(HttpParser::Kind::kAnswer, client.bounds_.http) {}
+  PooledConnection(HttpClient& client, PeerPool& pool)
+      : client_(client), pool_(pool), parser_(HttpParser::Kind::kResponse, client.bounds_.http) {}
 
   bool Open() {
     const ClientBounds& b = client_.bounds_;
-    connection_ = Connection::Connect(client_.loop_, place_.address, *this,
+    connection_ = Connection::Connect(client_.loop_, pool_.address, *this,
                                       b.http.head_bytes + b.http.body_bytes, b.request_bytes);
-    SetTimer(b.connect_time);
+    SetTimer(b.connect_timeout);
     return connection_ != nullptr;
   }
-  void Stands(Lines::iterator at) { at_ = at; }
-  Lines::iterator at() const { return at_; }
+  void set_position(PooledConnections::iterator position) { position_ = position; }
+  PooledConnections::iterator position() const { return position_; }
 
-  Place& place() { return place_; }
-  bool connecting() const { return !up_; }
-  bool idle() const { return up_ && call_ == nullptr; }
-  Seconds rests_since() const { return rests_since_; }
-  Abandoned state() { return {connection_->out().empty(), parser_.message().status}; }
-  // Danger: an end, or bytes that nobody asked for, may have arrived and not been read yet. The next request
-  // would end as a reset, or take them for its answer.
+  PeerPool& pool() { return pool_; }
+  bool connecting() const { return !established_; }
+  bool idle() const { return established_ && call_ == nullptr; }
+  Seconds idle_since() const { return idle_since_; }
+  CallProgress progress() { return {connection_->out().empty(), parser_.message().status}; }
+  // False if the end of the stream or unexpected bytes have arrived unread: the next request would fail with
+  // a reset, or take these bytes for its response.
   bool SeemsAlive() const { return connection_->SeemsAlive(); }
 
   void Serve(Call& call) {
@@ -34,8 +34,8 @@
     if (request.empty()) return;
     client_.loop_.Cancel(timer_);
     call_ = &call;
-    call.line_ = this;
-    if (!connection_->Write(request)) return Break(Broken::kUnwritten);
+    call.connection_ = this;
+    if (!connection_->Write(request)) return Fail(Failure::kNotWritten);
     if (connection_->out().empty()) call.OnWritten();
   }
 
@@ -44,237 +44,240 @@
   }
 
   void OnOpen(Connection&) override {
-    // Danger: the other side may have ended it in the same moment. Dropped in silence, nobody would open
-    // another.
+    // The peer may have closed the connection right after accepting it. Dropping it without failing a call
+    // would leave that call waiting, as no other connection would be opened for it.
     if (!connection_->SeemsAlive()) return FailToConnect();
-    up_ = true;
-    --place_.connecting;
-    Rest();
-    client_.Serve(place_);
+    established_ = true;
+    --pool_.connecting;
+    BecomeIdle();
+    client_.ServeWaiting(pool_);
   }
 
   void OnData(Connection& connection) override {
     RingBuffer& in = connection.in();
-    if (call_ == nullptr && !in.empty()) return client_.Drop(*this);  // nobody asked for that
-    while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Take(in.Front()));
+    if (call_ == nullptr && !in.empty()) return client_.Drop(*this);  // unsolicited data
+    while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
     if (call_ == nullptr) return;
-    if (connection.peer_ended() && parser_.begun()) parser_.TakeEnd();
-    if (parser_.failed()) return Break(state().written ? Broken::kReset : Broken::kUnwritten);
-    if (!parser_.done()) return AwaitRest();
+    if (connection.peer_closed() && parser_.begun()) parser_.HandleEndOfInput();
+    if (parser_.failed()) return Fail(progress().written ? Failure::kReset : Failure::kNotWritten);
+    if (!parser_.done()) return AwaitRestOfResponse();
     const bool keep =
-        parser_.message().keep_alive && in.empty() && state().written && !connection.peer_ended();
-    HttpMessage answer = std::move(parser_.message());
+        parser_.message().keep_alive && in.empty() && progress().written && !connection.peer_closed();
+    HttpMessage response = std::move(parser_.message());
     parser_.Reset();
     has_status_ = false;
     Call& call = *std::exchange(call_, nullptr);
-    client_.End(call);
+    client_.Detach(call);
     if (keep) {
-      Rest();
+      BecomeIdle();
     } else {
       client_.Drop(*this);
     }
-    Place& place = place_;  // stands until the loop's round is over
-    call.OnAnswer(answer);
-    client_.Serve(place);
+    PeerPool& pool = pool_;  // valid until the sweep, which runs from a timer
+    call.OnResponse(response);
+    client_.ServeWaiting(pool);
   }
 
-  void OnEnd(Connection&, Connection::End how) override {
-    if (!up_) return FailToConnect();
+  void OnClosed(Connection&, Connection::CloseReason how) override {
+    if (!established_) return FailToConnect();
     if (call_ == nullptr) return client_.Drop(*this);
-    Break(how != Connection::End::kNotConnected && state().written ? Broken::kReset : Broken::kUnwritten);
+    Fail(how != Connection::CloseReason::kNotConnected && progress().written ? Failure::kReset
+                                                                             : Failure::kNotWritten);
   }
 
-  void Shut() {
+  void Close() {
     client_.loop_.Cancel(timer_);
-    if (!up_) --place_.connecting;
-    up_ = true;
+    if (!established_) --pool_.connecting;
+    established_ = true;
     if (connection_) connection_->Close();
   }
 
  private:
-  void Break(Broken how) {
+  void Fail(Failure how) {
     const int status = parser_.message().status;
     Call& call = *std::exchange(call_, nullptr);
-    client_.End(call);
+    client_.Detach(call);
     client_.Drop(*this);
-    call.OnBroken(how, status);
+    call.OnFailure(how, status);
   }
 
-  // The call that has waited longest for a connection to this peer loses it.
+  // Fails the call that has waited longest for a connection to this peer.
   void FailToConnect() {
-    Place& place = place_;
+    PeerPool& pool = pool_;
     client_.Drop(*this);
-    if (place.waiting.empty()) return;
-    Call& call = *place.waiting.front();
-    place.waiting.pop_front();
-    client_.End(call);
-    call.OnBroken(Broken::kNotConnected, 0);
+    if (pool.waiting.empty()) return;
+    Call& call = *pool.waiting.front();
+    pool.waiting.pop_front();
+    client_.Detach(call);
+    call.OnFailure(Failure::kNotConnected, 0);
   }
 
-  // Danger: an answer that never ends would hold its call, and a slot with it, as long as the call may take.
-  // Interim answers begin nothing: the real one may take its time after them.
-  void AwaitRest() {
+  // Limits the time for the rest of a response: one that never ends would otherwise hold its call, and a
+  // concurrency slot, until the deadline of the call. Interim (1xx) responses do not start that timer.
+  void AwaitRestOfResponse() {
     if (!parser_.begun()) return client_.loop_.Cancel(timer_);
-    if (timer_ == 0) SetTimer(client_.bounds_.answer_time);
+    if (timer_ == 0) SetTimer(client_.bounds_.response_timeout);
     const int status = parser_.message().status;
-    if (status >= 200 && !std::exchange(has_status_, true) && call_->Suffices(status))
-      SetTimer(client_.bounds_.rest_time);
+    if (status >= 200 && !std::exchange(has_status_, true) && call_->StatusSuffices(status))
+      SetTimer(client_.bounds_.response_rest_timeout);
   }
 
-  void Rest() {
-    place_.lines.splice(place_.lines.begin(), place_.lines, at_);
-    rests_since_ = client_.loop_.Now();
-    SetTimer(client_.bounds_.idle_time);
+  void BecomeIdle() {
+    pool_.pooled.splice(pool_.pooled.begin(), pool_.pooled, position_);
+    idle_since_ = client_.loop_.Now();
+    SetTimer(client_.bounds_.idle_timeout);
   }
 
   void SetTimer(Seconds after) {
     client_.loop_.Cancel(timer_);
     timer_ = client_.loop_.At(client_.loop_.Now() + after, [this] {
       timer_ = 0;
-      if (!up_) return FailToConnect();
-      if (call_ != nullptr) return Break(state().written ? Broken::kReset : Broken::kUnwritten);
+      if (!established_) return FailToConnect();
+      if (call_ != nullptr) return Fail(progress().written ? Failure::kReset : Failure::kNotWritten);
       client_.Drop(*this);
     });
   }
 
   HttpClient& client_;
-  Place& place_;
-  Lines::iterator at_;
+  PeerPool& pool_;
+  PooledConnections::iterator position_;
   std::unique_ptr<Connection> connection_;
   HttpParser parser_;
   Call* call_ = nullptr;
-  bool up_ = false, has_status_ = false;
+  bool established_ = false, has_status_ = false;
   EventLoop::TimerId timer_ = 0;
-  Seconds rests_since_ = 0;
+  Seconds idle_since_ = 0;
 };
 
 HttpClient::HttpClient(EventLoop& loop, const ClientBounds& bounds) : loop_(loop), bounds_(bounds) {}
 
 HttpClient::~HttpClient() {
-  loop_.Cancel(sweep_);
-  for (auto& [key, place] : places_)
-    for (auto& line : place.lines) line->Shut();
+  loop_.Cancel(sweep_timer_);
+  for (auto& [key, pool] : pools_)
+    for (auto& connection : pool.pooled) connection->Close();
 }
 
 HttpClient::Key HttpClient::KeyOf(const Peer& peer) {
   return {peer.address.sin_addr.s_addr, peer.address.sin_port, peer.number};
 }
 
-void HttpClient::End(Call& call) {
-  call.place_ = nullptr;
-  call.line_ = nullptr;
+void HttpClient::Detach(Call& call) {
+  call.pool_ = nullptr;
+  call.connection_ = nullptr;
 }
 
 void HttpClient::Start(const Peer& to, Call& call) {
-  Place& place = places_[KeyOf(to)];
-  place.address = to.address;
-  place.waiting.push_back(&call);
-  call.place_ = &place;
-  Serve(place);
-  if (call.place_ == nullptr) return;
-  if (static_cast<std::size_t>(place.connecting) >= place.waiting.size()) return;
-  // Bounded: a full table gives up an idle connection first, then the call.
-  if (connections_ >= bounds_.connections) CloseOneIdle();
-  if (connections_ < bounds_.connections && Open(place)) return;
-  place.waiting.remove(&call);
-  End(call);
-  SweepLater();
-  call.OnBroken(Broken::kNoRoom, 0);
+  PeerPool& pool = pools_[KeyOf(to)];
+  pool.address = to.address;
+  pool.waiting.push_back(&call);
+  call.pool_ = &pool;
+  ServeWaiting(pool);
+  if (call.pool_ == nullptr) return;
+  if (static_cast<std::size_t>(pool.connecting) >= pool.waiting.size()) return;
+  // At the connection limit the longest idle connection is closed; without an idle one the call fails.
+  if (connections_ >= bounds_.connections) CloseOldestIdle();
+  if (connections_ < bounds_.connections && Open(pool)) return;
+  pool.waiting.remove(&call);
+  Detach(call);
+  ScheduleSweep();
+  call.OnFailure(Failure::kNoLocalConnection, 0);
 }
 
-bool HttpClient::Open(Place& place) {
-  auto line = std::make_unique<Line>(*this, place);
-  ++place.connecting;
-  if (!line->Open()) {
-    line->Shut();
+bool HttpClient::Open(PeerPool& pool) {
+  auto connection = std::make_unique<PooledConnection>(*this, pool);
+  ++pool.connecting;
+  if (!connection->Open()) {
+    connection->Close();
     return false;
   }
-  place.lines.push_front(std::move(line));
-  place.lines.front()->Stands(place.lines.begin());
+  pool.pooled.push_front(std::move(connection));
+  pool.pooled.front()->set_position(pool.pooled.begin());
   ++connections_;
   ++opened_;
   return true;
 }
 
-// Whoever has waited longest takes whichever connection is free first.
-void HttpClient::Serve(Place& place) {
-  while (!place.waiting.empty()) {
-    const auto free =
-        std::find_if(place.lines.begin(), place.lines.end(), [](const auto& line) { return line->idle(); });
-    if (free == place.lines.end()) return;
-    Line& line = **free;
-    if (!line.SeemsAlive()) {
-      Drop(line);
+// Gives idle connections to the waiting calls, the longest waiting first.
+void HttpClient::ServeWaiting(PeerPool& pool) {
+  while (!pool.waiting.empty()) {
+    const auto free = std::find_if(pool.pooled.begin(), pool.pooled.end(),
+                                   [](const auto& connection) { return connection->idle(); });
+    if (free == pool.pooled.end()) return;
+    PooledConnection& connection = **free;
+    if (!connection.SeemsAlive()) {
+      Drop(connection);
       continue;
     }
-    place.lines.splice(place.lines.end(), place.lines, free);
-    Call& call = *place.waiting.front();
-    place.waiting.pop_front();
-    End(call);
-    line.Serve(call);
+    pool.pooled.splice(pool.pooled.end(), pool.pooled, free);
+    Call& call = *pool.waiting.front();
+    pool.waiting.pop_front();
+    Detach(call);
+    connection.Serve(call);
   }
 }
 
-HttpClient::Abandoned HttpClient::Abandon(Call& call) {
-  Abandoned state;
-  if (call.place_ != nullptr) {
-    call.place_->waiting.remove(&call);  // a connection that is coming up serves another call, or rests
-    SweepLater();
-  } else if (call.line_ != nullptr) {
-    state = call.line_->state();
-    Drop(*call.line_);
+HttpClient::CallProgress HttpClient::Abandon(Call& call) {
+  CallProgress progress;
+  if (call.pool_ != nullptr) {
+    // A connection that is being opened for it will serve another call, or become idle.
+    call.pool_->waiting.remove(&call);
+    ScheduleSweep();
+  } else if (call.connection_ != nullptr) {
+    progress = call.connection_->progress();
+    Drop(*call.connection_);
   }
-  End(call);
-  return state;
+  Detach(call);
+  return progress;
 }
 
 void HttpClient::CloseIdle(const Peer& to) {
-  const auto place = places_.find(KeyOf(to));
-  if (place == places_.end()) return;
-  Lines& lines = place->second.lines;
-  for (auto it = lines.begin(); it != lines.end();) {
-    Line& line = **it++;
-    if (line.idle()) Drop(line);
+  const auto pool = pools_.find(KeyOf(to));
+  if (pool == pools_.end()) return;
+  PooledConnections& pooled = pool->second.pooled;
+  for (auto it = pooled.begin(); it != pooled.end();) {
+    PooledConnection& connection = **it++;
+    if (connection.idle()) Drop(connection);
   }
 }
 
-bool HttpClient::HasIdle(const Peer& to) const {
-  const auto place = places_.find(KeyOf(to));
-  if (place == places_.end()) return false;
-  const Lines& lines = place->second.lines;
-  return std::any_of(lines.begin(), lines.end(),
-                     [](const auto& line) { return line->idle() && line->SeemsAlive(); });
+bool HttpClient::HasIdleConnection(const Peer& to) const {
+  const auto pool = pools_.find(KeyOf(to));
+  if (pool == pools_.end()) return false;
+  const PooledConnections& pooled = pool->second.pooled;
+  return std::any_of(pooled.begin(), pooled.end(),
+                     [](const auto& connection) { return connection->idle() && connection->SeemsAlive(); });
 }
 
-// The table is a few hundred connections, and this is asked for only when it is full.
-bool HttpClient::CloseOneIdle() {
-  Line* oldest = nullptr;
-  for (const auto& [key, place] : places_)
-    for (const auto& line : place.lines)
-      if (line->idle() && (oldest == nullptr || line->rests_since() < oldest->rests_since()))
-        oldest = line.get();
+// A linear search: there are a few hundred connections, and this runs only at the limit.
+bool HttpClient::CloseOldestIdle() {
+  PooledConnection* oldest = nullptr;
+  for (const auto& [key, pool] : pools_)
+    for (const auto& connection : pool.pooled)
+      if (connection->idle() && (oldest == nullptr || connection->idle_since() < oldest->idle_since()))
+        oldest = connection.get();
   if (oldest != nullptr) Drop(*oldest);
   return oldest != nullptr;
 }
 
-void HttpClient::Drop(Line& line) {
-  Lines& lines = line.place().lines;
-  const auto at = line.at();
-  line.Shut();
-  loop_.Retire(std::move(*at));
-  lines.erase(at);
+void HttpClient::Drop(PooledConnection& connection) {
+  PooledConnections& pooled = connection.pool().pooled;
+  const auto position = connection.position();
+  connection.Close();
+  loop_.Retire(std::move(*position));
+  pooled.erase(position);
   --connections_;
-  SweepLater();
+  ScheduleSweep();
 }
 
-// Peers come and go: what nobody uses any more is forgotten, when no callback can be on its way through it.
-void HttpClient::SweepLater() {
-  if (sweep_ != 0) return;
-  sweep_ = loop_.At(loop_.Now(), [this] {
-    sweep_ = 0;
-    for (auto it = places_.begin(); it != places_.end();) {
-      const Place& place = it->second;
-      it = place.lines.empty() && place.waiting.empty() ? places_.erase(it) : std::next(it);
+// Removes the pools of peers without connections and calls, so that the map does not grow with every peer
+// ever called. Runs from a timer, when no callback on the stack can still use a pool.
+void HttpClient::ScheduleSweep() {
+  if (sweep_timer_ != 0) return;
+  sweep_timer_ = loop_.At(loop_.Now(), [this] {
+    sweep_timer_ = 0;
+    for (auto it = pools_.begin(); it != pools_.end();) {
+      const PeerPool& pool = it->second;
+      it = pool.pooled.empty() && pool.waiting.empty() ? pools_.erase(it) : std::next(it);
     }
   });
 }
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,4 +1,4 @@
-// The calling side: per peer, connections that are kept between calls; a call is an object with callbacks.
+// An HTTP client with a pool of kept-alive connections per peer. A call is an object with callbacks.
 #pragma once
 
 #include <netinet/in.h>
@@ -16,76 +16,81 @@
 
 struct ClientBounds {
   HttpBounds http;
-  std::size_t request_bytes = 0;
-  int connections = 0;                      // to all addresses together
-  Seconds connect_time = 0, idle_time = 0;  // idle: closed before the other side does
-  Seconds answer_time = 0;                  // from an answer's first byte to its last, or ...
-  Seconds rest_time = 0;                    // ... from a status that suffices
+  std::size_t request_bytes = 0;  // output buffer per connection
+  int connections = 0;            // to all peers together
+  Seconds connect_timeout = 0;
+  Seconds idle_timeout = 0;      // shorter than that of the server, so that the client closes first
+  Seconds response_timeout = 0;  // from the first byte of a response to its last
+  // For the rest of a response whose status suffices (Call::StatusSuffices).
+  Seconds response_rest_timeout = 0;
 };
 
-// Whom a call is meant for. Another one at the same address takes over no connection: the old one's may be
-// silent for good, or still bring what was meant for it.
+// The remote side of a call. Peers with the same address but another number share no connections: a
+// connection of a former peer at this address may be dead, or still deliver data for that peer.
 struct Peer {
   sockaddr_in address{};
-  std::uint64_t number = 0;  // of those at one address; 0 where there is but one
+  std::uint64_t number = 0;  // tells peers with the same address apart; 0 if there is only one
 };
 
 class HttpClient {
  public:
-  enum class Broken {
-    kNoRoom,        // there is no connection left of our own: this says nothing of the other side
-    kNotConnected,  // the connection was refused or did not come up
-    kUnwritten,     // it broke before the request's last byte was written
-    kReset          // it broke after that: the request may have run
+  enum class Failure {
+    kNoLocalConnection,  // this side could not provide a connection, which says nothing about the peer
+    kNotConnected,       // the connection was refused or not established in time
+    kNotWritten,         // the connection broke before the last byte of the request was written
+    kReset               // the connection broke after that: the request may have been processed
   };
 
-  class Line;
-  struct Place;
+  class PooledConnection;
+  struct PeerPool;
   class Call {
    public:
     Call() = default;
     Call(const Call&) = delete;
     Call& operator=(const Call&) = delete;
     virtual ~Call() = default;
-    // The connection is there: the request to be written, or nothing to leave it to another call. After
-    // `nothing` no further callback comes.
+    // A connection is available. Returns the request to write, or an empty string to leave the connection to
+    // another call; then no further callback follows.
     virtual std::string OnReady() = 0;
-    virtual void OnWritten() {}  // the request's last byte has left
-    virtual void OnAnswer(HttpMessage& answer) = 0;
-    // `status`: of an answer that had begun, else 0.
-    virtual void OnBroken(Broken how, int status) = 0;
-    // Whether an answer with this status says all there is to say: then its rest is hardly waited for.
-    virtual bool Suffices(int) { return false; }
+    virtual void OnWritten() {}  // the last byte of the request has been written to the socket
+    virtual void OnResponse(HttpMessage& response) = 0;
+    // `status`: of the response if one had begun, else 0.
+    virtual void OnFailure(Failure how, int status) = 0;
+    // Whether the status alone tells the caller all it needs. Then the rest of the response is awaited for at
+    // most response_rest_timeout.
+    virtual bool StatusSuffices(int) { return false; }
 
    private:
     friend class HttpClient;
-    Place* place_ = nullptr;  // where it waits, or
-    Line* line_ = nullptr;    // the connection it has taken
+    PeerPool* pool_ = nullptr;                // set while the call waits for a connection
+    PooledConnection* connection_ = nullptr;  // set while the call uses it
   };
-  struct Abandoned {
-    bool written = false;  // its last byte had been written
-    int status = 0;        // of an answer that had begun, else 0
+  struct CallProgress {
+    bool written = false;  // the last byte of the request had been written
+    int status = 0;        // of the response if one had begun, else 0
   };
 
   HttpClient(EventLoop& loop, const ClientBounds& bounds);
   ~HttpClient();
 
-  // One callback ends the call; it may come before Start returns.
+  // The call ends with one of its callbacks, possibly before Start returns.
   void Start(const Peer& to, Call& call);
-  Abandoned Abandon(Call& call);  // gives it up: no callback follows
+  CallProgress Abandon(Call& call);  // cancels the call: no callback follows
   void CloseIdle(const Peer& to);
-  // Whether a call could start there now on a connection that is open already.
-  bool HasIdle(const Peer& to) const;
+  // Whether an idle connection to the peer is open on which a call could start now.
+  bool HasIdleConnection(const Peer& to) const;
 
   int connections() const { return connections_; }
-  long opened() const { return opened_; }
+  long opened() const { return opened_; }  // connections opened so far
 
-  std::size_t places() const { return places_.size(); }
+  std::size_t pool_count() const { return pools_.size(); }
 
-  using Lines = std::list<std::unique_ptr<Line>>;
-  struct Place {  // all that goes to one peer
+  using PooledConnections = std::list<std::unique_ptr<PooledConnection>>;
+  struct PeerPool {  // connections and waiting calls of one peer
     sockaddr_in address{};
-    Lines lines;  // idle ones first, the one used last at the front; then busy ones, so that none is searched
+    // Idle connections, the most recently used first, precede those in use: finding one does not search
+    // through the busy ones.
+    PooledConnections pooled;
     std::list<Call*> waiting;
     int connecting = 0;
   };
@@ -93,19 +98,19 @@
  private:
   using Key = std::tuple<std::uint32_t, std::uint16_t, std::uint64_t>;
   static Key KeyOf(const Peer& peer);
-  void End(Call& call);  // it has no connection any more
-  bool Open(Place& place);
-  bool CloseOneIdle();
-  void Serve(Place& place);
-  void Drop(Line& line);
-  void SweepLater();
+  void Detach(Call& call);  // clears its pool and connection
+  bool Open(PeerPool& pool);
+  bool CloseOldestIdle();
+  void ServeWaiting(PeerPool& pool);
+  void Drop(PooledConnection& connection);
+  void ScheduleSweep();
 
   EventLoop& loop_;
   ClientBounds bounds_;
   int connections_ = 0;
   long opened_ = 0;
-  std::map<Key, Place> places_;
-  EventLoop::TimerId sweep_ = 0;
+  std::map<Key, PeerPool> pools_;
+  EventLoop::TimerId sweep_timer_ = 0;
 };
 
 }  // namespace opalroute::net
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -18,142 +18,145 @@
   explicit Client(HttpServer& server, bool rejected)
       : server_(server), rejected_(rejected), parser_(HttpParser::Kind::kRequest, server.bounds_.http) {}
 
-  bool Open(int fd, Clients::iterator place) {
+  bool Open(int fd, Clients::iterator position) {
     const ServerBounds& b = server_.bounds_;
-    place_ = place;
+    position_ = position;
     connection_ =
-        Connection::Adopt(server_.loop_, fd, *this, b.http.head_bytes + b.http.body_bytes, b.answer_bytes);
-    since_ = server_.loop_.Now();
-    SetTimer(b.first_time);
+        Connection::Adopt(server_.loop_, fd, *this, b.http.head_bytes + b.http.body_bytes, b.response_bytes);
+    last_active_ = server_.loop_.Now();
+    SetTimer(b.first_request_timeout);
     return connection_ != nullptr;
   }
 
-  Clients::iterator place() const { return place_; }
+  Clients::iterator position() const { return position_; }
   bool answered() const { return answered_; }
-  Seconds since() const { return since_; }  // it was answered last, or else accepted
-  // Danger: a request may lie in the socket unread. Who sent it is owed an answer.
+  Seconds last_active() const { return last_active_; }  // time of the last response, or else of the accept
+  // A connection whose socket may hold an unread request is not idle: that request must get a response.
   bool idle() const {
-    return !parser_.begun() && connection_->in().empty() && connection_->out().empty() && !leaving_ &&
+    return !parser_.begun() && connection_->in().empty() && connection_->out().empty() && !lingering_ &&
            connection_->HasNothingUnread();
   }
-  void ReadOn() { connection_->ReadOn(); }
-  void Shut() {
+  void ResumeReading() { connection_->ResumeReading(); }
+  void Close() {
     server_.loop_.Cancel(timer_);
-    server_.loop_.Cancel(again_);
+    server_.loop_.Cancel(resume_timer_);
     if (connection_) connection_->Close();
   }
 
-  void OnData(Connection&) override { TakeRequests(); }
+  void OnData(Connection&) override { HandleRequests(); }
 
   void OnWritten(Connection&) override {
-    if (leaving_) return;
-    TakeRequests();
-    connection_->ReadOn();
+    if (lingering_) return;
+    HandleRequests();
+    connection_->ResumeReading();
   }
 
-  void OnEnd(Connection&, Connection::End) override {
-    if (ticket_ != 0 && !connection_->out().empty()) server_.handler_.OnAnswerLost(ticket_);
+  void OnClosed(Connection&, Connection::CloseReason) override {
+    if (ticket_ != 0 && !connection_->out().empty()) server_.handler_.OnResponseLost(ticket_);
     server_.Drop(*this);
   }
 
  private:
-  void TakeRequests() {
+  void HandleRequests() {
     RingBuffer& in = connection_->in();
-    for (int taken = 0; !leaving_; ++taken) {
-      if (!connection_->out().empty()) return;  // who does not read its answers brings no more requests
-      if (taken == server_.bounds_.requests_a_turn && !in.empty()) return TakeMoreLater();
-      const bool fresh = !parser_.begun();
-      while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Take(in.Front()));
-      if (fresh && parser_.begun() && answered_) SetTimer(server_.bounds_.request_time);
-      if (parser_.head_done() && !parser_.done() && !parser_.failed()) Continue();
+    for (int handled = 0; !lingering_; ++handled) {
+      if (!connection_->out().empty()) return;  // the client must read the pending response first
+      if (handled == server_.bounds_.requests_per_turn && !in.empty()) return ResumeNextTurn();
+      const bool starting = !parser_.begun();
+      while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
+      if (starting && parser_.begun() && answered_) SetTimer(server_.bounds_.request_timeout);
+      if (parser_.head_done() && !parser_.done() && !parser_.failed()) SendContinue();
       if (parser_.failed()) {
-        Answer({parser_.reject_status(), {}, {}, 0}, true);
+        Respond({parser_.reject_status(), {}, {}, 0}, true);
         break;
       }
       if (!parser_.done()) return;
-      // Danger: who has left gets no answer and hands its message in again: this one must not be taken on.
-      if (connection_->peer_ended()) return;
-      const HttpAnswer answer = rejected_ ? Reject() : server_.handler_.OnRequest(parser_.message());
-      // What has come behind it was read with it, and is owed an answer: the last one closes the connection.
-      const bool closes = (rejected_ || server_.closing_) && in.empty();
-      Answer(answer, closes || !parser_.message().keep_alive);
+      // A client that has closed its side gets no response and will send the request again, so this copy must
+      // not be accepted.
+      if (connection_->peer_closed()) return;
+      const HttpResponse response = rejected_ ? Reject() : server_.handler_.OnRequest(parser_.message());
+      // Requests that were read along with this one get a response, too: only the last one closes the
+      // connection.
+      const bool closes = (rejected_ || server_.close_after_response_) && in.empty();
+      Respond(response, closes || !parser_.message().keep_alive);
       parser_.Reset();
-      continued_ = false;
+      continue_sent_ = false;
     }
-    ReadOff();
+    DiscardInput();
   }
 
-  void TakeMoreLater() {
-    if (again_ != 0) return;
-    again_ = server_.loop_.At(server_.loop_.Now(), [this] {
-      again_ = 0;
-      TakeRequests();
-      connection_->ReadOn();
+  void ResumeNextTurn() {
+    if (resume_timer_ != 0) return;
+    resume_timer_ = server_.loop_.At(server_.loop_.Now(), [this] {
+      resume_timer_ = 0;
+      HandleRequests();
+      connection_->ResumeReading();
     });
   }
 
-  // Danger: a socket that is closed with bytes unread resets the connection, and the answer with it.
-  void ReadOff() {
+  // Closing a socket with unread bytes would reset the connection, and the client could lose the response.
+  void DiscardInput() {
     RingBuffer& in = connection_->in();
-    read_off_ += in.size();
+    discarded_bytes_ += in.size();
     while (!in.empty()) in.Consume(in.size());
-    if (read_off_ > server_.bounds_.linger_bytes) server_.Drop(*this);
+    if (discarded_bytes_ > server_.bounds_.linger_bytes) server_.Drop(*this);
   }
 
-  // Clients that hold a body back until they are told to go on would else wait for a second or so.
-  void Continue() {
+  // Answers "Expect: 100-continue". Clients that send it would otherwise hold the body back for about a
+  // second.
+  void SendContinue() {
     const std::string* expect = parser_.message().Header("Expect");
-    if (std::exchange(continued_, true) || expect == nullptr || *expect != "100-continue") return;
+    if (std::exchange(continue_sent_, true) || expect == nullptr || *expect != "100-continue") return;
     connection_->Write("HTTP/1.1 100 Continue\r\n\r\n");
   }
 
-  HttpAnswer Reject() {
+  HttpResponse Reject() {
     server_.handler_.OnReject(parser_.message());
-    return {503, {{"Retry-After", WriteSeconds(server_.bounds_.reject_wait)}}, {}, 0};
+    return {503, {{"Retry-After", FormatSeconds(server_.bounds_.reject_retry_after)}}, {}, 0};
   }
 
-  void Answer(const HttpAnswer& answer, bool last) {
-    Headers headers = answer.headers;
+  void Respond(const HttpResponse& response, bool last) {
+    Headers headers = response.headers;
     if (last) headers.emplace_back("Connection", "close");
-    ticket_ = answer.ticket;
+    ticket_ = response.ticket;
     answered_ = true;
-    if (!connection_->Write(WriteAnswer(answer.status, headers, answer.body))) last = true;
-    leaving_ = last;
-    since_ = server_.loop_.Now();
+    if (!connection_->Write(FormatResponse(response.status, headers, response.body))) last = true;
+    lingering_ = last;
+    last_active_ = server_.loop_.Now();
     if (last) connection_->CloseWhenWritten();
-    SetTimer(last ? server_.bounds_.linger_time : server_.IdleTime());
+    SetTimer(last ? server_.bounds_.linger_timeout : server_.IdleTimeout());
   }
 
   void SetTimer(Seconds after) {
     server_.loop_.Cancel(timer_);
     timer_ = server_.loop_.At(server_.loop_.Now() + after, [this] {
       timer_ = 0;
-      // Danger: bytes may have come since the loop asked. A request that they make whole is owed its answer.
-      if (!leaving_ && !connection_->HasNothingUnread()) {
-        connection_->ReadOn();
+      // Bytes may have arrived after the last epoll_wait. A request that they complete must get a response.
+      if (!lingering_ && !connection_->HasNothingUnread()) {
+        connection_->ResumeReading();
         if (timer_ != 0 || !connection_->open()) return;
       }
-      // A request that was cut short gets its answer; a quiet connection is closed without a word.
-      if (!leaving_ && parser_.begun()) return Answer({408, {}, {}, 0}, true);
-      OnEnd(*connection_, Connection::End::kEnded);
+      // An incomplete request is answered with 408; an idle connection is closed without a response.
+      if (!lingering_ && parser_.begun()) return Respond({408, {}, {}, 0}, true);
+      OnClosed(*connection_, Connection::CloseReason::kPeerClosed);
     });
   }
 
   HttpServer& server_;
   const bool rejected_;
-  Clients::iterator place_;
+  Clients::iterator position_;
   std::unique_ptr<Connection> connection_;
   HttpParser parser_;
-  EventLoop::TimerId timer_ = 0, again_ = 0;
-  Seconds since_ = 0;
-  std::size_t read_off_ = 0;
-  bool answered_ = false, leaving_ = false, continued_ = false;
+  EventLoop::TimerId timer_ = 0, resume_timer_ = 0;
+  Seconds last_active_ = 0;
+  std::size_t discarded_bytes_ = 0;
+  bool answered_ = false, lingering_ = false, continue_sent_ = false;
   std::uint64_t ticket_ = 0;
 };
 
-HttpServer::HttpServer(EventLoop& loop, const sockaddr_in& listen_at, const ServerBounds& bounds,
+HttpServer::HttpServer(EventLoop& loop, const sockaddr_in& listen_address, const ServerBounds& bounds,
                        Handler& handler)
-    : HttpServer(loop, OpenListener(listen_at), bounds, handler) {}
+    : HttpServer(loop, OpenListener(listen_address), bounds, handler) {}
 
 HttpServer::HttpServer(EventLoop& loop, int fd, const ServerBounds& bounds, Handler& handler)
     : loop_(loop), bounds_(bounds), handler_(handler), fd_(fd) {
@@ -161,7 +164,7 @@
 }
 
 HttpServer::~HttpServer() {
-  for (auto& client : clients_) client->Shut();
+  for (auto& client : clients_) client->Close();
   StopAccepting();
 }
 
@@ -175,41 +178,43 @@
 
 void HttpServer::OnEvents(std::uint32_t) { Accept(); }
 
-// Danger: out of descriptors, accept fails and its edge is spent. So the table is bounded well below that:
-// a full one first loses whom it owes nothing, then newcomers hear a reject, then they wait a moment.
+// When the process is out of descriptors, accept fails and its edge-triggered event is lost. So the number of
+// connections is limited well below that. At the limit a connection that is owed no response is closed first;
+// failing that, new connections are rejected, and beyond reject_connections they wait in the listen queue.
 void HttpServer::Accept() {
-  while (SomebodyWaits()) {
-    const Room room = connections() < bounds_.connections ? Room::kNow : MakeRoom();
-    const bool reject = room == Room::kNone;
-    if (room == Room::kSoon) break;
+  while (HasPendingConnection()) {
+    const Vacancy vacancy = connections() < bounds_.connections ? Vacancy::kNow : CloseOneToMakeRoom();
+    const bool reject = vacancy == Vacancy::kNone;
+    if (vacancy == Vacancy::kSoon) break;
     if (reject && connections() >= bounds_.connections + bounds_.reject_connections) break;
-    bool more = false;
-    const int fd = AcceptNext(fd_, more);
-    if (fd < 0 && more) return AcceptAt(loop_.Now() + kAcceptPause);
+    bool retry = false;
+    const int fd = AcceptNext(fd_, retry);
+    if (fd < 0 && retry) return ScheduleAccept(loop_.Now() + kAcceptRetryDelay);
     if (fd < 0) break;
     clients_.push_back(std::make_unique<Client>(*this, reject));
     if (!clients_.back()->Open(fd, std::prev(clients_.end()))) Drop(*clients_.back());
   }
-  // Who waits in the queue raises no new edge.
-  if (SomebodyWaits()) AcceptAt(loop_.Now() + bounds_.silent_time / 2);
+  // Connections that stay in the listen queue cause no further event.
+  if (HasPendingConnection()) ScheduleAccept(loop_.Now() + bounds_.silent_timeout / 2);
 }
 
-// Clients may leave connections open that they will not use again, up to a bound of their own.
-Seconds HttpServer::IdleTime() const {
-  return 2 * connections() > bounds_.connections ? bounds_.rest_time : bounds_.idle_time;
+// Clients may keep connections open that they no longer use, up to a limit of their own: at that limit they
+// can open no further one, so a server that is more than half full closes idle connections sooner.
+Seconds HttpServer::IdleTimeout() const {
+  return 2 * connections() > bounds_.connections ? bounds_.crowded_idle_timeout : bounds_.idle_timeout;
 }
 
-bool HttpServer::SomebodyWaits() const {
+bool HttpServer::HasPendingConnection() const {
   if (fd_ < 0) return false;
   pollfd queue{fd_, POLLIN, 0};
   int ready = 0;
   do {
     ready = poll(&queue, 1, 0);
   } while (ready < 0 && errno == EINTR);
-  return ready != 0;  // where it can't be told, accept tells it
+  return ready != 0;  // if poll fails, accept decides
 }
 
-void HttpServer::AcceptAt(Seconds when) {
+void HttpServer::ScheduleAccept(Seconds when) {
   loop_.Cancel(accept_timer_);
   accept_timer_ = loop_.At(when, [this] {
     accept_timer_ = 0;
@@ -217,32 +222,35 @@
   });
 }
 
-// Closes the connection that is missed least: one that was answered and has rested longest; else the first of
-// those that have said nothing since they came, as a usual client never does; else one that was just
-// answered. Soon: one that has come a moment ago may turn out to be silent, and the answered ones may stay.
-HttpServer::Room HttpServer::MakeRoom() {
-  Client* best = nullptr;
-  std::pair<int, Seconds> best_rank;
-  std::size_t young = 0;
+// Closes one idle connection to make room for a new one. In order of preference: the one that was answered
+// longest ago, at least crowded_idle_timeout; the oldest of those that have sent no request for
+// silent_timeout since they were accepted, as regular clients do not; the one answered longest ago among the
+// others. kSoon: nothing was closed, as connections accepted less than silent_timeout ago may soon turn out
+// to be silent, which would spare those that were answered.
+HttpServer::Vacancy HttpServer::CloseOneToMakeRoom() {
+  Client* candidate = nullptr;
+  std::pair<int, Seconds> candidate_rank;
+  std::size_t recent_count = 0;
   const Seconds now = loop_.Now();
   for (const auto& client : clients_) {
-    const Seconds quiet = now - client->since();
-    const int group = !client->answered() ? 1 : quiet >= bounds_.rest_time ? 0 : 2;
-    const std::pair rank(group, client->since());
-    if ((best != nullptr && best_rank <= rank) || !client->idle()) continue;
-    if (group == 1 && quiet < bounds_.silent_time) {
-      ++young;
+    const Seconds quiet = now - client->last_active();
+    const int group = !client->answered() ? 1 : quiet >= bounds_.crowded_idle_timeout ? 0 : 2;
+    const std::pair rank(group, client->last_active());
+    if ((candidate != nullptr && candidate_rank <= rank) || !client->idle()) continue;
+    if (group == 1 && quiet < bounds_.silent_timeout) {
+      ++recent_count;
     } else {
-      best = client.get();
-      best_rank = rank;
+      candidate = client.get();
+      candidate_rank = rank;
     }
   }
-  // Danger: each newcomer is young until its request is read. To wait for a few of them would let in but one
-  // newcomer a moment, where clients ask once and hold on.
-  if (best == nullptr) return young > 0 ? Room::kSoon : Room::kNone;
-  if (best_rank.first == 2 && 2 * young >= clients_.size()) return Room::kSoon;
-  Drop(*best);
-  return Room::kNow;
+  // Every new connection counts as recent until its request is read. If clients send one request and keep
+  // their connections open, waiting for just a few recent ones would accept a single connection per waiting
+  // period.
+  if (candidate == nullptr) return recent_count > 0 ? Vacancy::kSoon : Vacancy::kNone;
+  if (candidate_rank.first == 2 && 2 * recent_count >= clients_.size()) return Vacancy::kSoon;
+  Drop(*candidate);
+  return Vacancy::kNow;
 }
 
 void HttpServer::CloseIdle() {
@@ -252,22 +260,22 @@
   }
 }
 
-void HttpServer::TakeWhatHasCome() {
+void HttpServer::ServePendingInput() {
   Accept();
-  bounds_.requests_a_turn = std::numeric_limits<int>::max();  // there is no other turn
+  bounds_.requests_per_turn = std::numeric_limits<int>::max();  // there is no next turn
   for (auto it = clients_.begin(); it != clients_.end();) {
     Client& client = **it++;
-    client.ReadOn();
+    client.ResumeReading();
   }
 }
 
 void HttpServer::Drop(Client& client) {
   const bool was_full = connections() >= bounds_.connections;
-  client.Shut();
-  const auto place = client.place();
-  loop_.Retire(std::move(*place));
-  clients_.erase(place);
-  if (was_full) AcceptAt(loop_.Now());
+  client.Close();
+  const auto position = client.position();
+  loop_.Retire(std::move(*position));
+  clients_.erase(position);
+  if (was_full) ScheduleAccept(loop_.Now());
 }
 
 }  // namespace opalroute::net
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,4 +1,5 @@
-// The listening side: connections that bring one request at a time and get its answer at once.
+// An HTTP server. Requests of one connection are handled one after another, and each is answered
+// synchronously.
 #pragma once
 
 #include <netinet/in.h>
@@ -17,28 +18,35 @@
 
 struct ServerBounds {
   HttpBounds http;
-  std::size_t answer_bytes = 0;
-  int connections = 0, reject_connections = 0;  // beyond the first, so many more only hear a reject
-  int requests_a_turn = 0;                      // of one connection, before the others have theirs
-  Seconds first_time = 0;                       // from accepting a connection to the end of its first request
-  Seconds request_time = 0, idle_time = 0;      // to bring a further one that has begun; between requests
-  Seconds rest_time = 0,
-          silent_time = 0;       // rest: between requests once half the table is taken; a full one first
-                                 // drops who has rested, or said nothing, so long
-  Seconds linger_time = 0;       // after the last answer, and ...
-  std::size_t linger_bytes = 0;  // ... so much is read off, that it is not reset away
-  Seconds reject_wait = 0;       // after which one that was turned away may come again
+  std::size_t response_bytes = 0;  // output buffer per connection
+  // Connections that are served, and how many more are accepted only to be answered with a reject.
+  int connections = 0, reject_connections = 0;
+  int requests_per_turn = 0;          // of one connection, before other connections are served
+  Seconds first_request_timeout = 0;  // from accepting a connection to the end of its first request
+  Seconds request_timeout = 0;        // from the start of a later request to its end
+  Seconds idle_timeout = 0;           // between requests, while at most half of the connections are in use
+  // Between requests, while more than half of the connections are in use. Once all are, connections that have
+  // been idle for as long are closed first to make room.
+  Seconds crowded_idle_timeout = 0;
+  // Once all connections are in use, those that have sent no request for so long since they were accepted may
+  // be closed to make room.
+  Seconds silent_timeout = 0;
+  // After the last response on a connection, input is read and discarded for this time and up to this many
+  // bytes: closing with unread input would reset the connection, and the client could lose the response.
+  Seconds linger_timeout = 0;
+  std::size_t linger_bytes = 0;
+  Seconds reject_retry_after = 0;  // the Retry-After of a reject
 };
 
-struct HttpAnswer {
+struct HttpResponse {
   int status = 0;
   Headers headers;
   std::string body;
-  std::uint64_t ticket = 0;  // if not 0, a client that left before all was written is told of by it
+  std::uint64_t ticket = 0;  // if not 0: passed to OnResponseLost if the client leaves before all is written
 };
 
-// A line of text.
-inline HttpAnswer PlainAnswer(int status, const std::string& line) {
+// A plain-text response of one line.
+inline HttpResponse PlainTextResponse(int status, const std::string& line) {
   return {status, {{"Content-Type", "text/plain"}}, line + "\n", 0};
 }
 
@@ -47,24 +55,26 @@
   class Handler {
    public:
     virtual ~Handler() = default;
-    virtual HttpAnswer OnRequest(HttpMessage& request) = 0;
-    virtual void OnAnswerLost(std::uint64_t ticket) = 0;
-    virtual void OnReject(HttpMessage&) {}  // a request that found the table full was turned away
+    virtual HttpResponse OnRequest(HttpMessage& request) = 0;
+    virtual void OnResponseLost(std::uint64_t ticket) = 0;
+    virtual void OnReject(HttpMessage&) {}  // a request was rejected, as all connections are in use
   };
 
   HttpServer(EventLoop& loop, const sockaddr_in& listen, const ServerBounds& bounds, Handler& handler);
-  // Takes over a socket that listens already.
+  // Takes ownership of a socket that is already listening.
   HttpServer(EventLoop& loop, int fd, const ServerBounds& bounds, Handler& handler);
   ~HttpServer() override;
 
   sockaddr_in address() const { return BoundAddress(fd_); }
   int connections() const { return static_cast<int>(clients_.size()); }
-  void CloseAfterAnswers() { closing_ = true; }  // each connection, after its next answer
-  void CloseIdle();                              // those between requests, now
-  // Reads and answers what the loop has not heard of yet, newcomers' requests among it: before the process
-  // ends, which would reset their connections.
-  void TakeWhatHasCome();
-  void StopAccepting();  // who waits is left to another process that listens on the same socket
+  // Closes each connection after its next response.
+  void CloseAfterResponses() { close_after_response_ = true; }
+  void CloseIdle();  // closes the connections that are between requests
+  // Accepts pending connections, and reads and answers everything that has arrived. For use right before
+  // the process exits, which would reset these connections.
+  void ServePendingInput();
+  // Closes the listening socket. Pending connections are left to another process that listens on it.
+  void StopAccepting();
 
   void OnEvents(std::uint32_t events) override;
 
@@ -72,20 +82,20 @@
   class Client;
   using Clients = std::list<std::unique_ptr<Client>>;
   void Accept();
-  enum class Room { kNow, kSoon, kNone };
-  Room MakeRoom();
-  bool SomebodyWaits() const;
-  Seconds IdleTime() const;
-  void AcceptAt(Seconds when);
+  enum class Vacancy { kNow, kSoon, kNone };
+  Vacancy CloseOneToMakeRoom();
+  bool HasPendingConnection() const;
+  Seconds IdleTimeout() const;
+  void ScheduleAccept(Seconds when);
   void Drop(Client& client);
 
   EventLoop& loop_;
   ServerBounds bounds_;
   Handler& handler_;
   int fd_;
-  bool closing_ = false;
+  bool close_after_response_ = false;
   Clients clients_;
-  EventLoop::TimerId accept_timer_ = 0;  // newcomers wait for room
+  EventLoop::TimerId accept_timer_ = 0;  // set while connections wait to be accepted
 };
 
 }  // namespace opalroute::net
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -11,11 +11,11 @@
 
 namespace opalroute::net {
 
-int OpenListener(const sockaddr_in& listen_at) {
+int OpenListener(const sockaddr_in& listen_address) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
-  if (fd >= 0 && bind(fd, reinterpret_cast<const sockaddr*>(&listen_at), sizeof(listen_at)) == 0 &&
+  if (fd >= 0 && bind(fd, reinterpret_cast<const sockaddr*>(&listen_address), sizeof(listen_address)) == 0 &&
       listen(fd, SOMAXCONN) == 0)
     return fd;
   const int error = errno;
@@ -30,11 +30,11 @@
   };
   int listens = 0;
   socklen_t size = sizeof(listens);
-  if (getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) < 0) fail(errno, " is no socket");
-  if (listens == 0) fail(EINVAL, " does not listen");
+  if (getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) < 0) fail(errno, " is not a socket");
+  if (listens == 0) fail(EINVAL, " is not a listening socket");
   const int flags = fcntl(fd, F_GETFL);
   if (flags < 0 || fcntl(fd, F_SETFL, flags | O_NONBLOCK) < 0 || fcntl(fd, F_SETFD, FD_CLOEXEC) < 0)
-    fail(errno, " can't be set up");
+    fail(errno, " can't be made non-blocking and close-on-exec");
   return fd;
 }
 
@@ -45,28 +45,28 @@
   return address;
 }
 
-Listener::Listener(EventLoop& loop, const sockaddr_in& listen_at, std::function<void(int fd)> accepted)
-    : Listener(loop, OpenListener(listen_at), std::move(accepted)) {}
+Listener::Listener(EventLoop& loop, const sockaddr_in& listen_address, std::function<void(int fd)> on_accept)
+    : Listener(loop, OpenListener(listen_address), std::move(on_accept)) {}
 
-Listener::Listener(EventLoop& loop, int fd, std::function<void(int fd)> accepted)
-    : loop_(loop), accepted_(std::move(accepted)), fd_(fd) {
+Listener::Listener(EventLoop& loop, int fd, std::function<void(int fd)> on_accept)
+    : loop_(loop), on_accept_(std::move(on_accept)), fd_(fd) {
   if (!loop_.Add(fd_, this)) throw std::system_error(errno, std::generic_category(), "listen");
 }
 
 Listener::~Listener() {
-  loop_.Cancel(again_);
+  loop_.Cancel(retry_timer_);
   loop_.Remove(fd_);
   close(fd_);
 }
 
-int AcceptNext(int fd, bool& more) {
-  constexpr int kTries = 16;  // of errors in a row, before others have their turn
-  more = true;
-  for (int i = 0; i < kTries; ++i) {
+int AcceptNext(int fd, bool& retry) {
+  constexpr int kMaxErrors = 16;  // consecutive errors, before the loop serves other descriptors
+  retry = true;
+  for (int i = 0; i < kMaxErrors; ++i) {
     const int accepted = accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (accepted >= 0) return accepted;
     if (errno == EAGAIN) {
-      more = false;
+      retry = false;
       return -1;
     }
     if (errno != EINTR && errno != ECONNABORTED) return -1;
@@ -75,12 +75,12 @@
 }
 
 void Listener::Accept() {
-  bool more = false;
-  for (int fd = AcceptNext(fd_, more); fd >= 0; fd = AcceptNext(fd_, more)) accepted_(fd);
-  loop_.Cancel(again_);
-  if (!more) return;
-  again_ = loop_.At(loop_.Now() + kAcceptPause, [this] {
-    again_ = 0;
+  bool retry = false;
+  for (int fd = AcceptNext(fd_, retry); fd >= 0; fd = AcceptNext(fd_, retry)) on_accept_(fd);
+  loop_.Cancel(retry_timer_);
+  if (!retry) return;
+  retry_timer_ = loop_.At(loop_.Now() + kAcceptRetryDelay, [this] {
+    retry_timer_ = 0;
     Accept();
   });
 }
--- a/src/net/listener.h
+++ b/src/net/listener.h
@@ -9,24 +9,24 @@
 
 namespace opalroute::net {
 
-// Throws std::system_error if nothing can be listened to there.
-int OpenListener(const sockaddr_in& listen_at);
-// A listening socket that another process has opened, made non-blocking. Throws std::system_error if it is
-// none.
+// Opens a listening socket. Throws std::system_error if that fails.
+int OpenListener(const sockaddr_in& listen_address);
+// Checks a listening socket that another process has opened, and makes it non-blocking. Throws
+// std::system_error if `fd` is not one.
 int InheritListener(int fd);
-sockaddr_in BoundAddress(int fd);  // the port, too, if any was asked for
-// The next connection that waits, made non-blocking, or -1. Then `more` says whether another try may bring
-// one: the call failed for a moment, or for one connection alone, and raises no event for those behind it
-// (accept(2)).
-int AcceptNext(int fd, bool& more);
-constexpr Seconds kAcceptPause = 0.01;  // before that try
-
-// Hands over each connection that comes. The callback owns the descriptor.
+sockaddr_in BoundAddress(int fd);  // with the actual port, if port 0 was requested
+// Accepts the next pending connection as a non-blocking socket; -1 if there is none. On -1, `retry` tells
+// whether the caller should call again after kAcceptRetryDelay: accept failed for a temporary reason or for a
+// single connection (accept(2)), and no event will be reported for the connections that are still queued.
+int AcceptNext(int fd, bool& retry);
+constexpr Seconds kAcceptRetryDelay = 0.01;
+
+// Passes each accepted connection to a callback, which takes ownership of the descriptor.
 class Listener : public EventHandler {
  public:
-  Listener(EventLoop& loop, const sockaddr_in& listen_at, std::function<void(int fd)> accepted);
-  // Takes over a socket that listens already.
-  Listener(EventLoop& loop, int fd, std::function<void(int fd)> accepted);
+  Listener(EventLoop& loop, const sockaddr_in& listen_address, std::function<void(int fd)> on_accept);
+  // Takes ownership of a socket that is already listening.
+  Listener(EventLoop& loop, int fd, std::function<void(int fd)> on_accept);
   ~Listener() override;
   sockaddr_in address() const { return BoundAddress(fd_); }
   void OnEvents(std::uint32_t) override { Accept(); }
@@ -35,9 +35,9 @@
   EventLoop& loop_;
   void Accept();
 
-  std::function<void(int fd)> accepted_;
+  std::function<void(int fd)> on_accept_;
   int fd_;
-  EventLoop::TimerId again_ = 0;
+  EventLoop::TimerId retry_timer_ = 0;
 };
 
 }  // namespace opalroute::net
--- a/src/net/ring_buffer.cpp
+++ b/src/net/ring_buffer.cpp
@@ -11,30 +11,31 @@
 namespace opalroute::net {
 
 namespace {
-constexpr std::size_t kFirstCapacity = 4096;  // of a ring that holds something: a usual message fits
-constexpr std::size_t kMostSpare = 64;        // blocks of it kept for the next ring, 256 kB
+constexpr std::size_t kInitialCapacity = 4096;  // a typical message fits
+constexpr std::size_t kMaxSpareBlocks = 64;     // of kInitialCapacity, kept for reuse: 256 kB
 
-// Rings fill and empty with every message, and the allocator is slow at this size
-// (docs/measurements/capacity.md).
-std::vector<std::unique_ptr<char[]>>& Spare() {
+// A buffer allocates and releases its block with every message, and the allocator is slow for blocks of this
+// size (docs/measurements/capacity.md).
+std::vector<std::unique_ptr<char[]>>& SpareBlocks() {
   thread_local std::vector<std::unique_ptr<char[]>> spare;
   return spare;
 }
 
 std::unique_ptr<char[]> TakeBlock(std::size_t capacity) {
-  auto& spare = Spare();
-  if (capacity != kFirstCapacity || spare.empty()) return std::unique_ptr<char[]>(new char[capacity]);
+  auto& spare = SpareBlocks();
+  if (capacity != kInitialCapacity || spare.empty()) return std::unique_ptr<char[]>(new char[capacity]);
   std::unique_ptr<char[]> block = std::move(spare.back());
   spare.pop_back();
   return block;
 }
 
-void GiveBack(std::unique_ptr<char[]> block, std::size_t capacity) {
-  if (block && capacity == kFirstCapacity && Spare().size() < kMostSpare) Spare().push_back(std::move(block));
+void ReleaseBlock(std::unique_ptr<char[]> block, std::size_t capacity) {
+  if (block && capacity == kInitialCapacity && SpareBlocks().size() < kMaxSpareBlocks)
+    SpareBlocks().push_back(std::move(block));
 }
 }  // namespace
 
-RingBuffer::~RingBuffer() { GiveBack(std::move(bytes_), capacity_); }
+RingBuffer::~RingBuffer() { ReleaseBlock(std::move(bytes_), capacity_); }
 
 std::string_view RingBuffer::Front() const {
   return {bytes_.get() + begin_, std::min(size_, capacity_ - begin_)};
@@ -46,19 +47,19 @@
   if (size_ > 0) {
     begin_ = (begin_ + count) % capacity_;
   } else {
-    GiveBack(std::move(bytes_), capacity_);
+    ReleaseBlock(std::move(bytes_), capacity_);
     begin_ = capacity_ = 0;
   }
 }
 
 void RingBuffer::Reserve(std::size_t capacity) {
-  capacity = std::min(capacity, most_);
+  capacity = std::min(capacity, max_size_);
   if (capacity <= capacity_) return;
   auto bytes = TakeBlock(capacity);
   const std::string_view front = Front();
   if (!front.empty()) std::memcpy(bytes.get(), front.data(), front.size());
   if (size_ > front.size()) std::memcpy(bytes.get() + front.size(), bytes_.get(), size_ - front.size());
-  GiveBack(std::move(bytes_), capacity_);
+  ReleaseBlock(std::move(bytes_), capacity_);
   bytes_ = std::move(bytes);
   capacity_ = capacity;
   begin_ = 0;
@@ -66,9 +67,9 @@
 
 bool RingBuffer::Append(std::string_view bytes) {
   if (bytes.empty()) return true;
-  if (bytes.size() > most_ - size_) return false;
+  if (bytes.size() > max_size_ - size_) return false;
   if (size_ + bytes.size() > capacity_)
-    Reserve(std::max({kFirstCapacity, 2 * capacity_, size_ + bytes.size()}));
+    Reserve(std::max({kInitialCapacity, 2 * capacity_, size_ + bytes.size()}));
   const std::size_t end = (begin_ + size_) % capacity_;
   const std::size_t first = std::min(bytes.size(), capacity_ - end);
   std::memcpy(bytes_.get() + end, bytes.data(), first);
@@ -78,10 +79,10 @@
 }
 
 ssize_t RingBuffer::ReadFrom(int fd) {
-  if (size_ == capacity_) Reserve(std::max(kFirstCapacity, 2 * capacity_));
+  if (size_ == capacity_) Reserve(std::max(kInitialCapacity, 2 * capacity_));
   const std::size_t end = (begin_ + size_) % capacity_;
-  const std::size_t room = capacity_ - size_, first = std::min(room, capacity_ - end);
-  iovec parts[2] = {{bytes_.get() + end, first}, {bytes_.get(), room - first}};
+  const std::size_t free_bytes = capacity_ - size_, first = std::min(free_bytes, capacity_ - end);
+  iovec parts[2] = {{bytes_.get() + end, first}, {bytes_.get(), free_bytes - first}};
   const ssize_t count = readv(fd, parts, 2);
   if (count > 0) size_ += static_cast<std::size_t>(count);
   return count;
--- a/src/net/socket_error.h
+++ b/src/net/socket_error.h
@@ -1,4 +1,4 @@
-// What the error of a socket call says (errno; accept(2), connect(2), recv(2), send(2), socket(2)).
+// Classifies the errors of socket calls (errno; accept(2), connect(2), recv(2), send(2), socket(2)).
 #pragma once
 
 #include <cerrno>
@@ -7,15 +7,16 @@
 
 namespace opalroute::net {
 
-// The system is short of something for a moment: the same call may succeed soon, and raises no event then.
-inline bool IsShortage(int error) {
+// The system is temporarily out of a resource. The same call may succeed soon, but epoll reports no event
+// when it would: the caller has to retry on a timer.
+inline bool IsResourceShortage(int error) {
   return error == ENOBUFS || error == ENOMEM || error == EMFILE || error == ENFILE;
 }
-constexpr Seconds kShortagePause = 0.005;  // before such a call is made again
+constexpr Seconds kShortageRetryDelay = 0.005;  // before the call is retried
 
-// A connection could not be begun for a reason on this side: it says nothing of the other one.
+// connect(2) failed for a reason on this machine or in its routing, which says nothing about the remote side.
 inline bool IsLocalConnectError(int error) {
-  return IsShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
+  return IsResourceShortage(error) || error == EADDRNOTAVAIL || error == EADDRINUSE || error == EAGAIN ||
          error == ENETUNREACH || error == ENETDOWN || error == EACCES || error == EPERM;
 }
 
--- a/src/net/timer.h
+++ b/src/net/timer.h
@@ -1,4 +1,4 @@
-// A timer of the event loop that is cancelled with its owner.
+// A timer of the event loop that cancels itself when it is destroyed.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,9 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  // Calls `callback` once at `when` on the loop's clock, in place of whatever was scheduled before. The
-  // callback may restart or destroy this timer.
+  // Schedules one call of `callback` at `when` on the loop's clock; a call that is already scheduled is
+  // cancelled. The callback may restart or destroy this timer.
   void Start(Seconds when, std::function<void()> callback);
-  // No callback follows.
   void Cancel() { loop_.Cancel(id_); }
   bool pending() const { return id_ != 0; }
 
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -33,10 +33,10 @@
   std::string OnReady() override {
     std::string body;
     for (std::size_t i = 0; i < lines_; ++i) body += notifier_.queue_[i].line + "\n";
-    return net::WriteRequest("POST", "/v1/notices", {{"Host", net::FormatAddress(notifier_.to_)}}, body);
+    return net::FormatRequest("POST", "/v1/notices", {{"Host", net::FormatAddress(notifier_.to_)}}, body);
   }
-  void OnAnswer(net::HttpMessage& answer) override { notifier_.OnAnswer(*this, answer.status); }
-  void OnBroken(net::HttpClient::Broken, int) override { notifier_.OnNoAnswer(*this, "connection failed"); }
+  void OnResponse(net::HttpMessage& answer) override { notifier_.OnAnswer(*this, answer.status); }
+  void OnFailure(net::HttpClient::Failure, int) override { notifier_.OnNoAnswer(*this, "connection failed"); }
 
   net::EventLoop& loop_;
   FailureNotifier& notifier_;
--- a/src/relay/client_bounds.cpp
+++ b/src/relay/client_bounds.cpp
@@ -29,10 +29,10 @@
   bounds.http = {limits.head_bytes, limits.header_count, 4 * limits.body_bytes, limits.interim_answers};
   bounds.request_bytes = limits.head_bytes + MaxBatch(config) * EncodedRequestBytes(limits);
   bounds.connections = limits.upstream_connections;
-  bounds.connect_time = limits.connect_time;
-  bounds.idle_time = limits.upstream_idle;
-  bounds.answer_time = limits.answer_time;
-  bounds.rest_time = limits.answer_rest;
+  bounds.connect_timeout = limits.connect_time;
+  bounds.idle_timeout = limits.upstream_idle;
+  bounds.response_timeout = limits.answer_time;
+  bounds.response_rest_timeout = limits.answer_rest;
   return bounds;
 }
 
@@ -41,9 +41,9 @@
   bounds.http = {limits.head_bytes, limits.header_count, limits.list_bytes};
   bounds.request_bytes = limits.head_bytes + limits.notice_lines * 4 * limits.name_bytes;
   bounds.connections = kPlatformConnections;
-  bounds.connect_time = limits.notice_time_most;
-  bounds.idle_time = limits.upstream_idle;
-  bounds.answer_time = limits.list_time;
+  bounds.connect_timeout = limits.notice_time_most;
+  bounds.idle_timeout = limits.upstream_idle;
+  bounds.response_timeout = limits.list_time;
   return bounds;
 }
 
--- a/src/relay/membership_file.cpp
+++ b/src/relay/membership_file.cpp
@@ -108,7 +108,7 @@
   if (!bytes) return saved;
   saved.load_result = "broken";
   const net::FrameRead frame = net::ReadFrame(*bytes, kMaxRecordBytes);
-  if (frame.state != net::FrameState::kWhole || frame.size != bytes->size()) return saved;
+  if (frame.state != net::FrameState::kComplete || frame.size != bytes->size()) return saved;
   const json record = json::parse(frame.record, nullptr, false);
   try {
     if (record.at("version").get<int>() != kVersion) {
@@ -145,7 +145,7 @@
       {"version", kVersion}, {"relay", relay}, {"life", incarnation}, {"at", now}, {"zones", rows}};
   const std::string bytes = record.dump();
   if (bytes.size() > kMaxRecordBytes) return false;
-  return ReplaceFile(path_, net::Frame(bytes));
+  return ReplaceFile(path_, net::EncodeFrame(bytes));
 }
 
 }  // namespace opalroute
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -220,9 +220,10 @@
   return suspension_.Set(endpoint, suspended);
 }
 
-net::HttpAnswer Relay::OnZoneCommand(const std::string& body) {
+net::HttpResponse Relay::OnZoneCommand(const std::string& body) {
   constexpr int kConflict = 409;
-  if (!membership_ || !settings_.tier.zones) return net::PlainAnswer(kConflict, "tier.zones is off here");
+  if (!membership_ || !settings_.tier.zones)
+    return net::PlainTextResponse(kConflict, "tier.zones is off here");
   return HandleZoneCommand(body, [this](const ZoneCommand& command) {
     return membership_->ApplyCommand(command.zone, command.override_kind, command.duration);
   });
@@ -315,7 +316,7 @@
   if (std::exchange(stopping_, true)) return;
   stopped_ = std::move(stopped);
   log::Info("stopping", {{"open_requests", requests_.open()}, {"calls_in_flight", calls_.out()}});
-  server_.http().CloseAfterAnswers();
+  server_.http().CloseAfterResponses();
   if (IsHotRestart()) {
     // New connections and peers' datagrams are for the next process.
     server_.http().StopAccepting();
@@ -347,7 +348,7 @@
 
 void Relay::Shutdown() {
   if (membership_) membership_->Leave();
-  server_.http().TakeWhatHasCome();
+  server_.http().ServePendingInput();
   stopped_();
 }
 
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -108,7 +108,7 @@
   void StartStateTransfer();
   void JoinFleet();
   void ApplyCachedList();
-  net::HttpAnswer OnZoneCommand(const std::string& body);
+  net::HttpResponse OnZoneCommand(const std::string& body);
   std::string PrintPool() const;
   std::string PrintZones() const;
 
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -143,7 +143,7 @@
 std::string EncodeFrame(const Message& message) {
   wire::Frame frame;
   std::visit(FrameWriter{frame}, message);
-  return net::Frame(frame.SerializeAsString());
+  return net::EncodeFrame(frame.SerializeAsString());
 }
 
 std::optional<Message> DecodeFrame(std::string_view record) {
--- a/src/state_transfer/frame_reader.cpp
+++ b/src/state_transfer/frame_reader.cpp
@@ -17,8 +17,8 @@
 std::optional<Message> FrameReader::Next() {
   while (!broken_) {
     const net::FrameRead read = net::ReadFrame(std::string_view(bytes_).substr(offset_), kMaxFrameBytes);
-    if (read.state == net::FrameState::kBroken) broken_ = true;
-    if (read.state != net::FrameState::kWhole) break;
+    if (read.state == net::FrameState::kCorrupt) broken_ = true;
+    if (read.state != net::FrameState::kComplete) break;
     offset_ += read.size;
     frame_bytes_ += read.size;
     if (auto message = DecodeFrame(read.record)) return message;
--- a/src/state_transfer/snapshot_client.cpp
+++ b/src/state_transfer/snapshot_client.cpp
@@ -61,9 +61,9 @@
     if (reader_.frame_bytes() > client_.limits_.learn_bytes) End(SnapshotResult::kLimitExceeded);
   }
 
-  void OnEnd(net::Connection&, net::Connection::End how) override {
-    End(how == net::Connection::End::kNotConnected ? SnapshotResult::kNotConnected
-                                                   : SnapshotResult::kTruncated);
+  void OnClosed(net::Connection&, net::Connection::CloseReason how) override {
+    End(how == net::Connection::CloseReason::kNotConnected ? SnapshotResult::kNotConnected
+                                                           : SnapshotResult::kTruncated);
   }
 
   void OnHeader(const SnapshotHeader& header) {
--- a/src/state_transfer/snapshot_server.cpp
+++ b/src/state_transfer/snapshot_server.cpp
@@ -56,7 +56,7 @@
     if (slices_) slices_->Resume();
   }
 
-  void OnEnd(net::Connection&, net::Connection::End) override { server_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.Drop(*this); }
 
  private:
   void SendSnapshot() {
--- a/src/upstream/endpoint_protocol.cpp
+++ b/src/upstream/endpoint_protocol.cpp
@@ -48,7 +48,7 @@
   net::Headers headers = {{"Host", net::FormatAddress(to)}, {"X-Txn", request.id}};
   if (!request.key.empty()) headers.emplace_back("Idempotency-Key", request.key);
   headers.emplace_back("X-Remaining-Ms", std::to_string(remaining_ms));
-  return net::WriteRequest("POST", "/hook", headers, request.body);
+  return net::FormatRequest("POST", "/hook", headers, request.body);
 }
 
 std::string WriteBatchCall(const sockaddr_in& to, const std::vector<const OutgoingRequest*>& requests,
@@ -61,11 +61,11 @@
   const net::Headers headers = {{"Host", net::FormatAddress(to)},
                                 {"Content-Type", "application/json"},
                                 {"X-Remaining-Ms", std::to_string(remaining_ms)}};
-  return net::WriteRequest("POST", "/hook/batch", headers, items.dump());
+  return net::FormatRequest("POST", "/hook/batch", headers, items.dump());
 }
 
 std::string WriteHealthCheck(const sockaddr_in& to) {
-  return net::WriteRequest("GET", "/health/live", {{"Host", net::FormatAddress(to)}}, "");
+  return net::FormatRequest("GET", "/health/live", {{"Host", net::FormatAddress(to)}}, "");
 }
 
 AttemptResult ResultOf(const sockaddr_in& from, const net::HttpMessage& answer) {
--- a/src/upstream/health_check_call.cpp
+++ b/src/upstream/health_check_call.cpp
@@ -7,11 +7,11 @@
 namespace opalroute {
 namespace {
 
-Outcome OutcomeOf(net::HttpClient::Broken how) {
+Outcome OutcomeOf(net::HttpClient::Failure how) {
   switch (how) {
-    case net::HttpClient::Broken::kReset:
+    case net::HttpClient::Failure::kReset:
       return Outcome::kReset;
-    case net::HttpClient::Broken::kNoRoom:
+    case net::HttpClient::Failure::kNoLocalConnection:
       return Outcome::kLocalShortage;
     default:
       return Outcome::kConnectFailed;
@@ -54,11 +54,11 @@
   return endpoint_protocol::WriteHealthCheck(to_);
 }
 
-void HealthCheckCall::OnAnswer(net::HttpMessage& answer) {
+void HealthCheckCall::OnResponse(net::HttpMessage& answer) {
   Finish(endpoint_protocol::HealthCheckOutcomeOf(answer), endpoint_protocol::LoadReportOf(answer));
 }
 
-void HealthCheckCall::OnBroken(net::HttpClient::Broken how, int) { Finish(OutcomeOf(how)); }
+void HealthCheckCall::OnFailure(net::HttpClient::Failure how, int) { Finish(OutcomeOf(how)); }
 
 void HealthCheckCall::Finish(Outcome outcome, const LoadReport& report) {
   timer_.Cancel();
--- a/src/upstream/health_check_call.h
+++ b/src/upstream/health_check_call.h
@@ -26,8 +26,8 @@
 
  private:
   std::string OnReady() override;
-  void OnAnswer(net::HttpMessage& answer) override;
-  void OnBroken(net::HttpClient::Broken how, int status) override;
+  void OnResponse(net::HttpMessage& answer) override;
+  void OnFailure(net::HttpClient::Failure how, int status) override;
   void Finish(Outcome outcome, const LoadReport& report = {});
 
   net::EventLoop& loop_;
--- a/src/upstream/upstream_call.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -58,7 +58,7 @@
 void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not) {
   if (ended_ || !member.pending) return;
   const bool last = PendingMembers().size() == 1;
-  const auto state = last ? client_.Abandon(*this) : HttpClient::Abandoned{begun_, 0};
+  const auto state = last ? client_.Abandon(*this) : HttpClient::CallProgress{begun_, 0};
   const bool served = state.status == kHttpOk && !batch_;
   const Outcome outcome = state.written ? if_written : if_not;
   Settle(member, {served ? Outcome::kServed : outcome});
@@ -107,13 +107,13 @@
   return endpoint_protocol::WriteBatchCall(to_, requests, remaining_ms);
 }
 
-bool UpstreamCall::Suffices(int status) {
+bool UpstreamCall::StatusSuffices(int status) {
   if (status != kHttpOk || batch_) return false;
   answered_at_ = loop_.Now();
   return true;
 }
 
-void UpstreamCall::OnAnswer(net::HttpMessage& answer) {
+void UpstreamCall::OnResponse(net::HttpMessage& answer) {
   const Seconds retry_after = endpoint_protocol::RetryAfterOf(answer);
   report_ = endpoint_protocol::LoadReportOf(answer);
   if (answered_at_ < 0) answered_at_ = loop_.Now();
@@ -137,9 +137,9 @@
   EndIfSettled();
 }
 
-void UpstreamCall::OnBroken(HttpClient::Broken how, int status) {
-  if (how == HttpClient::Broken::kNoRoom) return SettleAll({Outcome::kLocalShortage});
-  if (how != HttpClient::Broken::kReset) return SettleAll({Outcome::kConnectFailed});
+void UpstreamCall::OnFailure(HttpClient::Failure how, int status) {
+  if (how == HttpClient::Failure::kNoLocalConnection) return SettleAll({Outcome::kLocalShortage});
+  if (how != HttpClient::Failure::kReset) return SettleAll({Outcome::kConnectFailed});
   // A status line with 200 is a delivery, whatever becomes of the rest; for a batch the whole answer counts.
   const bool served = status == kHttpOk && !batch_;
   SettleAll({served ? Outcome::kServed : Outcome::kReset});
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -55,9 +55,9 @@
  private:
   std::string OnReady() override;
   void OnWritten() override { owner_.OnWritten(requests_sent_); }
-  void OnAnswer(net::HttpMessage& answer) override;
-  void OnBroken(net::HttpClient::Broken how, int status) override;
-  bool Suffices(int status) override;
+  void OnResponse(net::HttpMessage& answer) override;
+  void OnFailure(net::HttpClient::Failure how, int status) override;
+  bool StatusSuffices(int status) override;
 
   void RejectMembersThatMayNotBeSent();
   std::vector<const Member*> PendingMembers() const;
--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -211,7 +211,7 @@
 std::string FrameMeaning(std::string_view bytes) {
   const net::FrameRead read = net::ReadFrame(bytes, state_transfer::kMaxFrameBytes);
   const auto message = state_transfer::DecodeFrame(read.record);
-  if (read.state != net::FrameState::kWhole || read.size != bytes.size() || !message) return kUnreadable;
+  if (read.state != net::FrameState::kComplete || read.size != bytes.size() || !message) return kUnreadable;
   std::ostringstream text;
   text.precision(15);
   if (const auto* request = std::get_if<state_transfer::SnapshotRequest>(&*message)) {
@@ -278,8 +278,8 @@
   std::string damaged = EncodeFrame(state_transfer::SnapshotEnd{1});
   damaged.back() ^= 1;
   cases.push_back({"state transfer, wrong checksum", damaged, FrameMeaning});
-  cases.push_back({"state transfer, unknown field", net::Frame(std::string("\x22\x04\x08\x05\x10\x01", 6)),
-                   FrameMeaning});
+  cases.push_back({"state transfer, unknown field",
+                   net::EncodeFrame(std::string("\x22\x04\x08\x05\x10\x01", 6)), FrameMeaning});
   state_transfer::Datagram message;
   message.nonce = 0xfedcba98;
   message.is_request = true;
--- a/tests/lab/endpoints_test.cpp
+++ b/tests/lab/endpoints_test.cpp
@@ -80,7 +80,7 @@
   CHECK(s.Until([&] { return s.endpoints.connections() == 2; }));
   // The first request on a further connection is turned away, and the connection ends (protocol, '503').
   const auto answer_to = [&](int fd) {
-    const std::string request = net::WriteRequest("GET", "/health/live", {{"Host", "lab"}}, "");
+    const std::string request = net::FormatRequest("GET", "/health/live", {{"Host", "lab"}}, "");
     CHECK(send(fd, request.data(), request.size(), 0) == static_cast<ssize_t>(request.size()));
     std::string answer(4096, '\0');
     ssize_t size = -1;
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -269,7 +269,7 @@
     return std::string(std::istreambuf_iterator<char>(file), {});
   };
   const auto request = [](const std::string& id) {
-    return net::WriteRequest("POST", "/api", {{"Host", "lab"}, {"X-Txn", id}}, "hello");
+    return net::FormatRequest("POST", "/api", {{"Host", "lab"}, {"X-Txn", id}}, "hello");
   };
   read(request("m1"));  // of a descriptor that is no client's
   CHECK(recorded().empty());
--- a/tests/lab/registry_test.cpp
+++ b/tests/lab/registry_test.cpp
@@ -43,9 +43,9 @@
     return answer;
   };
   const std::string line = R"({"message":"m1","outcome":"given_up"})";
-  CHECK(answer_to(net::WriteRequest("GET", "/registry/instances", {{"Host", "lab"}}, "")).empty());
-  CHECK(answer_to(net::WriteRequest("GET", "/registry/instances?follow=1", {{"Host", "lab"}}, "")).empty());
-  CHECK(answer_to(net::WriteRequest("POST", "/v1/notices", {{"Host", "lab"}}, line + "\n"))
+  CHECK(answer_to(net::FormatRequest("GET", "/registry/instances", {{"Host", "lab"}}, "")).empty());
+  CHECK(answer_to(net::FormatRequest("GET", "/registry/instances?follow=1", {{"Host", "lab"}}, "")).empty());
+  CHECK(answer_to(net::FormatRequest("POST", "/v1/notices", {{"Host", "lab"}}, line + "\n"))
             .rfind("HTTP/1.1 204", 0) == 0);
   CHECK(platform.notifications == 1);
 }
--- a/tests/lab/unwatched_connection_test.cpp
+++ b/tests/lab/unwatched_connection_test.cpp
@@ -17,17 +17,17 @@
 
 class Server : public net::HttpServer::Handler {
  public:
-  net::HttpAnswer OnRequest(net::HttpMessage&) override { return net::PlainAnswer(200, "here"); }
-  void OnAnswerLost(std::uint64_t) override {}
+  net::HttpResponse OnRequest(net::HttpMessage&) override { return net::PlainTextResponse(200, "here"); }
+  void OnResponseLost(std::uint64_t) override {}
 };
 
 class Request : public net::HttpClient::Call {
  public:
   std::string OnReady() override { return {}; }
-  void OnAnswer(net::HttpMessage& answer) override { status = answer.status; }
-  void OnBroken(net::HttpClient::Broken how, int) override { broken = how; }
+  void OnResponse(net::HttpMessage& answer) override { status = answer.status; }
+  void OnFailure(net::HttpClient::Failure how, int) override { broken = how; }
   int status = 0;
-  std::optional<net::HttpClient::Broken> broken;
+  std::optional<net::HttpClient::Failure> broken;
 };
 
 struct Meeting {
@@ -70,7 +70,7 @@
   m.connection->Watch(m.loop, m.request);
   m.Turns();
   CHECK(m.request.status == 0);
-  CHECK(m.request.broken == net::HttpClient::Broken::kReset);
+  CHECK(m.request.broken == net::HttpClient::Failure::kReset);
 }
 
 TEST_CASE("lab: a request that comes in two halves too far apart hears why, and no more is sent") {
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -1,4 +1,4 @@
-// Connections and the two sides of HTTP on loopback sockets, without a relay.
+// Tests of Connection, HttpServer and HttpClient on local sockets, without a relay.
 #include <arpa/inet.h>
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -18,19 +18,20 @@
 namespace opalroute::net {
 namespace {
 
-class Taker : public Connection::Owner {
+class CountingOwner : public Connection::Owner {
  public:
   void OnData(Connection& connection) override {
-    taken += connection.in().size();
+    received += connection.in().size();
     while (!connection.in().empty()) connection.in().Consume(connection.in().size());
   }
-  void OnEnd(Connection&, Connection::End) override { ended = true; }
-  std::size_t taken = 0;
-  bool ended = false;
+  void OnClosed(Connection&, Connection::CloseReason) override { closed = true; }
+  std::size_t received = 0;
+  bool closed = false;
 };
 
-// Guards against a sender at full speed that holds the thread, and against an edge that is lost meanwhile.
-TEST_CASE("a connection reads no more in a turn than its ring holds, and goes on in the next") {
+// Guards against a sender at full speed that occupies the thread, and against losing the edge-triggered event
+// when reading stops early.
+TEST_CASE("a connection reads no more than its buffer holds per loop iteration, and continues in the next") {
   const SystemClock clock;
   EventLoop loop(clock);
   int ends[2];
@@ -38,31 +39,31 @@
   fcntl(ends[0], F_SETFL, O_NONBLOCK);
   const std::string bytes(32 * 1024, 'x');
   REQUIRE(send(ends[1], bytes.data(), bytes.size(), 0) == static_cast<ssize_t>(bytes.size()));
-  Taker taker;
-  const auto connection = Connection::Adopt(loop, ends[0], taker, 1024, 1024);
+  CountingOwner owner;
+  const auto connection = Connection::Adopt(loop, ends[0], owner, 1024, 1024);
   for (std::size_t turn = 1; turn <= 32; ++turn) {
     loop.RunOnce(0);
-    CHECK(taker.taken == turn * 1024);
+    CHECK(owner.received == turn * 1024);
   }
   close(ends[1]);
   loop.RunOnce(0);
-  CHECK(taker.ended);
+  CHECK(owner.closed);
 }
 
-class Wide : public HttpServer::Handler {
+class LargeResponseHandler : public HttpServer::Handler {
  public:
-  HttpAnswer OnRequest(HttpMessage&) override { return {200, {}, std::string(3000, 'x'), 0}; }
-  void OnAnswerLost(std::uint64_t) override {}
+  HttpResponse OnRequest(HttpMessage&) override { return {200, {}, std::string(3000, 'x'), 0}; }
+  void OnResponseLost(std::uint64_t) override {}
 };
 
 sockaddr_in Loopback() { return *ParseAddress("127.0.0.1:0"); }
 
-// Guards against answers that are dropped since the client has not read the ones before them.
+// Guards against dropping responses because the client has not yet read the previous ones.
 TEST_CASE("pipelined requests are all answered, however slowly the client reads") {
   const SystemClock clock;
   EventLoop loop(clock);
   const ServerBounds bounds = BoundsOf(4, 60);
-  Wide handler;
+  LargeResponseHandler handler;
   HttpServer server(loop, Loopback(), bounds, handler);
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   const int small = 4096;
@@ -70,12 +71,12 @@
   const sockaddr_in to = server.address();
   REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) == 0);
   fcntl(fd, F_SETFL, O_NONBLOCK);
-  constexpr int kRequests = 3000;  // their answers are more than any socket buffer here takes
+  constexpr int kRequests = 3000;  // the responses exceed the socket buffers
   std::string out;
   for (int i = 0; i < kRequests; ++i) out += "GET / HTTP/1.1\r\n\r\n";
   std::size_t got = 0;
-  const std::size_t whole = kRequests * WriteAnswer(200, {}, std::string(3000, 'x')).size();
-  for (int idle = 0; idle < 2000 && got < whole;) {
+  const std::size_t expected = kRequests * FormatResponse(200, {}, std::string(3000, 'x')).size();
+  for (int idle = 0; idle < 2000 && got < expected;) {
     const ssize_t sent = out.empty() ? 0 : send(fd, out.data(), out.size(), MSG_NOSIGNAL);
     if (sent > 0) out.erase(0, static_cast<std::size_t>(sent));
     loop.RunOnce(0);
@@ -85,24 +86,25 @@
     idle = count > 0 || sent > 0 ? 0 : idle + 1;
     if (idle > 0) usleep(1000);
   }
-  CHECK(got == whole);
+  CHECK(got == expected);
   close(fd);
 }
 
-// Guards against a full table that lets in one newcomer at a time: clients that ask once and hold on, more of
-// them than there are places, are all answered at once.
-TEST_CASE("clients that ask once and stay give way to newcomers without a wait") {
+// Guards against a full server that accepts only one new connection at a time: clients that send one request
+// and keep their connections open, more of them than the connection limit, are all answered without a wait.
+TEST_CASE("a full server closes idle connections for new clients without a wait") {
   const SystemClock clock;
   EventLoop loop(clock);
   ServerBounds bounds;
   bounds.http = {4096, 16, 4096};
-  bounds.answer_bytes = 4096;
+  bounds.response_bytes = 4096;
   bounds.connections = 8;
   bounds.reject_connections = 1;
-  bounds.requests_a_turn = 4;
-  bounds.first_time = bounds.request_time = bounds.idle_time = bounds.linger_time = 60;
-  bounds.rest_time = bounds.silent_time = 60;  // nothing but an answer makes room here
-  Wide handler;
+  bounds.requests_per_turn = 4;
+  bounds.first_request_timeout = bounds.request_timeout = bounds.idle_timeout = bounds.linger_timeout = 60;
+  // So long that only connections that were just answered can make room.
+  bounds.crowded_idle_timeout = bounds.silent_timeout = 60;
+  LargeResponseHandler handler;
   HttpServer server(loop, Loopback(), bounds, handler);
   const sockaddr_in to = server.address();
   std::vector<int> fds;
@@ -112,7 +114,7 @@
     REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) == 0);
     fds.push_back(fd);
     if (i % 2 == 0) continue;
-    for (int turn = 0; turn < 5; ++turn) loop.RunOnce(0.002);  // accepted, and nothing said yet
+    for (int turn = 0; turn < 5; ++turn) loop.RunOnce(0.002);  // accepted, no request sent yet
     for (int j = i - 1; j <= i; ++j) send(fds[j], "GET / HTTP/1.1\r\n\r\n", 18, MSG_NOSIGNAL);
     for (int turn = 0; turn < 20; ++turn) loop.RunOnce(0.002);
     for (int j = i - 1; j <= i; ++j) {
@@ -124,20 +126,20 @@
   for (const int fd : fds) close(fd);
 }
 
-// Guards against clients that leave connections open and use them no more: at the bound of their own they
-// could open no further one, though the table here had room for theirs.
-TEST_CASE("connections rest for less once they take more than half of the table") {
+// Guards against clients that leave unused connections open: once they reach their own connection limit they
+// can't open another one, even though the server would accept it.
+TEST_CASE("the idle timeout is shorter while more than half of the connections are in use") {
   HandClock clock;
   EventLoop loop(clock);
   ServerBounds bounds;
   bounds.http = {4096, 16, 4096};
-  bounds.answer_bytes = 4096;
+  bounds.response_bytes = 4096;
   bounds.connections = 8;
-  bounds.requests_a_turn = 1;
-  bounds.first_time = bounds.request_time = bounds.linger_time = 60;
-  bounds.idle_time = 10;
-  bounds.rest_time = 0.5;
-  Wide handler;
+  bounds.requests_per_turn = 1;
+  bounds.first_request_timeout = bounds.request_timeout = bounds.linger_timeout = 60;
+  bounds.idle_timeout = 10;
+  bounds.crowded_idle_timeout = 0.5;
+  LargeResponseHandler handler;
   HttpServer server(loop, Loopback(), bounds, handler);
   const sockaddr_in to = server.address();
   std::vector<int> fds;
@@ -151,60 +153,60 @@
   CHECK(server.connections() == 6);
   clock.now += 0.6;
   loop.RunOnce(0);
-  CHECK(server.connections() == 4);  // the two that came when half was taken
+  CHECK(server.connections() == 4);  // the last two were answered when more than half were in use
   clock.now += 10;
   loop.RunOnce(0);
   CHECK(server.connections() == 0);
   for (const int fd : fds) close(fd);
 }
 
-class Asking : public HttpClient::Call {
+class RecordingCall : public HttpClient::Call {
  public:
-  std::string OnReady() override { return WriteRequest("GET", "/", {}, ""); }
-  void OnAnswer(HttpMessage& answer) override { status = answer.status; }
-  void OnBroken(HttpClient::Broken how, int) override {
+  std::string OnReady() override { return FormatRequest("GET", "/", {}, ""); }
+  void OnResponse(HttpMessage& response) override { status = response.status; }
+  void OnFailure(HttpClient::Failure how, int) override {
     broken = true;
-    why = how;
+    failure = how;
   }
   int status = 0;
   bool broken = false;
-  HttpClient::Broken why{};
+  HttpClient::Failure failure{};
 };
 
-// Guards against a peer that inherits the connections of another that had its address, against tables that
-// grow with every peer that was ever called, and against blaming a peer for our own full table.
-TEST_CASE("peers at one address share no connection, and are forgotten with their last one") {
+// Guards against reusing the connections of a former peer at the same address, against a map that grows with
+// every peer ever called, and against reporting the client's own connection limit as a failure of the peer.
+TEST_CASE("peers at one address share no connections, and their pools are removed with the last one") {
   const SystemClock clock;
   EventLoop loop(clock);
-  const ServerBounds serve = BoundsOf(4, 60);
-  Wide handler;
-  HttpServer server(loop, Loopback(), serve, handler);
+  const ServerBounds server_bounds = BoundsOf(4, 60);
+  LargeResponseHandler handler;
+  HttpServer server(loop, Loopback(), server_bounds, handler);
   ClientBounds bounds;
   bounds.http = {4096, 16, 4096};
   bounds.request_bytes = 4096;
   bounds.connections = 1;
-  bounds.connect_time = bounds.idle_time = bounds.answer_time = 60;
+  bounds.connect_timeout = bounds.idle_timeout = bounds.response_timeout = 60;
   HttpClient client(loop, bounds);
-  const auto run = [&](std::uint64_t number) {
-    Asking call;
+  const auto call_peer = [&](std::uint64_t number) {
+    RecordingCall call;
     client.Start({server.address(), number}, call);
     for (int i = 0; i < 2000 && call.status == 0; ++i) loop.RunOnce(0.01);
     return call.status;
   };
-  CHECK(run(1) == 200);
-  CHECK(run(1) == 200);
+  CHECK(call_peer(1) == 200);
+  CHECK(call_peer(1) == 200);
   CHECK(client.opened() == 1);
-  CHECK(run(2) == 200);  // the table is full: the idle connection of the other goes
+  CHECK(call_peer(2) == 200);  // at the limit: the idle connection to peer 1 is closed
   CHECK(client.opened() == 2);
   CHECK(client.connections() == 1);
-  Asking holds, refused;
-  client.Start({server.address(), 2}, holds);
+  RecordingCall pending, refused;
+  client.Start({server.address(), 2}, pending);
   client.Start({server.address(), 3}, refused);
   CHECK(refused.broken);
-  CHECK(refused.why == HttpClient::Broken::kNoRoom);
-  CHECK(client.Abandon(holds).written);
+  CHECK(refused.failure == HttpClient::Failure::kNoLocalConnection);
+  CHECK(client.Abandon(pending).written);
   loop.RunOnce(0);
-  CHECK(client.places() == 0);
+  CHECK(client.pool_count() == 0);
 }
 
 }  // namespace
--- a/tests/net/socket_faults_test.cpp
+++ b/tests/net/socket_faults_test.cpp
@@ -1,6 +1,6 @@
-// Each documented error of each socket call, at each place where an exchange over HTTP makes it: what passes
-// soon is tried again, what breaks a connection is told to its owner, and nothing waits for an event that
-// never comes.
+// Injects each documented error of each socket call at each point of an HTTP exchange that makes the call.
+// Temporary errors are retried, errors that break a connection are reported to its owner, and nothing waits
+// for an event that never comes.
 #include <doctest/doctest.h>
 #include <poll.h>
 #include <sys/epoll.h>
@@ -22,16 +22,16 @@
 
 namespace {
 
-enum class Call { kSocket, kConnect, kAccept, kPoll, kWait, kRead, kPeek, kWrite, kReceive };
+enum class Call { kSocket, kConnect, kAccept, kPoll, kEpollWait, kRead, kPeek, kWrite, kReceive };
 
-// So many calls of one kind pass, then so many fail.
+// The first `passes` calls of one kind are made as usual, the next `failures` calls fail with `error`.
 struct Fault {
   Call call{};
   int error = 0, passes = 0, failures = 0;
 };
 Fault fault;
 
-bool Fails(Call call) {
+bool ShouldFail(Call call) {
   if (call != fault.call || fault.failures == 0) return false;
   if (fault.passes > 0) {
     --fault.passes;
@@ -43,47 +43,48 @@
 }
 
 template <typename... Arguments>
-long Pass(long number, Arguments... arguments) {
+long RealCall(long number, Arguments... arguments) {
   return syscall(number, arguments...);
 }
 
 }  // namespace
 
-// In place of the C library's, for this executable alone.
+// Replace the functions of the C library in this executable.
 extern "C" {
 
 int socket(int domain, int type, int protocol) noexcept {
-  return Fails(Call::kSocket) ? -1 : static_cast<int>(Pass(SYS_socket, domain, type, protocol));
+  return ShouldFail(Call::kSocket) ? -1 : static_cast<int>(RealCall(SYS_socket, domain, type, protocol));
 }
-// Interrupted, it goes on all the same; refused, it has told the socket's error.
+// EINTR: the connection is still being established. Any other error: no connect is made, and none is pending
+// on the socket.
 int connect(int fd, const sockaddr* address, socklen_t size) {
-  if (!Fails(Call::kConnect)) return static_cast<int>(Pass(SYS_connect, fd, address, size));
+  if (!ShouldFail(Call::kConnect)) return static_cast<int>(RealCall(SYS_connect, fd, address, size));
   if (errno != EINTR) return -1;
-  const int result = static_cast<int>(Pass(SYS_connect, fd, address, size));
+  const int result = static_cast<int>(RealCall(SYS_connect, fd, address, size));
   if (result == 0 || errno == EINPROGRESS) errno = EINTR;
   return -1;
 }
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
-  return Fails(Call::kAccept) ? -1 : static_cast<int>(Pass(SYS_accept4, fd, address, size, flags));
+  return ShouldFail(Call::kAccept) ? -1 : static_cast<int>(RealCall(SYS_accept4, fd, address, size, flags));
 }
 int poll(pollfd* fds, nfds_t count, int milliseconds) {
-  return Fails(Call::kPoll) ? -1 : static_cast<int>(Pass(SYS_poll, fds, count, milliseconds));
+  return ShouldFail(Call::kPoll) ? -1 : static_cast<int>(RealCall(SYS_poll, fds, count, milliseconds));
 }
 int epoll_wait(int epoll, epoll_event* events, int most, int milliseconds) {
-  if (Fails(Call::kWait)) return -1;
-  return static_cast<int>(Pass(SYS_epoll_pwait, epoll, events, most, milliseconds, nullptr, 8));
+  if (ShouldFail(Call::kEpollWait)) return -1;
+  return static_cast<int>(RealCall(SYS_epoll_pwait, epoll, events, most, milliseconds, nullptr, 8));
 }
 ssize_t readv(int fd, const iovec* parts, int count) {
-  return Fails(Call::kRead) ? -1 : Pass(SYS_readv, fd, parts, count);
+  return ShouldFail(Call::kRead) ? -1 : RealCall(SYS_readv, fd, parts, count);
 }
 ssize_t recv(int fd, void* bytes, size_t size, int flags) {
-  return Fails(Call::kPeek) ? -1 : Pass(SYS_recvfrom, fd, bytes, size, flags, nullptr, nullptr);
+  return ShouldFail(Call::kPeek) ? -1 : RealCall(SYS_recvfrom, fd, bytes, size, flags, nullptr, nullptr);
 }
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
-  return Fails(Call::kWrite) ? -1 : Pass(SYS_sendmsg, fd, message, flags);
+  return ShouldFail(Call::kWrite) ? -1 : RealCall(SYS_sendmsg, fd, message, flags);
 }
 ssize_t recvfrom(int fd, void* bytes, size_t size, int flags, sockaddr* from, socklen_t* from_size) {
-  return Fails(Call::kReceive) ? -1 : Pass(SYS_recvfrom, fd, bytes, size, flags, from, from_size);
+  return ShouldFail(Call::kReceive) ? -1 : RealCall(SYS_recvfrom, fd, bytes, size, flags, from, from_size);
 }
 
 }  // extern "C"
@@ -92,40 +93,41 @@
 namespace {
 
 constexpr HttpBounds kBounds{16 * 1024, 64, 1 << 20};
-constexpr Seconds kSoon = 0.5;  // by then an exchange is over; none of the sides' own times is as short
+constexpr Seconds kTimeout = 0.5;  // an exchange takes less; all timeouts of client and server are longer
 
 sockaddr_in AnyPort() { return *ParseAddress("127.0.0.1:0"); }
 
-// Both sides on one loop: a client asks twice on a kept connection, and a server answers.
+// Client and server on one loop. Repeated requests reuse the kept-alive connection.
 class Exchange : private HttpServer::Handler, private HttpClient::Call {
  public:
   Exchange() : server_(loop_, AnyPort(), ServerSide(), *this), client_(loop_, ClientSide()) {}
 
-  // Asks once more. Returns whether the call was over soon.
-  bool Ask() {
-    over_ = false;
+  // Sends one more request. Returns whether the call ended within the timeout.
+  bool SendRequest() {
+    done_ = false;
     answered = broken = false;
     served = 0;
     client_.Start({server_.address(), 0}, *this);
-    const Seconds until = loop_.Now() + kSoon;
-    while (!over_ && loop_.Now() < until) loop_.RunOnce(0.01);
-    if (!over_) client_.Abandon(*this);
-    return over_;
+    const Seconds until = loop_.Now() + kTimeout;
+    while (!done_ && loop_.Now() < until) loop_.RunOnce(0.01);
+    if (!done_) client_.Abandon(*this);
+    return done_;
   }
 
   bool answered = false, broken = false;
-  HttpClient::Broken how{};
-  int served = 0;  // requests that the server has read
+  HttpClient::Failure failure{};
+  int served = 0;  // requests that the server has received
 
  private:
   static ServerBounds ServerSide() {
     ServerBounds bounds;
     bounds.http = kBounds;
-    bounds.answer_bytes = 4096;
+    bounds.response_bytes = 4096;
     bounds.connections = 16;
-    bounds.requests_a_turn = 4;
-    bounds.first_time = bounds.request_time = bounds.idle_time = bounds.rest_time = bounds.linger_time = 10;
-    bounds.silent_time = 2;
+    bounds.requests_per_turn = 4;
+    bounds.first_request_timeout = bounds.request_timeout = bounds.idle_timeout =
+        bounds.crowded_idle_timeout = bounds.linger_timeout = 10;
+    bounds.silent_timeout = 2;
     bounds.linger_bytes = 4096;
     return bounds;
   }
@@ -134,47 +136,48 @@
     bounds.http = kBounds;
     bounds.request_bytes = 4096;
     bounds.connections = 4;
-    bounds.connect_time = bounds.idle_time = bounds.answer_time = bounds.rest_time = 10;
+    bounds.connect_timeout = bounds.idle_timeout = bounds.response_timeout = bounds.response_rest_timeout =
+        10;
     return bounds;
   }
-  HttpAnswer OnRequest(HttpMessage&) override {
+  HttpResponse OnRequest(HttpMessage&) override {
     ++served;
     return {200, {}, "well", 0};
   }
-  void OnAnswerLost(std::uint64_t) override {}
-  std::string OnReady() override { return WriteRequest("POST", "/", {{"Host", "test"}}, "text"); }
-  void OnAnswer(HttpMessage& answer) override {
-    answered = answer.status == 200 && answer.body == "well";
-    over_ = true;
+  void OnResponseLost(std::uint64_t) override {}
+  std::string OnReady() override { return FormatRequest("POST", "/", {{"Host", "test"}}, "text"); }
+  void OnResponse(HttpMessage& response) override {
+    answered = response.status == 200 && response.body == "well";
+    done_ = true;
   }
-  void OnBroken(HttpClient::Broken broke, int) override {
-    how = broke;
-    over_ = broken = true;
+  void OnFailure(HttpClient::Failure how, int) override {
+    failure = how;
+    done_ = broken = true;
   }
 
   const SystemClock clock_;
   EventLoop loop_{clock_};
   HttpServer server_;
   HttpClient client_;
-  bool over_ = false;
+  bool done_ = false;
 };
 
 enum class Expected {
-  kPasses,   // answered: the error passes, or says nothing of this connection
-  kLocal,    // answered, or the caller hears that there is no connection of its own
-  kRefused,  // the caller hears that the other side has not taken the connection
-  kBreaks,   // answered on another connection or broken, and what was read is never told as unwritten
+  kPasses,   // answered: the error is temporary, or does not concern this connection
+  kLocal,    // answered, or the call fails with kNoLocalConnection
+  kRefused,  // the call fails with kNotConnected
+  kBreaks,   // answered on another connection, or failed: with kReset if the server has received the request
 };
 
-struct Row {
+struct FaultCase {
   Call call;
   const char* name;
   Expected expected;
   std::vector<int> errors;
 };
 
-const std::vector<Row>& Rows() {
-  static const std::vector<Row> rows = {
+const std::vector<FaultCase>& FaultCases() {
+  static const std::vector<FaultCase> cases = {
       {Call::kSocket, "socket", Expected::kLocal, {EMFILE, ENFILE, ENOBUFS, ENOMEM}},
       {Call::kConnect,
        "connect",
@@ -188,76 +191,77 @@
        {ECONNABORTED, EINTR, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM, EPROTO, ENETDOWN, ENETUNREACH,
         EHOSTUNREACH, EHOSTDOWN, ENONET, ENOPROTOOPT, EOPNOTSUPP}},
       {Call::kPoll, "poll", Expected::kPasses, {EINTR, ENOMEM}},
-      {Call::kWait, "epoll_wait", Expected::kPasses, {EINTR}},
+      {Call::kEpollWait, "epoll_wait", Expected::kPasses, {EINTR}},
       {Call::kRead, "readv", Expected::kPasses, {EINTR, ENOMEM, ENOBUFS}},
       {Call::kRead, "readv", Expected::kBreaks, {ECONNRESET, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH, EIO}},
       {Call::kPeek, "recv", Expected::kPasses, {EINTR, ENOMEM}},
       {Call::kWrite, "sendmsg", Expected::kPasses, {EINTR, ENOBUFS, ENOMEM}},
       {Call::kWrite, "sendmsg", Expected::kBreaks, {ECONNRESET, EPIPE, ETIMEDOUT, EHOSTUNREACH, ENETUNREACH}},
   };
-  return rows;
+  return cases;
 }
 
-void Judge(const Exchange& exchange, Expected expected) {
+void CheckOutcome(const Exchange& exchange, Expected expected) {
   CHECK(exchange.served <= 1);
   switch (expected) {
     case Expected::kPasses:
       CHECK(exchange.answered);
       break;
     case Expected::kLocal:
-      CHECK((exchange.answered || exchange.how == HttpClient::Broken::kNoRoom));
+      CHECK((exchange.answered || exchange.failure == HttpClient::Failure::kNoLocalConnection));
       break;
     case Expected::kRefused:
-      CHECK(exchange.how == HttpClient::Broken::kNotConnected);
+      CHECK(exchange.failure == HttpClient::Failure::kNotConnected);
       break;
     case Expected::kBreaks:
-      if (exchange.served > 0 && exchange.broken) CHECK(exchange.how == HttpClient::Broken::kReset);
+      if (exchange.served > 0 && exchange.broken) CHECK(exchange.failure == HttpClient::Failure::kReset);
       break;
   }
 }
 
-// The fault strikes each call of its kind in turn, on a new connection and on a kept one.
-void PlayRow(const Row& row, int error, int in_a_row) {
-  bool struck = true;
-  int places = 0;
-  for (int passes = 0; struck; ++passes) {
+// Injects the fault into each call of its kind in turn, on a new connection and on a kept-alive one.
+void RunFaultCase(const FaultCase& fault_case, int error, int in_a_row) {
+  bool injected = true;
+  int positions = 0;
+  for (int passes = 0; injected; ++passes) {
     CAPTURE(passes);
     Exchange exchange;
-    fault = {row.call, error, passes, in_a_row};
-    for (int ask = 0; ask < 2 && fault.failures > 0; ++ask) {
-      CAPTURE(ask);
-      CHECK_MESSAGE(exchange.Ask(), "the call waits for an event that never comes");
-      const bool met = fault.failures < in_a_row;
-      Judge(exchange, met ? row.expected : Expected::kPasses);
+    fault = {fault_case.call, error, passes, in_a_row};
+    for (int request = 0; request < 2 && fault.failures > 0; ++request) {
+      CAPTURE(request);
+      CHECK_MESSAGE(exchange.SendRequest(), "the call waits for an event that never comes");
+      const bool injected_now = fault.failures < in_a_row;
+      CheckOutcome(exchange, injected_now ? fault_case.expected : Expected::kPasses);
     }
-    struck = fault.failures < in_a_row;
+    injected = fault.failures < in_a_row;
     fault = {};
-    places += struck ? 1 : 0;
-    CHECK(exchange.Ask());
-    CHECK((!struck || exchange.answered || exchange.broken));
+    positions += injected ? 1 : 0;
+    CHECK(exchange.SendRequest());
+    CHECK((!injected || exchange.answered || exchange.broken));
   }
-  CHECK(places > 0);
+  CHECK(positions > 0);
 }
 
-TEST_CASE("socket faults: each documented error of each call at each place of an exchange") {
-  for (const Row& row : Rows())
-    for (const int error : row.errors)
+TEST_CASE("socket faults: each documented error of each call at each point of an exchange") {
+  for (const FaultCase& fault_case : FaultCases())
+    for (const int error : fault_case.errors)
       for (const int in_a_row : {1, 3}) {
-        if (in_a_row > 1 && row.expected != Expected::kPasses) continue;
-        CAPTURE(row.name);
+        if (in_a_row > 1 && fault_case.expected != Expected::kPasses) continue;
+        CAPTURE(fault_case.name);
         CAPTURE(error);
         CAPTURE(in_a_row);
-        PlayRow(row, error, in_a_row);
+        RunFaultCase(fault_case, error, in_a_row);
       }
 }
 
-// Guards against a call that waits for a connection which nobody opens.
-TEST_CASE("socket faults: a connection that is ended as soon as it is up ends the call that waits for it") {
+// Guards against a call that keeps waiting after its connection was dropped and no other one is opened.
+TEST_CASE(
+    "socket faults: a connection closed right after it is established fails the call that waits for it") {
   class Caller : public HttpClient::Call {
    public:
     std::string OnReady() override { return "GET / HTTP/1.1\r\n\r\n"; }
-    void OnAnswer(HttpMessage&) override {}
-    void OnBroken(HttpClient::Broken, int) override { broken = true; }
+    void OnResponse(HttpMessage&) override {}
+    void OnFailure(HttpClient::Failure, int) override { broken = true; }
     bool broken = false;
   };
   const SystemClock clock;
@@ -267,19 +271,19 @@
   bounds.http = kBounds;
   bounds.request_bytes = 4096;
   bounds.connections = 4;
-  bounds.connect_time = bounds.idle_time = bounds.answer_time = bounds.rest_time = 10;
+  bounds.connect_timeout = bounds.idle_timeout = bounds.response_timeout = bounds.response_rest_timeout = 10;
   HttpClient client(loop, bounds);
   Caller caller;
   client.Start({listener.address(), 0}, caller);
-  const Seconds until = loop.Now() + kSoon;
+  const Seconds until = loop.Now() + kTimeout;
   while (!caller.broken && loop.Now() < until) {
-    usleep(1000);  // so that its opening and its end are told in one turn
+    usleep(1000);  // so that one iteration sees both the connect and the close
     loop.RunOnce(0.01);
   }
   CHECK(caller.broken);
 }
 
-TEST_CASE("socket faults: a listener whose accepts fail for a while takes all who wait") {
+TEST_CASE("socket faults: a listener accepts all pending connections after accept has failed for a while") {
   const SystemClock clock;
   EventLoop loop(clock);
   std::vector<int> accepted;
@@ -291,7 +295,7 @@
     REQUIRE(syscall(SYS_connect, callers.back(), &address, sizeof(address)) == 0);
   }
   fault = {Call::kAccept, ENFILE, 1, 5};
-  const Seconds until = loop.Now() + kSoon;
+  const Seconds until = loop.Now() + kTimeout;
   while (accepted.size() < 2 && loop.Now() < until) loop.RunOnce(0.01);
   CHECK(accepted.size() == 2);
   fault = {};
@@ -299,7 +303,7 @@
   for (const int fd : callers) close(fd);
 }
 
-TEST_CASE("socket faults: the error of an earlier datagram hides none that has come") {
+TEST_CASE("socket faults: a pending error of a sent datagram does not hide received datagrams") {
   const SystemClock clock;
   EventLoop loop(clock);
   std::vector<std::string> taken;
@@ -308,7 +312,7 @@
   DatagramSocket from(loop, AnyPort(), 100, [](const sockaddr_in&, const std::string&) {});
   for (const char* text : {"one", "two"}) REQUIRE(from.Send(to.address(), text));
   fault = {Call::kReceive, EHOSTUNREACH, 0, 1};
-  const Seconds until = loop.Now() + kSoon;
+  const Seconds until = loop.Now() + kTimeout;
   while (taken.size() < 2 && loop.Now() < until) loop.RunOnce(0.01);
   CHECK(taken.size() == 2);
   fault = {};
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -36,11 +36,11 @@
 
 class Platform : public net::HttpServer::Handler {
  public:
-  net::HttpAnswer OnRequest(net::HttpMessage& request) override {
+  net::HttpResponse OnRequest(net::HttpMessage& request) override {
     bodies.push_back(request.body);
     return {204, {}, {}, 0};
   }
-  void OnAnswerLost(std::uint64_t) override {}
+  void OnResponseLost(std::uint64_t) override {}
   std::vector<std::string> bodies;
 };
 
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -54,7 +54,7 @@
   net::HttpParser parser(kind, {512, 8, 256});
   std::size_t taken = 0;
   while (taken < bytes.size() && !parser.done() && !parser.failed()) {
-    const std::size_t count = parser.Take(std::string_view(bytes).substr(taken, piece));
+    const std::size_t count = parser.Parse(std::string_view(bytes).substr(taken, piece));
     REQUIRE(count > 0);  // else a connection would spin
     taken += count;
   }
@@ -85,7 +85,7 @@
       if (draw(3) == 0) bytes.insert(at, draw(2) == 0 ? "\r\n" : std::string(draw(300), '7'));
       bytes[at] = static_cast<char>(draw(3) == 0 ? draw(256) : "0:\r\n ;f"[draw(7)]);
     }
-    const auto kind = which < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kAnswer;
+    const auto kind = which < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kResponse;
     const Parsed whole = ParseIn(kind, bytes, bytes.size());
     for (const std::size_t piece : {std::size_t{1}, std::size_t{7}}) {
       const Parsed cut = ParseIn(kind, bytes, piece);
--- a/tests/state_transfer/codec_test.cpp
+++ b/tests/state_transfer/codec_test.cpp
@@ -115,7 +115,7 @@
   for (int i = 0; i < 3000; ++i) {  // intact frames around noise: protobuf itself has to reject it
     std::string noise(draw() % 200, '\0');
     for (char& c : noise) c = static_cast<char>(draw());
-    read(net::Frame(noise), broken);
+    read(net::EncodeFrame(noise), broken);
     DecodeDatagram("OLN1" + noise);
   }
 }
--- a/tests/support/discovery_stand_in.h
+++ b/tests/support/discovery_stand_in.h
@@ -79,11 +79,11 @@
     }
     void OnData(net::Connection& connection) override {
       net::RingBuffer& in = connection.in();
-      while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Take(in.Front()));
+      while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
       if (parser_.done()) Answer(std::exchange(parser_.message(), {}));
-      if (connection.peer_ended()) service_.sessions_.Drop(*this);
+      if (connection.peer_closed()) service_.sessions_.Drop(*this);
     }
-    void OnEnd(net::Connection&, net::Connection::End) override { service_.sessions_.Drop(*this); }
+    void OnClosed(net::Connection&, net::Connection::CloseReason) override { service_.sessions_.Drop(*this); }
     void TellList() {
       if (!watches_ || muted()) return;
       WriteLine(service_.List() + "\n");
@@ -94,7 +94,7 @@
     bool muted() const { return number_ < service_.mute_from_; }
     void Answer(const net::HttpMessage& request) {
       parser_.Reset();
-      if (request.method == "POST") return void(connection_->Write(net::WriteAnswer(204, {}, "")));
+      if (request.method == "POST") return void(connection_->Write(net::FormatResponse(204, {}, "")));
       ++service_.calls_;
       switch (service_.plan_()) {
         case Reply::kServe:
@@ -105,7 +105,7 @@
         case Reply::kBusy:
           timer_ = service_.loop_.At(service_.loop_.Now() + service_.busy_time, [this] {
             timer_ = 0;
-            connection_->Write(net::WriteAnswer(503, {}, ""));
+            connection_->Write(net::FormatResponse(503, {}, ""));
           });
           return;
         case Reply::kSilent:
@@ -175,20 +175,21 @@
   static net::ServerBounds Bounds() {
     net::ServerBounds bounds;
     bounds.http = kStandInBounds;
-    bounds.answer_bytes = 4096;
+    bounds.response_bytes = 4096;
     bounds.connections = 256;
-    bounds.requests_a_turn = 16;
-    bounds.first_time = bounds.request_time = bounds.idle_time = bounds.rest_time = 60;
-    bounds.linger_time = 0.5;
+    bounds.requests_per_turn = 16;
+    bounds.first_request_timeout = bounds.request_timeout = bounds.idle_timeout =
+        bounds.crowded_idle_timeout = 60;
+    bounds.linger_timeout = 0.5;
     bounds.linger_bytes = 4096;
     return bounds;
   }
-  net::HttpAnswer OnRequest(net::HttpMessage&) override {
+  net::HttpResponse OnRequest(net::HttpMessage&) override {
     latest_call_ = loop_.Now();
     ++calls_;
-    return net::PlainAnswer(200, "done");
+    return net::PlainTextResponse(200, "done");
   }
-  void OnAnswerLost(std::uint64_t) override {}
+  void OnResponseLost(std::uint64_t) override {}
 
   net::EventLoop& loop_;
   net::Seconds latest_call_ = 0;
@@ -216,8 +217,8 @@
     bounds.http = kStandInBounds;
     bounds.request_bytes = 4096;
     bounds.connections = 4;
-    bounds.connect_time = bounds.answer_time = bounds.rest_time = 5;
-    bounds.idle_time = 1;
+    bounds.connect_timeout = bounds.response_timeout = bounds.response_rest_timeout = 5;
+    bounds.idle_timeout = 1;
     return bounds;
   }
   void Ask() {
@@ -230,20 +231,20 @@
     timer_ = loop_.At(loop_.Now() + kEvery, [this] { Ask(); });
   }
   std::string OnReady() override {
-    return net::WriteRequest("POST", "/api",
-                             {{"Host", "app.svc"},
-                              {"X-Txn", name_ + "-" + std::to_string(++asked_)},
-                              {"X-Lane", "status"},
-                              {"X-Org", "nord"},
-                              {"X-Remaining-Ms", "4000"},
-                              {"X-Addressing", "dest=7"}},
-                             "text");
+    return net::FormatRequest("POST", "/api",
+                              {{"Host", "app.svc"},
+                               {"X-Txn", name_ + "-" + std::to_string(++asked_)},
+                               {"X-Lane", "status"},
+                               {"X-Org", "nord"},
+                               {"X-Remaining-Ms", "4000"},
+                               {"X-Addressing", "dest=7"}},
+                              "text");
   }
-  void OnAnswer(net::HttpMessage& answer) override {
+  void OnResponse(net::HttpMessage& answer) override {
     if (answer.status == 202) ++taken_;
     AskLater();
   }
-  void OnBroken(net::HttpClient::Broken, int) override { AskLater(); }
+  void OnFailure(net::HttpClient::Failure, int) override { AskLater(); }
 
   net::EventLoop& loop_;
   const sockaddr_in relay_;
--- a/tests/support/server_bounds.h
+++ b/tests/support/server_bounds.h
@@ -10,10 +10,10 @@
   constexpr std::size_t kBytes = 4096;
   ServerBounds bounds;
   bounds.http = {kBytes, 16, kBytes};
-  bounds.answer_bytes = kBytes;
+  bounds.response_bytes = kBytes;
   bounds.connections = bounds.reject_connections = connections;
-  bounds.requests_a_turn = 4;
-  bounds.first_time = bounds.request_time = bounds.idle_time = bounds.linger_time = time;
+  bounds.requests_per_turn = 4;
+  bounds.first_request_timeout = bounds.request_timeout = bounds.idle_timeout = bounds.linger_timeout = time;
   return bounds;
 }
 
--- a/tests/upstream/upstream_call_test.cpp
+++ b/tests/upstream/upstream_call_test.cpp
@@ -36,7 +36,7 @@
   bounds.http = {4096, 32, 4096};
   bounds.request_bytes = 4096;
   bounds.connections = connections;
-  bounds.connect_time = bounds.idle_time = 60;
+  bounds.connect_timeout = bounds.idle_timeout = 60;
   return bounds;
 }
 
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -257,7 +257,7 @@
       {R"({"zone":"a","order":"leave","for_s":1,"until":2})", "until"}};
   for (const auto& [body, names] : faults) {
     CAPTURE(body);
-    const net::HttpAnswer answer = HandleZoneCommand(body, [](const ZoneCommand&) { return true; });
+    const net::HttpResponse answer = HandleZoneCommand(body, [](const ZoneCommand&) { return true; });
     CHECK(answer.status == 400);
     CHECK(answer.body.find(names) != std::string::npos);
   }
