--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -221,10 +221,10 @@
   return suspension_.Set(endpoint, suspended);
 }
 
-net::HttpAnswer Relay::OnZoneCommand(const std::string& body) {
+net::HttpResponse Relay::OnZoneCommand(const std::string& body) {
   constexpr int kConflict = 409;
   if (!membership_ || !settings_.tier.zones)
-    return net::PlainAnswer(kConflict, "tier.zones is not enabled on this relay");
+    return net::PlainTextResponse(kConflict, "tier.zones is not enabled on this relay");
   return HandleZoneCommand(body, [this](const ZoneCommand& command) {
     return membership_->ApplyCommand(command.zone, command.override_kind, command.duration);
   });
@@ -318,7 +318,7 @@
   if (std::exchange(stopping_, true)) return;
   on_stopped_ = std::move(on_stopped);
   log::Info("stopping", {{"open_requests", requests_.open()}, {"calls_in_flight", calls_.in_flight()}});
-  server_.http().CloseAfterAnswers();
+  server_.http().CloseAfterResponses();
   if (IsHotRestart()) {
     // New connections and peers' datagrams go to the next process.
     server_.http().StopAccepting();
@@ -351,7 +351,7 @@
 
 void Relay::Shutdown() {
   if (membership_) membership_->Leave();
-  server_.http().TakeWhatHasCome();
+  server_.http().ServePendingInput();
   on_stopped_();
 }
 
--- a/src/upstream/upstream_call.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -58,7 +58,7 @@
 void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not_written) {
   if (ended_ || !member.pending) return;
   const bool last = PendingMembers().size() == 1;
-  const auto state = last ? client_.Abandon(*this) : HttpClient::Abandoned{send_started_, 0};
+  const auto state = last ? client_.Abandon(*this) : HttpClient::CallProgress{send_started_, 0};
   const bool served = state.status == kHttpOk && !is_batch_;
   const Outcome outcome = state.written ? if_written : if_not_written;
   Complete(member, {served ? Outcome::kServed : outcome});
@@ -107,13 +107,13 @@
   return endpoint_protocol::FormatBatchCall(to_, requests, remaining_ms);
 }
 
-bool UpstreamCall::Suffices(int status) {
+bool UpstreamCall::StatusSuffices(int status) {
   if (status != kHttpOk || is_batch_) return false;
   answered_at_ = loop_.Now();
   return true;
 }
 
-void UpstreamCall::OnAnswer(net::HttpMessage& answer) {
+void UpstreamCall::OnResponse(net::HttpMessage& answer) {
   const Seconds retry_after = endpoint_protocol::RetryAfterOf(answer);
   report_ = endpoint_protocol::LoadReportOf(answer);
   if (answered_at_ < 0) answered_at_ = loop_.Now();
@@ -137,9 +137,9 @@
   EndIfAllComplete();
 }
 
-void UpstreamCall::OnBroken(HttpClient::Broken how, int status) {
-  if (how == HttpClient::Broken::kNoRoom) return CompleteAll({Outcome::kLocalShortage});
-  if (how != HttpClient::Broken::kReset) return CompleteAll({Outcome::kConnectFailed});
+void UpstreamCall::OnFailure(HttpClient::Failure how, int status) {
+  if (how == HttpClient::Failure::kNoLocalConnection) return CompleteAll({Outcome::kLocalShortage});
+  if (how != HttpClient::Failure::kReset) return CompleteAll({Outcome::kConnectFailed});
   // A status line with 200 confirms the delivery even if the rest of the response is lost. A batch needs its
   // whole response, which holds the state of each request.
   const bool served = status == kHttpOk && !is_batch_;
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -54,7 +54,7 @@
   net::HttpParser parser(kind, {512, 8, 256});
   std::size_t taken = 0;
   while (taken < bytes.size() && !parser.done() && !parser.failed()) {
-    const std::size_t count = parser.Take(std::string_view(bytes).substr(taken, piece_size));
+    const std::size_t count = parser.Parse(std::string_view(bytes).substr(taken, piece_size));
     REQUIRE(count > 0);  // otherwise a connection would loop forever
     taken += count;
   }
@@ -87,7 +87,7 @@
         bytes.insert(at, random_below(2) == 0 ? "\r\n" : std::string(random_below(300), '7'));
       bytes[at] = static_cast<char>(random_below(3) == 0 ? random_below(256) : "0:\r\n ;f"[random_below(7)]);
     }
-    const auto kind = seed_index < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kAnswer;
+    const auto kind = seed_index < 2 ? net::HttpParser::Kind::kRequest : net::HttpParser::Kind::kResponse;
     const Parsed whole = ParseInPieces(kind, bytes, bytes.size());
     for (const std::size_t piece_size : {std::size_t{1}, std::size_t{7}}) {
       const Parsed split = ParseInPieces(kind, bytes, piece_size);
