--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -148,7 +148,7 @@
     while (!calls_in_flight_.empty() && calls_in_flight_.begin()->first <= now_) {
       Call call = calls_in_flight_.begin()->second;
       calls_in_flight_.erase(calls_in_flight_.begin());
-      if (call.connected) ++call.from->idle[call.outcome.endpoint];
+      if (call.connected) ++call.from->idle_connections[call.outcome.endpoint];
       if (call.outcome.outcome == Outcome::kServed) {
         ++served;
         call.outcome.request_ended = true;
