--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-constexpr Seconds kNeverHeard = -1e9;
-constexpr int kIndirectPings = 2;   // alive peers pinged for their reports when the pinged one is not alive
-constexpr int kLeaveVerifiers = 3;  // relays that ping a leaving one to learn whether its process is gone
-constexpr int kReportWindowStep = 150;  // reports that surely fit a message
-constexpr int kUnknownAfter = 4;        // times alive_for without a message
+constexpr Seconds kLongAgo = -1e9;
+constexpr int kIndirectPings = 2;   // alive peers asked for their reports when the pinged peer is not alive
+constexpr int kLeaveVerifiers = 3;  // relays that ping a leaving relay to learn whether its process has ended
+constexpr int kReportWindowStep = 150;  // peers; their reports take 94 bytes and fit beside the zone payload
+constexpr int kUnknownAfter = 4;        // multiple of alive_for without a message
 
 }  // namespace
 
@@ -20,17 +20,17 @@
       incarnation_(incarnation),
       started_(now),
       random_(seed),
-      // Starts at random, so that an ack for an earlier incarnation matches no ping of this one.
+      // Starts at a random number, so that an ack for an earlier incarnation matches no ping of this one.
       last_sequence_(random_() >> 40),
       peers_(static_cast<std::size_t>(std::max(1, options.fleet_size))),
       next_heartbeat_(now + options.heartbeat_interval * static_cast<double>(random_() % 1000) / 1000),
       next_join_(now) {
   for (PeerEntry& entry : peers_) {
-    entry.received_at = kNeverHeard;
-    entry.reported_at = kNeverHeard;
-    entry.unanswered_since = kNeverHeard;
-    entry.last_pinged_at = kNeverHeard;
-    entry.unreachable_at = kNeverHeard;
+    entry.received_at = kLongAgo;
+    entry.reported_at = kLongAgo;
+    entry.unanswered_since = kLongAgo;
+    entry.last_pinged_at = kLongAgo;
+    entry.unreachable_at = kLongAgo;
   }
 }
 
@@ -52,7 +52,8 @@
   entry.ping_sequence = out.back().message.sequence;
 }
 
-// Pings each peer once a round, in a new random order, so that none is left out for more than two rounds.
+// Returns the next peer of the current round. Each round contains every peer once, in a new random order, so
+// that less than two rounds pass between two pings of a peer.
 Peer Membership::NextToPing() {
   if (ping_order_.empty()) {
     for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
@@ -91,7 +92,7 @@
   const bool is_target_alive = StateOf(now, target) == MemberState::kAlive;
   Ping(now, target, MessageKind::kPing, out);
   if (is_target_alive) return;
-  // It may send no ack, so the reports of others are requested instead.
+  // The target may not answer, so alive peers are asked for their reports about it.
   std::vector<Peer> alive;
   for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
     if (IsOtherPeer(peer) && peer != target && StateOf(now, peer) == MemberState::kAlive) {
@@ -109,7 +110,8 @@
   }
 }
 
-// Reports as many peers as may fit, from a window that moves on with each message.
+// Adds reports on consecutive peers, at most as many as a message can hold. The first peer advances by
+// kReportWindowStep with each message.
 void Membership::FillReports(Seconds now, Message& message) {
   message.first_peer = report_window_;
   const std::size_t capacity = options_.max_message_bytes * 8 / kPeerReportBits;
@@ -127,7 +129,7 @@
     }
     message.peer_reports.push_back(report);
   }
-  // Reports that the encoder cuts off at the end are at the front of a later message.
+  // The encoder drops reports from the end if they don't fit; a later message starts with those peers.
   report_window_ += kReportWindowStep;
   if (report_window_ + kReportWindowStep / 3 >= options_.fleet_size) report_window_ = 0;
 }
@@ -161,7 +163,8 @@
   return true;
 }
 
-// The announcement may be late, so it proves nothing. The relays that follow `from` by index verify it.
+// A leave message may arrive late, after the relay has restarted, so it is no proof of death. The relays that
+// follow `from` by index verify it with a ping at their next tick.
 void Membership::OnLeave(Peer from) {
   const int distance = (options_.own_peer - from + options_.fleet_size) % options_.fleet_size;
   if (distance <= kLeaveVerifiers) leaving_.push_back(from);
@@ -169,14 +172,15 @@
 
 void Membership::OnAck(Seconds now, Peer from, const Message& message) {
   PeerEntry& entry = Entry(from);
-  entry.unanswered_since = kNeverHeard;
+  entry.unanswered_since = kLongAgo;
   const bool is_late = entry.last_pinged_at <= now - options_.ping_timeout;
   if (message.acked_sequence != entry.ping_sequence || is_late) return;
   if (!std::exchange(entry.has_acked, true)) ++acked_peers_;
   ApplyReports(now, from, entry.last_pinged_at, message);
 }
 
-// Dates a report of death by the ping that it answers: it was true by then, however long the ack took.
+// Dates 'port unreachable' reports back from the time of the ping that the ack answers, not from the ack's
+// arrival. They were made after that ping, so a slow ack never makes a proof of death look more recent.
 void Membership::ApplyReports(Seconds now, Peer from, Seconds pinged_at, const Message& message) {
   for (std::size_t i = 0; i < message.peer_reports.size(); ++i) {
     const Peer peer = message.first_peer + static_cast<int>(i);
@@ -192,12 +196,12 @@
   }
 }
 
-// Dates the refusal by the earliest datagram that it can be about.
+// Dates the refusal by the earliest unanswered ping or join that it can be about.
 void Membership::OnUnreachable(Seconds now, Peer peer) {
   if (!IsOtherPeer(peer)) return;
   PeerEntry& entry = Entry(peer);
-  if (entry.unanswered_since <= now - options_.ping_timeout) return;  // no datagram that it could be about
-  entry.unreachable_at = std::max(entry.unreachable_at, std::exchange(entry.unanswered_since, kNeverHeard));
+  if (entry.unanswered_since <= now - options_.ping_timeout) return;  // none is recent enough
+  entry.unreachable_at = std::max(entry.unreachable_at, std::exchange(entry.unanswered_since, kLongAgo));
 }
 
 // ---- State ------------------------------------------------------------------------------------------------
@@ -210,7 +214,7 @@
 
 bool Membership::IsDead(Seconds now, const PeerEntry& entry) const {
   return entry.unreachable_at > now - options_.dead_for &&
-         entry.unreachable_at > entry.LastHeard() + options_.suspect_after;
+         entry.unreachable_at > entry.LastHeard() + options_.min_silence_before_dead;
 }
 
 bool Membership::IsSettled(Seconds now) const {
--- a/src/membership/message.cpp
+++ b/src/membership/message.cpp
@@ -11,12 +11,12 @@
 
 constexpr char kMagic = 'F';
 constexpr std::size_t kHeaderBytes = 3;
-constexpr std::string_view kKinds = "qhatl";    // all values of MessageKind
-constexpr std::size_t kMaxPeers = 4096;         // limit of first peer and count
-constexpr std::size_t kMaxWindowHeadBytes = 6;  // first peer and count, three bytes each at most
+constexpr std::string_view kKinds = "qhatl";      // all values of MessageKind
+constexpr std::size_t kMaxPeers = 4096;           // upper limit of the first peer and of the count
+constexpr std::size_t kMaxReportHeaderBytes = 6;  // first peer and count, at most three bytes each
 
-// A range of report codes: consecutive codes stand for ages in even steps up to kMaxReportAge. Code 0 stands
-// for kNothing.
+// A range of report codes. Its codes divide the ages up to kMaxReportAge into equal steps; each code stands
+// for the end of its step. Code 0 stands for kNone.
 struct CodeRange {
   PeerReport::Kind kind;
   unsigned first_code;
@@ -71,7 +71,7 @@
   return reports;
 }
 
-// Reads the varints after the header.
+// Reads the incarnation and the sequence numbers that follow the header.
 bool ReadSequences(std::string_view& bytes, Message& message) {
   const auto incarnation = ReadVarint(bytes);
   const auto sequence = ReadVarint(bytes);
@@ -106,7 +106,7 @@
   std::string payload;
   AppendVarint(payload, message.zone_payload.size());
   payload += message.zone_payload;
-  const std::size_t used = bytes.size() + payload.size() + kMaxWindowHeadBytes;
+  const std::size_t used = bytes.size() + payload.size() + kMaxReportHeaderBytes;
   const std::size_t capacity = used < max_bytes ? (max_bytes - used) * 8 / kPeerReportBits : 0;
   const std::size_t count = std::min({message.peer_reports.size(), capacity, kMaxPeers});
   AppendVarint(bytes, static_cast<std::uint64_t>(message.first_peer));
--- a/src/membership/message.h
+++ b/src/membership/message.h
@@ -1,12 +1,12 @@
-// The messages of the membership protocol and their encoding. Each fits one datagram. Decoding treats the
-// bytes as untrusted.
+// The messages of the membership protocol and their encoding. Each message is one datagram. The decoder
+// treats its input as untrusted.
 //
 //   byte 0          'F'
 //   byte 1          kVersion
 //   byte 2          MessageKind
 //   varints         incarnation, sequence; in an ack also the sequence of the acknowledged message
-//   peer reports    varints: first peer, count; then kPeerReportBits a report, the lowest bits first
-//   zone payload    varint: length; then the bytes of zone_failover/zone_gossip.h
+//   peer reports    varints: first peer, count; then kPeerReportBits per report, lowest bits first
+//   zone payload    varint: length; then the bytes that zone_failover/zone_gossip.h describes
 #pragma once
 
 #include <cstddef>
@@ -34,34 +34,34 @@
   kLeave = 'l',   // the sender's process is about to end
 };
 
-// What a relay knows of another one.
+// What the sender of a message knows about one peer.
 struct PeerReport {
   enum class Kind : char {
-    kNothing,
-    kAlive,       // some relay received a message of it `age` ago
-    kUnreachable  // some relay got 'port unreachable' for a datagram sent to it `age` ago
+    kNone,
+    kAlive,       // a relay received a message from the peer `age` seconds ago
+    kUnreachable  // a datagram that a relay sent to the peer `age` seconds ago got 'port unreachable'
   };
-  Kind kind = Kind::kNothing;
-  Seconds age = 0;  // the encoding rounds it up to a step
+  Kind kind = Kind::kNone;
+  Seconds age = 0;  // the encoder rounds it up to the next step
 };
 
-// Reports that are older are encoded as kNothing.
+// Older reports are encoded as kNone.
 constexpr Seconds kMaxReportAge = 12;
 
 struct Message {
   MessageKind kind{};
-  std::uint64_t incarnation = 0;     // of the sender; a later process of a relay has a greater one
-  std::uint64_t sequence = 0;        // grows with each message of an incarnation
+  std::uint64_t incarnation = 0;     // of the sender; greater than in earlier processes of the same relay
+  std::uint64_t sequence = 0;        // increases with each message of an incarnation
   std::uint64_t acked_sequence = 0;  // kAck only
-  int first_peer = 0;                // the peer of the first report; the following peers have the next ones
+  int first_peer = 0;                // the first report is on this peer, the next ones on the following peers
   std::vector<PeerReport> peer_reports;
   std::string zone_payload;
 };
 
-// Drops reports from the end until the message fits `max_bytes`. The zone payload is never cut.
+// Drops reports from the end until the message fits in `max_bytes`. The zone payload is never truncated.
 std::string EncodeMessage(const Message& message, std::size_t max_bytes);
 
-// Nothing if the bytes are not exactly one message of this version.
+// Returns nullopt unless the bytes are exactly one message of this version.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 
 }  // namespace opalroute::membership
--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -69,7 +69,7 @@
   message.sequence = 128;
   message.acked_sequence = 77;
   message.zone_payload = std::string("\x00\x01\xff", 3);
-  message.peer_reports = {{Kind::kNothing, 0},      {Kind::kAlive, 0},       {Kind::kAlive, 0.1},
+  message.peer_reports = {{Kind::kNone, 0},         {Kind::kAlive, 0},       {Kind::kAlive, 0.1},
                           {Kind::kAlive, 6},        {Kind::kAlive, 12},      {Kind::kAlive, 12.1},
                           {Kind::kUnreachable, 0},  {Kind::kUnreachable, 3}, {Kind::kUnreachable, 11.9},
                           {Kind::kUnreachable, 12}, {Kind::kUnreachable, 13}};
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership and shares of quotas under partitions, kills and freezes, on a simulated clock.
+// Membership and the shares of a quota under partitions, kills and freezes, on a simulated clock.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -22,7 +22,7 @@
   return options;
 }
 
-TEST_CASE("membership: a message decodes to what was encoded, and a truncated one is rejected") {
+TEST_CASE("membership: a decoded message equals the encoded one, and a truncated one is rejected") {
   membership::Message message;
   message.kind = membership::MessageKind::kAck;
   message.incarnation = 1'764'000'000'000'000;
@@ -54,34 +54,34 @@
   CHECK(!membership::DecodeMessage("Lr\x01"));
   std::string newer = bytes;
   newer[1] = 2;
-  CHECK(!membership::DecodeMessage(newer));  // of another version
+  CHECK(!membership::DecodeMessage(newer));  // an unknown version
   CHECK(EncodeMessage(message, 60).size() <= 60);
 }
 
 TEST_CASE(
-    "membership: relays whose hosts report no process are dead within seconds, and the others divide their "
-    "shares") {
+    "membership: relays whose hosts answer 'port unreachable' are dead within seconds, and the others divide "
+    "their shares") {
   for (const int size : {3, 12, 60, 300}) {
     CAPTURE(size);
     SimulatedFleet fleet(OptionsFor(size), {}, 1);
     fleet.StartAll();
     fleet.RunUntil(fleet.now + 2);
     CHECK(fleet.TotalShare() == doctest::Approx(1));
-    const int left = std::max(2, size * 3 / 10);
-    for (int relay = left; relay < size; ++relay) fleet.Kill(relay);
+    const int survivors = std::max(2, size * 3 / 10);
+    for (int relay = survivors; relay < size; ++relay) fleet.Kill(relay);
     fleet.RunUntil(fleet.now + 25);
     CHECK(fleet[0].membership().StateOf(fleet.now, size - 1) == MemberState::kDead);
     CHECK(fleet.TotalShare() > 0.9);
     CHECK(fleet.max_total_share < 1 + 1e-9);
-    // They restart at once: the others give up their shares before they use them.
-    for (int relay = left; relay < size; ++relay) fleet.Start(relay);
+    // All restart at the same time: the survivors reduce their shares before the restarted relays use theirs.
+    for (int relay = survivors; relay < size; ++relay) fleet.Start(relay);
     fleet.RunUntil(fleet.now + 3);
     CHECK(fleet.TotalShare() == doctest::Approx(1));
     CHECK(fleet.max_total_share < 1 + 1.0 / size + 1e-9);
   }
 }
 
-TEST_CASE("membership: a relay behind a partition is never dead, however long it lasts") {
+TEST_CASE("membership: a relay behind a network partition is never dead, however long the partition lasts") {
   SimulatedFleet fleet(OptionsFor(10), {}, 2);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
@@ -93,7 +93,8 @@
 }
 
 TEST_CASE(
-    "membership: proofs of death expire in a partition before a relay restarted behind it takes its share") {
+    "membership: in a partition, proofs of death expire before a relay that restarted behind it takes its "
+    "share") {
   SimulatedFleet fleet(OptionsFor(10), {}, 3);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
@@ -103,26 +104,28 @@
   fleet.cut = [](int from, int to) { return (from < 5) != (to < 5); };
   for (int relay = 5; relay < 10; ++relay) fleet.Start(relay);
   fleet.RunUntil(fleet.now + 1);
-  CHECK(fleet[0].membership().ShareCount(fleet.now) == 5);    // it cannot know
-  CHECK(fleet[9].membership().ShareCount(fleet.now) == 100);  // so they hold their shares back
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 5);    // it cannot know of the restarts
+  CHECK(fleet[9].membership().ShareCount(fleet.now) == 100);  // so these hold their shares back
   fleet.RunUntil(fleet.now + 20);
   CHECK(fleet[0].membership().ShareCount(fleet.now) == 10);
   CHECK(fleet[9].membership().ShareCount(fleet.now) == 10);
   CHECK(fleet.max_total_share < 1.1 + 1e-9);
 }
 
-TEST_CASE("membership: a one-way partition, a frozen relay, an announced leave") {
+TEST_CASE(
+    "membership: a one-way partition and a freeze leave the share count unchanged, and a relay that leaves "
+    "is dead") {
   SimulatedFleet fleet(OptionsFor(8), {}, 4);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
-  fleet.cut = [](int from, int) { return from == 7; };  // it receives, and is not received
+  fleet.cut = [](int from, int) { return from == 7; };  // relay 7 receives, but nothing it sends arrives
   fleet.RunUntil(fleet.now + 30);
   CHECK(fleet[0].membership().ShareCount(fleet.now) == 8);
   CHECK(fleet[7].membership().ShareCount(fleet.now) == 8);
   fleet.cut = nullptr;
   fleet.Freeze(3, fleet.now + 10);
   fleet.RunUntil(fleet.now + 9);
-  CHECK(fleet[0].membership().ShareCount(fleet.now) == 8);  // silent is not dead
+  CHECK(fleet[0].membership().ShareCount(fleet.now) == 8);  // silence alone is no proof of death
   fleet.RunUntil(fleet.now + 5);
   fleet.Leave(2);
   fleet.RunUntil(fleet.now + 10);
@@ -131,8 +134,8 @@
 }
 
 TEST_CASE(
-    "membership: 'port unreachable' for a relay that is heard proves nothing; replays and strangers are "
-    "ignored") {
+    "membership: 'port unreachable' for a relay that was heard recently is no proof of death; replays and "
+    "messages from outside the fleet are ignored") {
   membership::Options options;
   options.fleet_size = 4;
   membership::Membership member(options, 10, 1, 0);
@@ -141,20 +144,21 @@
   REQUIRE(!out.empty());
   CHECK(!member.HandleMessage(0.5, 9, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}}, out));
   CHECK(!member.HandleMessage(0.5, 0, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}},
-                              out));  // its own number
+                              out));  // from its own index
   CHECK(member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
   CHECK(!member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
   CHECK(!member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 4, 9, 0, 0, {}, {}}, out));
   CHECK(member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 6, 1, 0, 0, {}, {}}, out));
   CHECK(member.restarts() == 1);
   CHECK(member.HandleMessage(0.5, 3, {membership::MessageKind::kGossip, 6, 1, 0, 0, {}, {}}, out));
-  member.OnUnreachable(0.6, 3);  // a fault of the path: it was heard a moment ago
+  member.OnUnreachable(0.6, 3);  // a broken path: the relay was heard 0.1 s ago
   CHECK(member.StateOf(0.7, 3) != MemberState::kDead);
-  member.OnUnreachable(0.5, 7);  // not of the fleet
+  member.OnUnreachable(0.5, 7);  // not in the fleet
   CHECK(member.ShareCount(20) == 4);
 }
 
-TEST_CASE("membership: the state file reads back as written; a damaged one or another relay's is ignored") {
+TEST_CASE(
+    "membership: the state file reads back as written; a damaged file or that of another relay is ignored") {
   namespace fs = std::filesystem;
   const fs::path folder =
       fs::temp_directory_path() / ("opalroute-membership-state-" + std::to_string(getpid()));
@@ -184,11 +188,13 @@
   CHECK(saved.zones.overrides[2].expires_at == doctest::Approx(298));
   CHECK(file.Load("n2", names, kNow, 120).load_result == "other relay");
   CHECK(file.Load("n2", names, kNow, 120).zones.states.empty());
-  for (const std::int64_t now : {kNow + 121'000'000, kNow - 1'000'000}) {  // old, or the clock was set back
+  // An old file, and a clock that was set back.
+  for (const std::int64_t now : {kNow + 121'000'000, kNow - 1'000'000}) {
     CHECK(file.Load("n1", names, now, 120).load_result == "too old");
-    CHECK(file.Load("n1", names, now, 120).incarnation == 77);  // its messages must still be newer
+    // Still needed: the next incarnation must be greater.
+    CHECK(file.Load("n1", names, now, 120).incarnation == 77);
     CHECK(file.Load("n1", names, now, 120).zones.states.empty());
-    // An override has an expiry of its own, which the age of the file does not shorten.
+    // An override has its own expiry; it stays valid in a file that is too old.
     CHECK(file.Load("n1", names, now, 120).zones.overrides.at(0).expires_at <= 300);
     CHECK(file.Load("n1", names, now, 120).zones.overrides.at(0).expires_at > 178);
   }
@@ -207,14 +213,14 @@
   if (geteuid() != 0) CHECK(!file.Save("n1", names, kNow, 78, {}));
   fs::permissions(folder, fs::perms::owner_all);
   fs::remove_all(folder);
-  CHECK(!file.Save("n1", names, kNow, 78, {}));  // no folder at all
+  CHECK(!file.Save("n1", names, kNow, 78, {}));  // the folder does not exist
 }
 
-// Kills, starts, freezes and partitions of every kind at once.
+// Combines kills, starts, freezes, leaves, lossy links and partitions of every kind at random.
 TEST_CASE(
-    "membership: total shares stay under the quota and one share over 1,000 scripts of partitions and "
-    "kills") {
-  int grown = 0;
+    "membership: the shares never add up to more than the quota plus one share in 1,000 random runs of "
+    "partitions and kills") {
+  int grown_shares = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     pcg32 random(seed, 5);
     const int size = 3 + static_cast<int>(random(8));
@@ -235,24 +241,24 @@
     SimulatedFleet fleet(OptionsFor(size), links, seed);
     fleet.StartAll();
     fleet.RunUntil(fleet.now + 40, [&] {
-      if (fleet.Below(20) != 0) return;
-      const int relay = fleet.Below(size);
+      if (fleet.UniformBelow(20) != 0) return;
+      const int relay = fleet.UniformBelow(size);
       if (!fleet.IsUp(relay)) return fleet.Start(relay);
-      const int action = fleet.Below(6);
-      if (action == 0) fleet.Freeze(relay, fleet.now + 1 + fleet.Below(10));
+      const int action = fleet.UniformBelow(6);
+      if (action == 0) fleet.Freeze(relay, fleet.now + 1 + fleet.UniformBelow(10));
       if (action == 1) fleet.Leave(relay);
-      if (action >= 2) fleet.Kill(relay, fleet.Below(2) == 0);
+      if (action >= 2) fleet.Kill(relay, fleet.UniformBelow(2) == 0);
     });
     for (int relay = 0; relay < size; ++relay)
-      grown += fleet.IsUp(relay) && fleet[relay].membership().IsSettled(fleet.now) &&
-               fleet[relay].membership().ShareCount(fleet.now) < size;
-    REQUIRE_MESSAGE(fleet.max_total_share < 1 + 1.0 / size + 1e-9, "seed ", seed, " has shares of ",
+      grown_shares += fleet.IsUp(relay) && fleet[relay].membership().IsSettled(fleet.now) &&
+                      fleet[relay].membership().ShareCount(fleet.now) < size;
+    REQUIRE_MESSAGE(fleet.max_total_share < 1 + 1.0 / size + 1e-9, "seed ", seed, " has total shares of ",
                     fleet.max_total_share);
   }
-  CHECK(grown > 300);  // shares do grow
+  CHECK(grown_shares > 300);  // the bound is not met merely because shares never grow
 }
 
-TEST_CASE("membership: message rate and size stay within the stated limits at 3, 30 and 300 relays") {
+TEST_CASE("membership: message rate and size stay within their limits for 3, 30 and 300 relays") {
   for (const int size : {3, 30, 300}) {
     SimulatedFleet fleet(OptionsFor(size), {}, 6);
     fleet.StartAll();
@@ -261,10 +267,10 @@
     const long bytes = fleet.bytes_sent;
     fleet.RunUntil(fleet.now + 10);
     const double rate = static_cast<double>(fleet.datagrams_sent - datagrams) / 10 / size;
-    MESSAGE(size << " relays: " << rate << " messages a second and relay, "
+    MESSAGE(size << " relays: " << rate << " messages per second per relay, "
                  << static_cast<double>(fleet.bytes_sent - bytes) /
                         static_cast<double>(fleet.datagrams_sent - datagrams)
-                 << " bytes each, the longest " << fleet.longest_datagram);
+                 << " bytes each on average, the longest " << fleet.longest_datagram);
     CHECK(rate < 4.5);
     CHECK(fleet.longest_datagram <= 256);
   }
--- a/tests/membership/simulated_fleet.cpp
+++ b/tests/membership/simulated_fleet.cpp
@@ -118,8 +118,8 @@
   const int from = datagram.from;
   const int to = datagram.to;
   if (!IsUp(to)) {
-    const bool is_way_back_open = !(cut && cut(to, from)) && !links_.PeersCut(now, to, from);
-    if (is_way_back_open && IsUp(from)) (*this)[from].OnUnreachable(now, to);
+    const bool is_return_path_open = !(cut && cut(to, from)) && !links_.PeersCut(now, to, from);
+    if (is_return_path_open && IsUp(from)) (*this)[from].OnUnreachable(now, to);
   } else if (!IsRunning(to)) {
     At(to).received.push_back(datagram);
   } else {
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -1,5 +1,5 @@
-// Pins the bytes that relays exchange: a fleet may run two builds at once, so an encoder that writes other
-// bytes for the same message breaks it.
+// Compares encoded messages with fixed bytes. A fleet may run two builds at the same time, so an encoder that
+// changes the bytes of a message breaks their communication.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -30,7 +30,7 @@
   return message;
 }
 
-TEST_CASE("membership: each kind of message is written as the same bytes in every build") {
+TEST_CASE("membership: the encoding of each kind of message is stable across builds") {
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kPing), 256)) == "4601718080898b948b9103ac02000000");
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kJoin), 256)) == "4601688080898b948b9103ac02000000");
   CHECK(Hex(EncodeMessage(MessageOf(MessageKind::kGossip), 256)) == "4601748080898b948b9103ac02000000");
@@ -39,7 +39,7 @@
   ack.acked_sequence = 77;
   ack.first_peer = 130;
   ack.zone_payload = "zones";
-  ack.peer_reports = {{PeerReport::Kind::kNothing, 0},       {PeerReport::Kind::kAlive, 0},
+  ack.peer_reports = {{PeerReport::Kind::kNone, 0},          {PeerReport::Kind::kAlive, 0},
                       {PeerReport::Kind::kAlive, 6.9},       {PeerReport::Kind::kAlive, 13},
                       {PeerReport::Kind::kUnreachable, 0.2}, {PeerReport::Kind::kUnreachable, 12}};
   CHECK(Hex(EncodeMessage(ack, 256)) == "4601618080898b948b9103ac024d8201062014803e057a6f6e6573");
@@ -47,7 +47,7 @@
 }
 
 TEST_CASE(
-    "zone failover: gossip with states, a report and overrides is written as the same bytes in every build") {
+    "zone failover: the encoding of gossip with states, a report and overrides is stable across builds") {
   zone_failover::ZoneGossip gossip;
   gossip.states = {{300, zone_failover::EvacuationPhase::kRecovering, 3, 12.34},
                    {0, zone_failover::EvacuationPhase::kInService, 40, 1e9}};
@@ -64,7 +64,7 @@
         "02ac020e7b007fc0843d0301000080060000000f0000801e03040000000000000000000000001e1e0000ac02ab02027c");
 }
 
-// FNV-1a over what is sent, by whom and when.
+// An FNV-1a hash.
 class Digest {
  public:
   void Add(const std::string& bytes) {
@@ -77,8 +77,8 @@
 };
 
 TEST_CASE(
-    "zone failover: an outage with losses, a restart and an override sends the same datagrams in every "
-    "build") {
+    "zone failover: the datagrams of a run with an outage, packet loss, a restart and an override are stable "
+    "across builds") {
   lab::LinkPlan links;
   links.loss = 0.2;
   SimulatedFleet fleet(OptionsFor(12), links, 31);
--- a/tests/zone_failover/simulated_calls.cpp
+++ b/tests/zone_failover/simulated_calls.cpp
@@ -53,8 +53,8 @@
 }
 
 void SimulatedCalls::Call(int relay) {
-  const int destination = fleet_.Below(kDestinations);
-  const int zone = fleet_.Below(kZones);
+  const int destination = fleet_.UniformBelow(kDestinations);
+  const int zone = fleet_.UniformBelow(kZones);
   const ZoneTrafficShare& share = fleet_.TrafficShareOf(relay, zone);
   const double probability = share.is_health_check_relay ? kHealthCheckShare : share.traffic_share;
   if (lab::DrawUnit(fleet_.random()) >= probability) return;
