--- a/src/relay/state_transfer_host.h
+++ b/src/relay/state_transfer_host.h
@@ -25,10 +25,12 @@
     return decisions_.router().ExportRouteStates(loop_.Now(), from, most);
   }
   std::string EndpointName(EndpointId endpoint) const override { return endpoints_.At(endpoint).id; }
-  std::optional<EndpointId> ListedEndpoint(const std::string& name) const override {
+  std::optional<EndpointId> FindListedEndpoint(const std::string& name) const override {
     return endpoints_.FindListed(name);
   }
-  bool ListedDestination(DestinationId destination) const override { return endpoints_.Serves(destination); }
+  bool IsDestinationListed(DestinationId destination) const override {
+    return endpoints_.Serves(destination);
+  }
   void ApplyState(TransferredState state) override { decisions_.Post(std::move(state)); }
   void SendDatagram(int peer, const std::string& bytes) override { send_(peer, bytes); }
 
--- a/src/state_transfer/codec.cpp
+++ b/src/state_transfer/codec.cpp
@@ -12,22 +12,22 @@
 
 constexpr std::string_view kDatagramMagic = "OLN1";
 constexpr double kMicrosPerSecond = 1e6;
-constexpr Seconds kMaxSpan = 1e9;  // of an uptime, and of a chunk's time after the header
+constexpr Seconds kMaxDuration = 1e9;  // of an uptime, and of a chunk's time since the header
 
 std::int64_t Micros(Seconds seconds) {
   return static_cast<std::int64_t>(std::llround(std::clamp(seconds, 0.0, kMaxAge) * kMicrosPerSecond));
 }
 
-// Uptimes and the like, which are not limited to kMaxAge.
+// For uptimes and times since the header, which kMaxAge does not limit.
 std::int64_t UnboundedMicros(Seconds seconds) {
   return static_cast<std::int64_t>(seconds * kMicrosPerSecond);
 }
 
-Seconds ReadSpan(std::int64_t micros) {
-  return std::clamp(static_cast<double>(micros) / kMicrosPerSecond, 0.0, kMaxSpan);
+Seconds ReadDuration(std::int64_t micros) {
+  return std::clamp(static_cast<double>(micros) / kMicrosPerSecond, 0.0, kMaxDuration);
 }
 
-// Nullopt, and counted, for a negative duration or one of more than kMaxAge.
+// Returns nullopt and increments `out_of_range` for a negative age or one above kMaxAge.
 std::optional<Seconds> ReadAge(std::int64_t micros, int& out_of_range) {
   if (micros >= 0 && micros <= Micros(kMaxAge)) return static_cast<double>(micros) / kMicrosPerSecond;
   ++out_of_range;
@@ -56,7 +56,7 @@
 void ReadSendRate(const wire::RouteState& in, RouteState& state, int& out_of_range) {
   if (in.has_rejection_age_us()) state.rejection_age = ReadAge(in.rejection_age_us(), out_of_range);
   state.send_rate = in.send_rate();
-  // Written so that it also holds for what is not a number.
+  // Also false for NaN.
   const bool in_range = state.send_rate > 0 && state.send_rate <= kMaxSendRate;
   if (state.rejection_age && !in_range) {
     state.rejection_age.reset();
@@ -102,7 +102,7 @@
   return routes;
 }
 
-// Writes each kind of message into a frame.
+// Visitor that writes a message into a frame.
 struct FrameWriter {
   wire::Frame& frame;
 
@@ -128,12 +128,12 @@
 }
 
 SnapshotHeader ReadHeader(const wire::SnapshotHeader& in) {
-  return {in.version(), in.name().substr(0, kMaxNameBytes), ReadSpan(in.uptime_us()), in.written_at_us()};
+  return {in.version(), in.name().substr(0, kMaxNameBytes), ReadDuration(in.uptime_us()), in.written_at_us()};
 }
 
 SnapshotChunk ReadChunk(const wire::SnapshotChunk& in) {
   SnapshotChunk chunk;
-  chunk.since_header = ReadSpan(in.since_header_us());
+  chunk.since_header = ReadDuration(in.since_header_us());
   chunk.routes = ReadRoutes(in.routes(), chunk.out_of_range);
   return chunk;
 }
--- a/src/state_transfer/codec.h
+++ b/src/state_transfer/codec.h
@@ -1,5 +1,5 @@
-// Encodes and decodes what state transfer sends and saves (proto/state_transfer.proto), and keeps decoded
-// values in their ranges. Pure.
+// Encodes and decodes the messages of state transfer (proto/state_transfer.proto), and checks the ranges of
+// decoded values. Pure functions without I/O.
 #pragma once
 
 #include <cstdint>
@@ -14,47 +14,47 @@
 namespace opalroute::state_transfer {
 
 constexpr std::uint32_t kVersion = 1;
-constexpr Seconds kMaxAge = 3600;     // of an observation, and of a Retry-After; longer ones are out of range
-constexpr double kMaxSendRate = 1e6;  // requests a second
+constexpr Seconds kMaxAge = 3600;  // limit of ages, Retry-Afters and latencies; longer ones are out of range
+constexpr double kMaxSendRate = 1e6;  // calls per second
 constexpr std::size_t kMaxNameBytes = 256;
-constexpr std::size_t kMaxFrameBytes = std::size_t{64} * 1024;  // of a frame's record
-constexpr std::size_t kMaxDatagramBytes = 256;                  // the limit for datagrams between relays
+constexpr std::size_t kMaxFrameBytes = std::size_t{64} * 1024;  // of a record, without the frame header
+constexpr std::size_t kMaxDatagramBytes = 256;                  // as for all datagrams between relays
 
-// The state of a route whose endpoint has an id of the endpoint list instead of a number of one process.
-// `state.endpoint` has no meaning.
+// A route's state that identifies the endpoint by its id in the endpoint list, since an EndpointId is valid
+// in one process only. `state.endpoint` is ignored.
 struct NamedRouteState {
-  std::string endpoint;  // empty: the destination as a whole
+  std::string endpoint;  // empty: the whole destination
   RouteState state;
 };
 
 struct SnapshotRequest {
   std::uint32_t version = kVersion;
-  std::string name;  // of the relay that asks
+  std::string name;  // of the relay that sends the request
 };
 
 struct SnapshotHeader {
   std::uint32_t version = kVersion;
-  std::string name;             // of the relay whose state it is
+  std::string name;             // of the relay that made the snapshot
   Seconds uptime = 0;           // of that relay
-  std::int64_t written_at = 0;  // Unix time in microseconds, in a saved file alone
+  std::int64_t written_at = 0;  // Unix time in microseconds; only in a saved file
 };
 
 struct SnapshotChunk {
-  Seconds since_header = 0;  // when it was made, after the header was
+  Seconds since_header = 0;  // from the creation of the header to that of this chunk
   std::vector<NamedRouteState> routes;
-  int out_of_range = 0;  // values left out while decoding: negative, not a number, or too large
+  int out_of_range = 0;  // values dropped by the decoder: negative, NaN, or too large
 };
 
 struct SnapshotEnd {
-  std::uint64_t route_count = 0;  // in all chunks together
+  std::uint64_t route_count = 0;  // total of all chunks
 };
 
 using Message = std::variant<SnapshotRequest, SnapshotHeader, SnapshotChunk, SnapshotEnd>;
 
-// A complete frame, ready for a stream or a file.
+// Returns a complete frame for a stream or a file.
 std::string EncodeFrame(const Message& message);
-// Decodes a frame's record. Returns nullopt for what is no message, or of a kind that this version does not
-// know.
+// Decodes a frame's record. Returns nullopt if it is not a valid message or its kind is unknown to this
+// version.
 std::optional<Message> DecodeFrame(std::string_view record);
 
 struct Datagram {
@@ -62,19 +62,19 @@
   std::uint32_t nonce = 0;
   bool is_request = false;
   std::vector<NamedRouteState> routes;
-  int out_of_range = 0;  // values left out while decoding
+  int out_of_range = 0;  // values dropped by the decoder
 };
 
 struct EncodedDatagram {
   std::string bytes;
-  std::size_t route_count = 0;  // of the routes from the front that fit
+  std::size_t route_count = 0;  // number of routes, from the front, that fit
 };
 
 EncodedDatagram EncodeDatagram(const Datagram& datagram);
-// Returns nullopt for a datagram that is not state transfer's.
+// Returns nullopt if the bytes are not a datagram of state transfer.
 std::optional<Datagram> DecodeDatagram(std::string_view bytes);
 
-// Makes a route's state older by this time: Retry-Afters get shorter, ages grow.
+// Ages a route's state by this time: reduces the Retry-After and increases the ages.
 void AgeBy(RouteState& state, Seconds by);
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/datagram_exchange.cpp
+++ b/src/state_transfer/datagram_exchange.cpp
@@ -24,13 +24,13 @@
   return routes;
 }
 
-void DatagramExchange::RequestSome(Seconds now, int peers, int self) {
-  std::vector<int> others(static_cast<std::size_t>(std::max(0, peers)));
+void DatagramExchange::SendRequests(Seconds now, int peer_count, int own_peer) {
+  std::vector<int> others(static_cast<std::size_t>(std::max(0, peer_count)));
   std::iota(others.begin(), others.end(), 0);
-  others.erase(std::remove(others.begin(), others.end(), self), others.end());
+  others.erase(std::remove(others.begin(), others.end(), own_peer), others.end());
   std::mt19937 random(nonce_);
   std::shuffle(others.begin(), others.end(), random);
-  others.resize(std::min(others.size(), static_cast<std::size_t>(bounds_.peers_asked)));
+  others.resize(std::min(others.size(), static_cast<std::size_t>(bounds_.max_peers)));
   requested_at_ = now;
   requested_peers_ = {others.begin(), others.end()};
   Datagram request;
@@ -44,15 +44,15 @@
   Datagram answer;
   answer.nonce = nonce;
   answer.routes = urgent;
-  for (int sent = 0; sent < bounds_.answers && !answer.routes.empty(); ++sent) {
+  for (int sent = 0; sent < bounds_.max_answers && !answer.routes.empty(); ++sent) {
     const EncodedDatagram encoded = EncodeDatagram(answer);
-    if (encoded.route_count == 0) {  // an endpoint's id is too long for a datagram
+    if (encoded.route_count == 0) {  // the endpoint's id is too long for a datagram
       answer.routes.erase(answer.routes.begin());
       continue;
     }
     send_(peer, encoded.bytes);
-    const auto first_left = answer.routes.begin() + static_cast<std::ptrdiff_t>(encoded.route_count);
-    answer.routes.erase(answer.routes.begin(), first_left);
+    const auto first_unsent = answer.routes.begin() + static_cast<std::ptrdiff_t>(encoded.route_count);
+    answer.routes.erase(answer.routes.begin(), first_unsent);
   }
 }
 
@@ -64,7 +64,7 @@
   received.kind = Kind::kIgnored;
   if (received.datagram.version != kVersion) return received;
   const bool is_awaited = requested_peers_.count(peer) > 0 && received.datagram.nonce == nonce_ &&
-                          now <= requested_at_ + bounds_.answer_time;
+                          now <= requested_at_ + bounds_.answer_timeout;
   if (received.datagram.is_request) {
     received.kind = Kind::kRequest;
   } else if (is_awaited) {
--- a/src/state_transfer/datagram_exchange.h
+++ b/src/state_transfer/datagram_exchange.h
@@ -1,6 +1,6 @@
-// State transfer by datagrams between peers: a relay that starts asks a few of them, and each answers with
-// its most urgent route states in a few datagrams. Datagrams have a price and may be lost, so nothing is
-// repeated. Pure but for the callback.
+// State transfer by datagrams between peers: a relay that starts sends a request to a few of them, and each
+// answers with its most urgent route states in a few datagrams. Datagrams are costly and may be lost; none is
+// sent again. Does no I/O except through the callback.
 #pragma once
 
 #include <functional>
@@ -15,11 +15,12 @@
 
 namespace opalroute::state_transfer {
 
-// Lower is more urgent: a Retry-After in force comes before an outage, an outage before a slow start; among
-// equals the longest Retry-After or the latest observation is first. Nullopt: not worth a datagram.
+// A lower value is more urgent: a Retry-After in force comes before an outage, an outage before a slow start.
+// Within each kind, the longest Retry-After or the latest observation comes first. Returns nullopt for a
+// state that is not worth a datagram.
 std::optional<double> Urgency(const RouteState& state);
 
-// The urgent ones, most urgent first; equally urgent ones keep their order.
+// Returns the states that have an urgency, most urgent first; equally urgent ones keep their order.
 std::vector<NamedRouteState> MostUrgent(std::vector<NamedRouteState> routes);
 
 class DatagramExchange {
@@ -27,29 +28,30 @@
   using Send = std::function<void(int peer, const std::string& bytes)>;
 
   struct Bounds {
-    int peers_asked = 2;  // at the start
-    int answers = 4;      // datagrams to one requester
-    Seconds answer_time = 2;
+    int max_peers = 2;           // that requests are sent to
+    int max_answers = 4;         // datagrams in answer to one request
+    Seconds answer_timeout = 2;  // later answers are ignored
   };
 
   enum class Kind {
-    kNotOurs,  // no datagram of state transfer
+    kOtherProtocol,  // not a datagram of state transfer
     kRequest,
     kAnswer,
-    kIgnored,  // of another version, not asked for, or too late
+    kIgnored,  // of another version, unrequested, or too late
   };
 
   struct Received {
-    Kind kind = Kind::kNotOurs;
+    Kind kind = Kind::kOtherProtocol;
     Datagram datagram;
   };
 
   DatagramExchange(const Bounds& bounds, std::uint32_t nonce, Send send)
       : bounds_(bounds), nonce_(nonce), send_(std::move(send)) {}
 
-  // Asks some of the peers 0 to `peers` - 1, drawn by the nonce, and never `self`.
-  void RequestSome(Seconds now, int peers, int self);
-  // Sends a requester as many of the route states as the bounds allow.
+  // Sends requests to some of the peers 0 to `peer_count` - 1, except `own_peer`; the nonce seeds the random
+  // choice.
+  void SendRequests(Seconds now, int peer_count, int own_peer);
+  // Sends a requester as many of the route states, from the front, as the bounds allow.
   void Answer(int peer, std::uint32_t nonce, const std::vector<NamedRouteState>& urgent) const;
   Received Receive(Seconds now, int peer, std::string_view bytes) const;
 
--- a/src/state_transfer/frame_reader.cpp
+++ b/src/state_transfer/frame_reader.cpp
@@ -9,15 +9,15 @@
 void FrameReader::Append(net::RingBuffer& in) {
   while (!in.empty()) {
     const std::string_view front = in.Front();
-    if (!broken_) bytes_.append(front);
+    if (!corrupt_) bytes_.append(front);
     in.Consume(front.size());
   }
 }
 
 std::optional<Message> FrameReader::Next() {
-  while (!broken_) {
+  while (!corrupt_) {
     const net::FrameRead read = net::ReadFrame(std::string_view(bytes_).substr(offset_), kMaxFrameBytes);
-    if (read.state == net::FrameState::kBroken) broken_ = true;
+    if (read.state == net::FrameState::kBroken) corrupt_ = true;
     if (read.state != net::FrameState::kWhole) break;
     offset_ += read.size;
     frame_bytes_ += read.size;
--- a/src/state_transfer/frame_reader.h
+++ b/src/state_transfer/frame_reader.h
@@ -1,4 +1,4 @@
-// Cuts the bytes of a stream or a file into the messages of state transfer.
+// Splits the bytes of a stream or a file into the messages of state transfer.
 #pragma once
 
 #include <optional>
@@ -15,17 +15,17 @@
   // Consumes all of `in`.
   void Append(net::RingBuffer& in);
   void Append(std::string_view bytes) { bytes_.append(bytes); }
-  // The next message; nullopt: none is complete. Frames of an unknown kind are skipped, and after a damaged
-  // frame no message follows.
+  // Returns the next message, or nullopt if none is complete. Skips frames of an unknown kind. Returns no
+  // message after a corrupt frame.
   std::optional<Message> Next();
-  bool broken() const { return broken_; }
+  bool corrupt() const { return corrupt_; }                 // a corrupt frame was found
   std::size_t frame_bytes() const { return frame_bytes_; }  // of the frames read so far
 
  private:
   std::string bytes_;
   std::size_t offset_ = 0;  // of the next frame
   std::size_t frame_bytes_ = 0;
-  bool broken_ = false;
+  bool corrupt_ = false;
 };
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_client.cpp
+++ b/src/state_transfer/snapshot_client.cpp
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-// The connection to one relay.
+// The connection to one server.
 class SnapshotClient::Session : public net::Connection::Owner {
  public:
   Session(SnapshotClient& client, int server) : client_(client), server_(server) {}
@@ -28,7 +28,8 @@
     if (connection_) connection_->Close();
   }
 
-  // The client lives on until all sessions have ended.
+  // Records the result and closes the connection. Does not destroy the session, which lives as long as the
+  // client.
   void End(SnapshotResult result) {
     if (std::exchange(ended_, true)) return;
     report().result = result;
@@ -38,7 +39,6 @@
   }
 
  private:
-  // Handles each kind of message.
   struct MessageHandler {
     Session& session;
 
@@ -57,7 +57,7 @@
       if (ended_) return;
     }
     report().bytes = reader_.frame_bytes();
-    if (reader_.broken()) return End(SnapshotResult::kCorrupt);
+    if (reader_.corrupt()) return End(SnapshotResult::kCorrupt);
     if (reader_.frame_bytes() > client_.limits_.learn_bytes) End(SnapshotResult::kLimitExceeded);
   }
 
@@ -75,9 +75,9 @@
     if (header.name == client_.name_) End(SnapshotResult::kOwn);
   }
 
-  // Relays share no clock: a chunk states how long after the header it was made, and the header was made no
-  // later than it arrived. So no state is taken for younger than it is by more than the header's time on the
-  // way, and no Retry-After ends too soon.
+  // Relays share no clock. A chunk states its time since the header, and the header's arrival is taken for
+  // the time of its creation. So a state appears younger than it is by at most the transit time of the
+  // header, and no Retry-After ends too early.
   void OnChunk(const SnapshotChunk& chunk) {
     if (!header_at_) return End(SnapshotResult::kCorrupt);
     const Seconds observed_at = std::min(client_.loop_.Now(), *header_at_ + chunk.since_header);
@@ -130,7 +130,7 @@
 
 void SnapshotClient::OnSessionEnded() {
   if (--running_sessions_ > 0 || !timer_.pending()) return;
-  // In a round of its own: neither from within a session's callback nor from the constructor.
+  // Deferred to the event loop: Finish must not run in a session's callback or in the constructor.
   timer_.Start(loop_.Now(), [this] { Finish(); });
 }
 
--- a/src/state_transfer/snapshot_file.cpp
+++ b/src/state_transfer/snapshot_file.cpp
@@ -13,10 +13,10 @@
 
 constexpr std::size_t kMinFileBytes = 2048;
 constexpr std::size_t kDiskBlockBytes = 512;  // the disk limit counts whole blocks
-constexpr std::size_t kEndMargin = 16;        // the end's frame grows with its count
+constexpr std::size_t kEndMargin = 16;        // the frame of SnapshotEnd grows with its route count
 constexpr std::size_t kRoutesPerChunk = 16;
 
-// Adds each kind of message to what is loaded. False: nothing after it counts.
+// Visitor that adds a message to the loaded state. Returns false if the rest of the file is to be ignored.
 struct MessageLoader {
   SnapshotFile::Saved& saved;
   bool& has_header;
@@ -45,12 +45,12 @@
   }
 };
 
-// Appends routes to a file's bytes in chunks, up to a limit.
+// Appends routes in chunks to the bytes of a file, up to a size limit.
 class ChunkWriter {
  public:
   ChunkWriter(std::string& bytes, std::size_t max_bytes) : bytes_(bytes), max_bytes_(max_bytes) {}
 
-  // False: the chunk does not fit, and nothing more is written.
+  // Returns false if a chunk does not fit; no more routes can be added then.
   bool Add(const NamedRouteState& route) {
     chunk_.routes.push_back(route);
     return chunk_.routes.size() < kRoutesPerChunk || Flush();
@@ -94,7 +94,7 @@
   while (const auto message = reader.Next()) {
     if (!std::visit(MessageLoader{saved, has_header}, *message)) return saved;
   }
-  if (reader.broken()) saved.result = SnapshotResult::kCorrupt;
+  if (reader.corrupt()) saved.result = SnapshotResult::kCorrupt;
   return saved;
 }
 
--- a/src/state_transfer/snapshot_merger.cpp
+++ b/src/state_transfer/snapshot_merger.cpp
@@ -12,7 +12,7 @@
   if (other && (!age || *other < *age)) age = other;
 }
 
-// The age if there is one that is still valid; one that is not is counted as stale.
+// Returns the age if there is one and it is still valid. An age that is no longer valid is counted as stale.
 template <typename Predicate>
 std::optional<Seconds> IfValid(const std::optional<Seconds>& age, MergeTally& tally,
                                const Predicate& is_valid) {
@@ -21,7 +21,7 @@
   return std::nullopt;
 }
 
-// Adds what one source has observed of a route to what others have.
+// Combines the state of a route that one source observed with that of the sources before it.
 void AddTo(RouteState& combined, const RouteState& state) {
   combined.destination = state.destination;
   combined.retry_after = std::max(combined.retry_after, state.retry_after);
@@ -69,7 +69,7 @@
   }
 }
 
-// All observations of one route as one state, with its ages as of `now`.
+// Combines all observations of a route into one state with ages as of `now`.
 RouteState SnapshotMerger::Combine(const std::vector<Observation>& observations, Seconds now) {
   RouteState combined;
   for (const Observation& observation : observations) {
@@ -84,7 +84,7 @@
   return combined;
 }
 
-RouteState SnapshotMerger::StillValid(RouteState combined) {
+RouteState SnapshotMerger::RemoveStale(RouteState combined) {
   const bool has_recovered =
       combined.failure_age && combined.success_age && *combined.success_age < *combined.failure_age;
   if (has_recovered) {
@@ -99,9 +99,9 @@
   RouteState valid;
   valid.destination = combined.destination;
   valid.retry_after = combined.retry_after;
-  // An older failure stays a failure and never becomes a slow start that began then: the outage may have
-  // ended just now, and that slow start would end before the endpoint is warm. A trial finds out, and begins
-  // one of its own.
+  // A failure stays a failure however old it is, and is never turned into a slow start that began at that
+  // time: the outage may have ended only now, and such a slow start would end before the endpoint has warmed
+  // up. A recovery trial shows whether the outage is over, and then starts a new slow start.
   valid.failure_age = IfValid(combined.failure_age, tally_, has_weight(kMinHealthWeight));
   valid.recovery_age = IfValid(combined.recovery_age, tally_,
                                [this](Seconds age) { return age < options_.slow_start_duration; });
@@ -114,7 +114,7 @@
   return valid;
 }
 
-void SnapshotMerger::CountApplied(const RouteState& state) {
+void SnapshotMerger::CountValid(const RouteState& state) {
   if (state.retry_after > 0) ++tally_.retry_afters;
   if (state.failure_age) ++tally_.outages;
   if (state.recovery_age) ++tally_.recoveries;
@@ -126,8 +126,8 @@
 std::vector<NamedRouteState> SnapshotMerger::Merge(Seconds now) {
   std::vector<NamedRouteState> merged;
   for (const auto& [key, observations] : routes_) {
-    const RouteState state = StillValid(Combine(observations, now));
-    CountApplied(state);
+    const RouteState state = RemoveStale(Combine(observations, now));
+    CountValid(state);
     if (HasEffect(state)) merged.push_back({key.second, state});
   }
   routes_.clear();
--- a/src/state_transfer/snapshot_result.h
+++ b/src/state_transfer/snapshot_result.h
@@ -1,4 +1,4 @@
-// How the transfer of a snapshot ended, over a connection or from a file.
+// How receiving a snapshot over a connection, or loading one from a file, ended.
 #pragma once
 
 namespace opalroute::state_transfer {
@@ -6,17 +6,17 @@
 enum class SnapshotResult {
   kComplete,
   kNoFile,
-  kTruncated,      // it broke off, or has lost a chunk
+  kTruncated,      // it ended early, or a chunk is missing
   kTimedOut,       // not complete in time
-  kNotConnected,   // no connection to the relay asked
+  kNotConnected,   // the connection to the server failed
   kCorrupt,        // damaged, or not in this format
-  kNewerVersion,   // its reader must know a newer version
-  kOlderVersion,   // its version is no longer read
-  kOwn,            // the relay has asked itself
+  kNewerVersion,   // it requires a reader of a newer version
+  kOlderVersion,   // its version is no longer supported
+  kOwn,            // the server is the requesting relay itself
   kLimitExceeded,  // more routes or bytes than allowed
 };
 
-// The text that operators are shown.
+// The name that logs and commands show.
 const char* NameOf(SnapshotResult result);
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_server.cpp
+++ b/src/state_transfer/snapshot_server.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 constexpr std::size_t kReadBufferBytes = 4096;
-// Four frames, each with its length and checksum.
+// Space for four frames with their headers.
 constexpr std::size_t kWriteBufferBytes = 4 * (kMaxFrameBytes + 64);
-// A route takes at most 350 bytes, so that a chunk's frame stays below kMaxFrameBytes.
+// A route takes at most 350 bytes, so a chunk's record stays below kMaxFrameBytes.
 constexpr std::size_t kRoutesPerChunk = 128;
 
 }  // namespace
 
-// The connection of one relay that asks.
+// The connection of one client.
 class SnapshotServer::Session : public net::Connection::Owner {
  public:
   explicit Session(SnapshotServer& server) : server_(server), timer_(server.loop_) {}
 
   bool Open(int fd) {
     connection_ = net::Connection::Adopt(server_.loop_, fd, *this, kReadBufferBytes, kWriteBufferBytes);
-    // For a client that asks for nothing, or does not read.
+    // Bounds the time of a client that sends no request or does not read.
     timer_.Start(server_.loop_.Now() + server_.limits_.learn_session, [this] { server_.Drop(*this); });
     return connection_ != nullptr;
   }
@@ -41,12 +41,12 @@
   }
 
   void OnData(net::Connection& connection) override {
-    // A client asks once; what it sends after that is ignored.
+    // A client sends one request; further input is discarded.
     if (slices_) return connection.in().Consume(connection.in().size());
     reader_.Append(connection.in());
     const auto message = reader_.Next();
     const bool is_request = message && std::holds_alternative<SnapshotRequest>(*message);
-    if (reader_.broken() || (message && !is_request)) return server_.Drop(*this);
+    if (reader_.corrupt() || (message && !is_request)) return server_.Drop(*this);
     if (is_request) SendSnapshot();
   }
 
@@ -84,16 +84,16 @@
 
   void Finish() {
     finished_ = true;
-    server_.longest_pause_ = std::max(server_.longest_pause_, slices_->longest());
+    server_.longest_pause_ = std::max(server_.longest_pause_, slices_->longest_slice());
     if (Send(EncodeFrame(SnapshotEnd{route_count_}))) connection_->CloseWhenWritten();
     log::Info("snapshot_sent", {{"routes", route_count_},
                                 {"ms", (server_.loop_.Now() - started_at_) * 1000},
-                                {"longest_pause_us", static_cast<long>(slices_->longest() * 1e6)}});
+                                {"longest_pause_us", static_cast<long>(slices_->longest_slice() * 1e6)}});
   }
 
-  // False: the connection's buffer is full. The bytes wait, and no further slice is read until they are
-  // written, so that a client that reads slowly never makes this relay hold the whole snapshot. Their ages
-  // stay right: the chunk states when it was made.
+  // Returns false if the connection's buffer is full. The bytes are then kept, and no further slice is read
+  // until they are written, so that a client that reads slowly does not make this relay hold the whole
+  // snapshot in memory. The ages stay correct, because each chunk states when it was made.
   bool Send(std::string bytes) {
     if (connection_->Write(bytes)) return true;
     unsent_ = std::move(bytes);
--- a/src/state_transfer/snapshot_server.h
+++ b/src/state_transfer/snapshot_server.h
@@ -1,5 +1,5 @@
-// Serves snapshots over TCP, on a listener of its own: a relay that starts asks, and this relay's route
-// states are streamed to it in chunks, one slice a round of the event loop.
+// Serves snapshots over TCP on its own listener. A relay that starts sends a request, and this relay streams
+// its route states to it in chunks, one slice per iteration of the event loop.
 #pragma once
 
 #include <map>
@@ -15,13 +15,13 @@
 
 class SnapshotServer {
  public:
-  // `name`: of this relay. `loop` and `limits` must outlive the server. Throws std::system_error if it can't
-  // listen.
+  // `name` is the name of this relay. `loop` and `limits` must outlive the server. Throws std::system_error
+  // if it can't listen.
   SnapshotServer(net::EventLoop& loop, const sockaddr_in& listen, std::string name, RouteStateSource source,
                  const Limits& limits);
   ~SnapshotServer();
   sockaddr_in address() const { return listener_.address(); }
-  // The longest time that the loop has stood still for one slice of any snapshot sent.
+  // The longest time that a slice of a snapshot has blocked the event loop, over all snapshots sent.
   Seconds longest_pause() const { return longest_pause_; }
 
  private:
--- a/src/state_transfer/snapshot_slices.cpp
+++ b/src/state_transfer/snapshot_slices.cpp
@@ -26,9 +26,9 @@
   if (!from_) return on_done_();
   const Seconds started = loop_.Now();
   std::vector<NamedRouteState> routes = source_(from_, kDestinationsPerSlice);
-  const bool more = routes.empty() || on_slice_(std::move(routes));
-  longest_ = std::max(longest_, loop_.Now() - started);
-  if (more) Resume();
+  const bool wants_more = routes.empty() || on_slice_(std::move(routes));
+  longest_slice_ = std::max(longest_slice_, loop_.Now() - started);
+  if (wants_more) Resume();
 }
 
 }  // namespace opalroute::state_transfer
--- a/src/state_transfer/snapshot_slices.h
+++ b/src/state_transfer/snapshot_slices.h
@@ -1,5 +1,5 @@
-// Reads all route states of a relay in slices, one a round of the event loop, so that the relay's own work
-// goes on.
+// Reads all route states of a relay in slices, one per iteration of the event loop, so that the relay's other
+// work continues meanwhile.
 #pragma once
 
 #include <functional>
@@ -12,25 +12,26 @@
 
 namespace opalroute::state_transfer {
 
-// The states of a relay's routes by destination: up to `most` destinations from `from` on. Sets `from` to
-// where the next slice begins, or to nullopt at the end.
+// Returns the states of a relay's routes, ordered by destination, of up to `max_destinations` destinations
+// starting at `from`. Sets `from` to the start of the next slice, or to nullopt at the end.
 using RouteStateSource =
-    std::function<std::vector<NamedRouteState>(std::optional<DestinationId>& from, int most)>;
+    std::function<std::vector<NamedRouteState>(std::optional<DestinationId>& from, int max_destinations)>;
 
 class SnapshotSlices {
  public:
   using OnSlice = std::function<bool(std::vector<NamedRouteState>)>;
 
-  // Calls `on_slice` with each slice that is not empty; if it returns false, the next one waits for Resume.
-  // Calls `on_done` at the end, which may destroy this object. `loop` and `source` must outlive it.
+  // Calls `on_slice` with each slice that is not empty; if it returns false, the next slice is read only
+  // after Resume. Calls `on_done` at the end, which may destroy this object. `loop` and `source` must outlive
+  // it.
   SnapshotSlices(net::EventLoop& loop, const RouteStateSource& source, OnSlice on_slice,
                  std::function<void()> on_done);
   SnapshotSlices(const SnapshotSlices&) = delete;
   SnapshotSlices& operator=(const SnapshotSlices&) = delete;
 
   void Resume();
-  // The longest time that one slice has taken.
-  Seconds longest() const { return longest_; }
+  // The longest time that a slice has taken.
+  Seconds longest_slice() const { return longest_slice_; }
 
  private:
   static constexpr int kDestinationsPerSlice = 128;
@@ -42,7 +43,7 @@
   const OnSlice on_slice_;
   const std::function<void()> on_done_;
   std::optional<DestinationId> from_;
-  Seconds longest_ = 0;
+  Seconds longest_slice_ = 0;
   net::Timer timer_;
 };
 
--- a/src/state_transfer/state_transfer.cpp
+++ b/src/state_transfer/state_transfer.cpp
@@ -39,7 +39,9 @@
       config_(config),
       settings_(settings),
       host_(host),
-      source_([this](std::optional<DestinationId>& from, int most) { return Export(from, most); }),
+      source_([this](std::optional<DestinationId>& from, int max_destinations) {
+        return Export(from, max_destinations);
+      }),
       save_timer_(loop) {
   if (settings.state) StartFile();
   if (settings.listen) {
@@ -64,17 +66,17 @@
   const auto nonce = static_cast<std::uint32_t>(config_.settings.seed ^ config_.settings.seed >> 32);
   datagrams_ = std::make_unique<DatagramExchange>(
       bounds, nonce, [this](int peer, const std::string& bytes) { host_.SendDatagram(peer, bytes); });
-  datagrams_->RequestSome(loop_.Now(), static_cast<int>(config_.peers.size()), config_.own_peer);
+  datagrams_->SendRequests(loop_.Now(), static_cast<int>(config_.peers.size()), config_.own_peer);
 }
 
 void StateTransfer::StartClient() {
-  merger_ = std::make_unique<SnapshotMerger>(MergeOptionsOf(), config_.limits.learn_lanes);
+  merger_ = std::make_unique<SnapshotMerger>(MakeMergeOptions(), config_.limits.learn_lanes);
   SnapshotClient::Owner& owner = *this;
   client_ = std::make_unique<SnapshotClient>(loop_, settings_.from, config_.name, settings_.time,
                                              config_.limits, owner);
 }
 
-MergeOptions StateTransfer::MergeOptionsOf() const {
+MergeOptions StateTransfer::MakeMergeOptions() const {
   return {settings_.longest_wait, config_.settings.slow_start_duration};
 }
 
@@ -83,12 +85,12 @@
   return server_->address();
 }
 
-// ---- what this relay gives to others and to its file
-// -------------------------------------------------------
+// ---- Answering and saving ---------------------------------------------------------------------------------
 
-std::vector<NamedRouteState> StateTransfer::Export(std::optional<DestinationId>& from, int most) const {
+std::vector<NamedRouteState> StateTransfer::Export(std::optional<DestinationId>& from,
+                                                   int max_destinations) const {
   std::vector<NamedRouteState> routes;
-  for (const RouteState& state : host_.ExportRouteStates(from, most)) {
+  for (const RouteState& state : host_.ExportRouteStates(from, max_destinations)) {
     if (IsEmpty(state)) continue;
     NamedRouteState route;
     if (state.endpoint != 0) route.endpoint = host_.EndpointName(state.endpoint);
@@ -119,7 +121,7 @@
       });
 }
 
-// Spares the disk: a file without routes is not replaced by another.
+// Does not write if neither the existing file nor the new one has routes, to avoid needless disk writes.
 void StateTransfer::Save() {
   exported_ = MostUrgent(std::move(exported_));
   const bool has_routes = !exported_.empty();
@@ -135,7 +137,7 @@
   if (!datagrams_) return false;
   const DatagramExchange::Received received = datagrams_->Receive(loop_.Now(), peer, bytes);
   switch (received.kind) {
-    case DatagramExchange::Kind::kNotOurs:
+    case DatagramExchange::Kind::kOtherProtocol:
       return false;
     case DatagramExchange::Kind::kAnswer:
       OnAnswer(peer, received.datagram);
@@ -171,17 +173,16 @@
   loop_.Retire(std::exchange(answering_, nullptr));
 }
 
-// ---- what this relay receives
-// ------------------------------------------------------------------------------
+// ---- Receiving and applying -------------------------------------------------------------------------------
 
 void StateTransfer::LoadState() {
   const SnapshotFile::Saved saved = file_->Load();
   file_has_routes_ = !saved.routes.empty();
   if (saved.result == SnapshotResult::kNoFile) return;
-  // The time that no process ran counts as age. After a boot with a wall clock that is behind it counts as
-  // none.
+  // The downtime adds to the ages. It counts as zero if the wall clock is behind the time of saving, which
+  // can happen after a boot.
   const double age = std::max(0.0, static_cast<double>(clock_.Micros() - saved.written_at) / 1e6);
-  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  SnapshotMerger merger(MakeMergeOptions(), config_.limits.learn_lanes);
   merger.CountOutOfRange(saved.out_of_range);
   for (const NamedRouteState& route : saved.routes) merger.Add(0, route, loop_.Now() - age);
   log::Info("snapshot_received", {{"carrier", "state"},
@@ -201,35 +202,36 @@
     LogReport(report);
   }
   const auto merger = std::exchange(merger_, nullptr);
-  // done() holds before the state is applied. The client is still on the stack, so it is retired.
+  // done() must be true before the state is applied. The client is retired because its Finish is still
+  // running.
   loop_.Retire(std::exchange(client_, nullptr));
   Apply(*merger, "tcp");
 }
 
 void StateTransfer::OnAnswer(int peer, const Datagram& answer) {
-  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  SnapshotMerger merger(MakeMergeOptions(), config_.limits.learn_lanes);
   merger.CountOutOfRange(answer.out_of_range);
   for (const NamedRouteState& route : answer.routes) merger.Add(peer, route, loop_.Now());
   Apply(merger, "note");
 }
 
-// Appends the route's state under the number that its endpoint has in this process. False: the endpoint list
-// does not name the endpoint or the destination.
+// Appends the route's state with this process's id of its endpoint. Returns false if the endpoint list does
+// not contain the endpoint or the destination.
 bool StateTransfer::Resolve(const NamedRouteState& route, TransferredState& state) const {
   RouteState resolved = route.state;
   resolved.endpoint = 0;
   if (!route.endpoint.empty()) {
-    const auto endpoint = host_.ListedEndpoint(route.endpoint);
+    const auto endpoint = host_.FindListedEndpoint(route.endpoint);
     if (!endpoint) return false;
     resolved.endpoint = *endpoint;
-  } else if (!host_.ListedDestination(resolved.destination)) {
+  } else if (!host_.IsDestinationListed(resolved.destination)) {
     return false;
   }
   state.routes.push_back(resolved);
   return true;
 }
 
-// Applies what is still valid; what the endpoint list does not name yet waits for OnEndpointList.
+// Applies what is still valid. States of endpoints that are not in the list yet wait for OnEndpointList.
 void StateTransfer::Apply(SnapshotMerger& merger, const char* carrier) {
   const std::size_t route_count = merger.route_count();
   TransferredState state;
@@ -259,7 +261,7 @@
   if (!state.routes.empty()) host_.ApplyState(std::move(state));
 }
 
-// The list that a relay starts with may be old; a newer one often arrives within seconds.
+// The endpoint list at the start may be old, and a newer one often arrives within seconds.
 void StateTransfer::OnEndpointList() {
   if (pending_.empty()) return;
   const Seconds now = loop_.Now();
--- a/src/state_transfer/state_transfer.h
+++ b/src/state_transfer/state_transfer.h
@@ -1,6 +1,6 @@
-// State transfer: what a relay that starts learns about upstream routes from running relays and from its own
-// earlier process. Attaches the carriers (TCP, datagrams, the state folder) and the merger to a relay. Off
-// unless the operators' settings say otherwise.
+// State transfer: a relay that starts takes over the state of upstream routes from running relays and from
+// its own earlier process. Connects a relay with the carriers (TCP, datagrams, the state folder) and the
+// merger. Disabled unless the operator settings enable it.
 #pragma once
 
 #include <deque>
@@ -22,41 +22,45 @@
 
 namespace opalroute::state_transfer {
 
-// What state transfer needs of its relay.
+// What state transfer needs from its relay.
 class Host {
  public:
   virtual ~Host() = default;
-  // The states of up to `most` destinations from `from` on, which is then set to where the next begin.
-  virtual std::vector<RouteState> ExportRouteStates(std::optional<DestinationId>& from, int most) const = 0;
+  // Returns the states of up to `max_destinations` destinations starting at `from`. Sets `from` to the start
+  // of the next slice, or to nullopt at the end.
+  virtual std::vector<RouteState> ExportRouteStates(std::optional<DestinationId>& from,
+                                                    int max_destinations) const = 0;
+  // Returns the endpoint's id in the endpoint list.
   virtual std::string EndpointName(EndpointId endpoint) const = 0;
-  // Only what the endpoint list names: another relay's word does not make an endpoint known.
-  virtual std::optional<EndpointId> ListedEndpoint(const std::string& name) const = 0;
-  virtual bool ListedDestination(DestinationId destination) const = 0;
+  // These find only what the endpoint list contains. State from another relay never adds an endpoint or a
+  // destination.
+  virtual std::optional<EndpointId> FindListedEndpoint(const std::string& name) const = 0;
+  virtual bool IsDestinationListed(DestinationId destination) const = 0;
   virtual void ApplyState(TransferredState state) = 0;
   virtual void SendDatagram(int peer, const std::string& bytes) = 0;
 };
 
 class StateTransfer : private SnapshotClient::Owner {
  public:
-  // Applies the saved state, and begins to ask other relays. All references must outlive this object. Throws
-  // std::system_error if it can't listen where the settings say.
+  // Applies the saved state and sends requests to other relays. All references must outlive this object.
+  // Throws std::system_error if it can't listen on the address from the settings.
   StateTransfer(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
                 const Operator::Learn& settings, Host& host);
   ~StateTransfer() override;
 
-  // Whether all relays asked by TCP have answered or time is up: the relay may become ready.
+  // Whether all TCP transfers have ended or the timeout has passed, so that the relay may become ready.
   bool done() const { return client_ == nullptr; }
-  // Where this relay serves snapshots, if it does.
+  // The address on which this relay serves snapshots, if it does.
   std::optional<sockaddr_in> snapshot_address() const;
-  // False: the datagram is not state transfer's.
+  // Returns false if the datagram does not belong to state transfer.
   bool OnDatagram(int peer, std::string_view bytes);
-  // The endpoint list has changed: it may name now what could not be applied before.
+  // To be called when the endpoint list has changed: it may now contain endpoints of pending states.
   void OnEndpointList();
 
  private:
   struct Pending {
     NamedRouteState route;
-    Seconds since = 0;
+    Seconds since = 0;  // the time that the ages in `route` refer to
   };
   struct Requester {
     int peer = 0;
@@ -78,8 +82,8 @@
   void OnAnswer(int peer, const Datagram& answer);
   void Apply(SnapshotMerger& merger, const char* carrier);
   bool Resolve(const NamedRouteState& route, TransferredState& state) const;
-  std::vector<NamedRouteState> Export(std::optional<DestinationId>& from, int most) const;
-  MergeOptions MergeOptionsOf() const;
+  std::vector<NamedRouteState> Export(std::optional<DestinationId>& from, int max_destinations) const;
+  MergeOptions MakeMergeOptions() const;
 
   net::EventLoop& loop_;
   const PersistentClock& clock_;
@@ -88,21 +92,21 @@
   Host& host_;
   const RouteStateSource source_;
 
-  std::unique_ptr<SnapshotMerger> merger_;  // of what the client receives
+  std::unique_ptr<SnapshotMerger> merger_;  // for what client_ receives
   std::unique_ptr<SnapshotClient> client_;
   std::unique_ptr<SnapshotServer> server_;
 
   std::unique_ptr<SnapshotFile> file_;
-  std::vector<NamedRouteState> exported_;      // for the file
-  std::unique_ptr<SnapshotSlices> exporting_;  // while they are read
+  std::vector<NamedRouteState> exported_;      // states to save
+  std::unique_ptr<SnapshotSlices> exporting_;  // fills exported_; null: not running
   bool file_has_routes_ = false;
 
   std::unique_ptr<DatagramExchange> datagrams_;
   std::deque<Requester> requesters_;
-  std::vector<NamedRouteState> urgent_;        // for their answers
-  std::unique_ptr<SnapshotSlices> answering_;  // while they are read
+  std::vector<NamedRouteState> urgent_;        // states for the answers to requesters_
+  std::unique_ptr<SnapshotSlices> answering_;  // fills urgent_; null: not running
 
-  std::vector<Pending> pending_;  // of endpoints that the list does not name yet
+  std::vector<Pending> pending_;  // states whose endpoint or destination is not in the list yet
   Seconds pending_until_ = 0;
   net::Timer save_timer_;
 };
--- a/tests/state_transfer/codec_test.cpp
+++ b/tests/state_transfer/codec_test.cpp
@@ -1,4 +1,4 @@
-// The format of state transfer: encoding, ranges, and damage.
+// The format of state transfer: encoding, ranges, and corrupt input.
 #include "state_transfer/codec.h"
 
 #include <doctest/doctest.h>
@@ -16,68 +16,69 @@
 namespace opalroute::state_transfer {
 namespace {
 
-TEST_CASE("state transfer: what is encoded is decoded, to the microsecond") {
+TEST_CASE("state transfer: decoded values equal the encoded ones to the microsecond") {
   SnapshotChunk chunk;
   chunk.since_header = 0.125;
   chunk.routes = SomeRoutes(20);
   const std::string bytes = EncodeFrame(chunk);
-  const auto read = DecodeFrame(net::ReadFrame(bytes, kMaxFrameBytes).record);
-  const SnapshotChunk& back = std::get<SnapshotChunk>(*read);
-  CHECK(back.since_header == 0.125);
-  REQUIRE(back.routes.size() == 20);
-  CHECK(back.routes[6].endpoint == "s-6");
-  CHECK(*back.routes[6].state.failure_age == 6);
-  CHECK(back.routes[6].state.retry_after == 1);
-  CHECK(back.routes[6].state.latency == 0.25);
-  CHECK(back.out_of_range == 0);
+  const auto message = DecodeFrame(net::ReadFrame(bytes, kMaxFrameBytes).record);
+  const SnapshotChunk& decoded = std::get<SnapshotChunk>(*message);
+  CHECK(decoded.since_header == 0.125);
+  REQUIRE(decoded.routes.size() == 20);
+  CHECK(decoded.routes[6].endpoint == "s-6");
+  CHECK(*decoded.routes[6].state.failure_age == 6);
+  CHECK(decoded.routes[6].state.retry_after == 1);
+  CHECK(decoded.routes[6].state.latency == 0.25);
+  CHECK(decoded.out_of_range == 0);
 }
 
-TEST_CASE("state transfer: values out of range are left out, and nothing else") {
-  const auto through = [](NamedRouteState route) {
+TEST_CASE("state transfer: only values that are out of range are dropped") {
+  const auto round_trip = [](NamedRouteState route) {
     SnapshotChunk chunk;
     chunk.routes = {std::move(route)};
     return std::get<SnapshotChunk>(*DecodeFrame(net::ReadFrame(EncodeFrame(chunk), kMaxFrameBytes).record));
   };
-  // Written by hand, as this program's encoder clamps. Field 4 (failure_age_us) as a zigzag varint of -1.
-  const auto raw = [](const std::string& route) {
+  // Decodes a route in protobuf encoding, since the encoder would clamp its values. The first route has the
+  // zigzag varint of -1 in field 4 (failure_age_us).
+  const auto decode_raw = [](const std::string& route) {
     const std::string chunk = std::string("\x12") + static_cast<char>(route.size()) + route;
     const std::string frame = std::string("\x1a") + static_cast<char>(chunk.size()) + chunk;
     return std::get<SnapshotChunk>(*DecodeFrame(frame));
   };
-  const SnapshotChunk negative = raw("\x08\x02\x20\x01\x18\x02");
+  const SnapshotChunk negative = decode_raw("\x08\x02\x20\x01\x18\x02");
   REQUIRE(negative.routes.size() == 1);
   CHECK(!negative.routes[0].state.failure_age);
   CHECK(negative.routes[0].state.retry_after == doctest::Approx(1e-6));
   CHECK(negative.out_of_range == 1);
-  const SnapshotChunk year =
-      raw("\x08\x02\x18\x80\x80\xc0\xa3\xd2\x94\xdc\x39");  // a Retry-After of about a year
-  CHECK(year.routes[0].state.retry_after == 0);
-  CHECK(year.out_of_range == 1);
+  // A Retry-After of about a year.
+  const SnapshotChunk too_long = decode_raw("\x08\x02\x18\x80\x80\xc0\xa3\xd2\x94\xdc\x39");
+  CHECK(too_long.routes[0].state.retry_after == 0);
+  CHECK(too_long.out_of_range == 1);
   NamedRouteState limited;
   limited.state.rejection_age = 1;
-  for (const double wrong : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 0.0, 1e9}) {
-    limited.state.send_rate = wrong;
-    const SnapshotChunk read = through(limited);
-    CHECK(!read.routes[0].state.rejection_age);
-    CHECK(read.out_of_range == 1);
+  for (const double send_rate : {std::nan(""), std::numeric_limits<double>::infinity(), -1.0, 0.0, 1e9}) {
+    limited.state.send_rate = send_rate;
+    const SnapshotChunk decoded = round_trip(limited);
+    CHECK(!decoded.routes[0].state.rejection_age);
+    CHECK(decoded.out_of_range == 1);
   }
-  NamedRouteState name = Failing(1, 1);
-  name.endpoint = std::string(300, 'x');
-  CHECK(through(name).routes.empty());
+  NamedRouteState long_id = Failing(1, 1);
+  long_id.endpoint = std::string(300, 'x');
+  CHECK(round_trip(long_id).routes.empty());
 }
 
-// Truncated and with bits flipped at every place: nothing crashes, and every decoded value is in its range.
-TEST_CASE("state transfer: damaged snapshots") {
-  std::string whole = EncodeFrame(SnapshotHeader{kVersion, "n1", 5, 0});
-  const std::size_t first = whole.size();
+// Truncates a snapshot at every position and flips random bits.
+TEST_CASE("state transfer: damaged input crashes nothing and yields only values in their ranges") {
+  std::string snapshot = EncodeFrame(SnapshotHeader{kVersion, "n1", 5, 0});
+  const std::size_t chunks_begin = snapshot.size();
   for (int i = 0; i < 6; ++i) {
     SnapshotChunk chunk;
     chunk.routes = SomeRoutes(12);
-    whole += EncodeFrame(chunk);
+    snapshot += EncodeFrame(chunk);
   }
-  const std::size_t last = whole.size();
-  whole += EncodeFrame(SnapshotEnd{72});
-  const auto read = [](const std::string& bytes, bool& broken) {
+  const std::size_t chunks_end = snapshot.size();
+  snapshot += EncodeFrame(SnapshotEnd{72});
+  const auto count_routes = [](const std::string& bytes, bool& corrupt) {
     FrameReader reader;
     reader.Append(bytes);
     std::size_t routes = 0;
@@ -93,29 +94,30 @@
         CHECK(route.endpoint.size() <= kMaxNameBytes);
       }
     }
-    broken = reader.broken();
+    corrupt = reader.corrupt();
     return routes;
   };
-  bool broken = false;
-  CHECK(read(whole, broken) == 72);
-  std::size_t most = 0;
-  for (std::size_t cut = 0; cut < whole.size(); ++cut) {
-    const std::size_t routes = read(whole.substr(0, cut), broken);
-    CHECK(routes % 12 == 0);  // what arrived complete before the break is used
-    CHECK(routes >= most);
-    most = routes;
+  bool corrupt = false;
+  CHECK(count_routes(snapshot, corrupt) == 72);
+  std::size_t previous = 0;
+  for (std::size_t size = 0; size < snapshot.size(); ++size) {
+    const std::size_t routes = count_routes(snapshot.substr(0, size), corrupt);
+    CHECK(routes % 12 == 0);  // chunks that are complete are used
+    CHECK(routes >= previous);
+    previous = routes;
   }
-  std::mt19937 draw(3);
+  std::mt19937 random(3);
   for (int i = 0; i < 3000; ++i) {
-    std::string damaged = whole;
-    const std::size_t at = first + draw() % (last - first);
-    damaged[at] = static_cast<char>(damaged[at] ^ (1 << draw() % 8));
-    CHECK(read(damaged, broken) < 72);  // detected by the checksum or the length
+    std::string damaged = snapshot;
+    const std::size_t position = chunks_begin + random() % (chunks_end - chunks_begin);
+    damaged[position] = static_cast<char>(damaged[position] ^ (1 << random() % 8));
+    CHECK(count_routes(damaged, corrupt) < 72);  // detected by the checksum or the length
   }
-  for (int i = 0; i < 3000; ++i) {  // intact frames around noise: protobuf itself has to reject it
-    std::string noise(draw() % 200, '\0');
-    for (char& c : noise) c = static_cast<char>(draw());
-    read(net::Frame(noise), broken);
+  // Random bytes in intact frames, which only the protobuf decoder can reject.
+  for (int i = 0; i < 3000; ++i) {
+    std::string noise(random() % 200, '\0');
+    for (char& c : noise) c = static_cast<char>(random());
+    count_routes(net::Frame(noise), corrupt);
     DecodeDatagram("OLN1" + noise);
   }
 }
--- a/tests/state_transfer/datagram_exchange_test.cpp
+++ b/tests/state_transfer/datagram_exchange_test.cpp
@@ -1,4 +1,4 @@
-// State transfer by datagrams: what is sent, in which order, and which answers count.
+// State transfer by datagrams: what is sent and in which order, and which answers are accepted.
 #include "state_transfer/datagram_exchange.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,8 @@
 namespace opalroute::state_transfer {
 namespace {
 
-TEST_CASE("state transfer: datagrams hold what fits, most urgent first") {
+TEST_CASE(
+    "state transfer: datagrams hold the most urgent states that fit, and only requested answers count") {
   std::vector<NamedRouteState> routes = {Failing(1, 3), RetryAfter(2, 1), Failing(3, 1), RetryAfter(4, 9)};
   NamedRouteState recovering;
   recovering.state.destination = 5;
@@ -30,29 +31,29 @@
   std::vector<std::pair<int, std::string>> sent;
   const auto send = [&](int peer, const std::string& bytes) { sent.emplace_back(peer, bytes); };
   DatagramExchange requester({2, 4, 2}, 77, send);
-  requester.RequestSome(10, 6, 3);
+  requester.SendRequests(10, 6, 3);
   REQUIRE(sent.size() == 2);
   for (const auto& [peer, bytes] : sent) CHECK(peer != 3);
-  const auto asked = sent;
+  const auto requests = sent;
   sent.clear();
   DatagramExchange responder({2, 4, 2}, 5, send);
-  const auto request = responder.Receive(20, 3, asked[0].second);
+  const auto request = responder.Receive(20, 3, requests[0].second);
   REQUIRE(request.kind == DatagramExchange::Kind::kRequest);
   responder.Answer(3, request.datagram.nonce, MostUrgent(SomeRoutes(500)));
   CHECK(sent.size() == 4);
   for (const auto& [peer, bytes] : sent) CHECK(bytes.size() <= 256);
-  const auto answer = requester.Receive(10.1, asked[0].first, sent[0].second);
+  const auto answer = requester.Receive(10.1, requests[0].first, sent[0].second);
   CHECK(answer.kind == DatagramExchange::Kind::kAnswer);
   CHECK(answer.datagram.routes.size() > 5);
   CHECK(requester.Receive(10.1, 3, sent[0].second).kind ==
-        DatagramExchange::Kind::kIgnored);  // was not asked
-  CHECK(requester.Receive(12.1, asked[0].first, sent[0].second).kind ==
+        DatagramExchange::Kind::kIgnored);  // no request was sent to this peer
+  CHECK(requester.Receive(12.1, requests[0].first, sent[0].second).kind ==
         DatagramExchange::Kind::kIgnored);  // too late
-  CHECK(requester.Receive(10.1, asked[0].first, "else").kind == DatagramExchange::Kind::kNotOurs);
+  CHECK(requester.Receive(10.1, requests[0].first, "else").kind == DatagramExchange::Kind::kOtherProtocol);
   sent.clear();
-  NamedRouteState longest = RetryAfter(1, 1);
-  longest.endpoint = std::string(250, 'x');
-  responder.Answer(3, 1, {longest, RetryAfter(2, 1)});
+  NamedRouteState too_long = RetryAfter(1, 1);  // for a datagram
+  too_long.endpoint = std::string(250, 'x');
+  responder.Answer(3, 1, {too_long, RetryAfter(2, 1)});
   REQUIRE(sent.size() == 1);
   CHECK(DecodeDatagram(sent[0].second)->routes[0].state.destination == 2);
 }
--- a/tests/state_transfer/route_states.h
+++ b/tests/state_transfer/route_states.h
@@ -15,10 +15,10 @@
   return route;
 }
 
-inline NamedRouteState RetryAfter(DestinationId destination, Seconds rest) {
+inline NamedRouteState RetryAfter(DestinationId destination, Seconds remaining) {
   NamedRouteState route;
   route.state.destination = destination;
-  route.state.retry_after = rest;
+  route.state.retry_after = remaining;
   return route;
 }
 
--- a/tests/state_transfer/scripted_loop.h
+++ b/tests/state_transfer/scripted_loop.h
@@ -1,4 +1,4 @@
-// An event loop on a scripted clock, with what the tests of state transfer need round it.
+// An event loop on a simulated clock, with the limits and the address that tests of state transfer use.
 #pragma once
 
 #include <functional>
@@ -15,11 +15,11 @@
   lab::Clock clock;
   net::EventLoop loop{clock};
   Limits limits;
-  sockaddr_in any = *net::ParseAddress("127.0.0.1:0");  // a free port of the loopback interface
+  sockaddr_in any_port = *net::ParseAddress("127.0.0.1:0");  // binds to a free port
 
-  // Runs until `done`, at most for so many rounds; 50 of them take a millisecond.
-  void Until(const std::function<bool()>& done, int max_rounds = 20000) {
-    for (int i = 0; i < max_rounds && !done(); ++i) {
+  // Runs until `done`, at most for `max_iterations`. The clock advances by 1 ms every 50 iterations.
+  void RunUntil(const std::function<bool()>& done, int max_iterations = 20000) {
+    for (int i = 0; i < max_iterations && !done(); ++i) {
       loop.RunOnce(0);
       if (i % 50 == 49) clock.Advance(0.001);
     }
--- a/tests/state_transfer/snapshot_merger_test.cpp
+++ b/tests/state_transfer/snapshot_merger_test.cpp
@@ -1,4 +1,4 @@
-// The merge of route states: every row of the table in snapshot_merger.h.
+// The merge of route states, for every row of the table in snapshot_merger.h.
 #include "state_transfer/snapshot_merger.h"
 
 #include <doctest/doctest.h>
@@ -30,8 +30,8 @@
 }
 
 TEST_CASE(
-    "state transfer: a Retry-After of hours holds for the longest that is allowed, from when it was "
-    "received") {
+    "state transfer: a Retry-After that is too long is reduced to the maximum, counted from its "
+    "observation") {
   MergeTally tally;
   CHECK(Merged({RetryAfter(1, 3000)}, 0, &tally)->retry_after == doctest::Approx(30));
   CHECK(tally.retry_afters_shortened == 1);
@@ -39,14 +39,14 @@
   CHECK(!Merged({RetryAfter(1, 3000)}, 30));
 }
 
-TEST_CASE("state transfer: an observation of health is valid by its age") {
+TEST_CASE("state transfer: each kind of observation is valid up to a maximum age") {
   CHECK(HealthWeight(0) == 1);
   CHECK(HealthWeight(8.1) == doctest::Approx(0.5));
   CHECK(HealthWeight(60) < 0.01);
   CHECK(*Merged({Failing(1, 2)})->failure_age == 2);
   CHECK(*Merged({Failing(1, 2)}, 5)->failure_age == 7);
-  const auto old =
-      Merged({Failing(1, 26)});  // the outage may have ended just now: still suspected, and no slow start
+  // The outage may have ended only now, so it is still suspected, and no slow start has begun.
+  const auto old = Merged({Failing(1, 26)});
   CHECK(*old->failure_age == 26);
   CHECK(!old->recovery_age);
   MergeTally tally;
@@ -70,7 +70,9 @@
   CHECK(!Merged({without_hedging}, 0.2));
 }
 
-TEST_CASE("state transfer: of two sources that contradict, a later success makes an outage a slow start") {
+TEST_CASE(
+    "state transfer: a success that another source saw after the failure turns the outage into a slow "
+    "start") {
   NamedRouteState served;
   served.state.destination = 1;
   served.state.success_age = 1;
@@ -83,17 +85,17 @@
   CHECK(*Merged({Failing(1, 3), served})->failure_age == 3);
 }
 
-TEST_CASE("state transfer: nothing from a source that is an hour behind is valid") {
-  NamedRouteState hour = Failing(1, 3599);
-  hour.state.recovery_age = hour.state.rejection_age = hour.state.latency_age =
-      hour.state.hedging_disabled_age = hour.state.success_age = 3599;
-  hour.state.send_rate = hour.state.latency = 1;
+TEST_CASE("state transfer: states that are almost an hour old are all stale") {
+  NamedRouteState old = Failing(1, 3599);
+  old.state.recovery_age = old.state.rejection_age = old.state.latency_age = old.state.hedging_disabled_age =
+      old.state.success_age = 3599;
+  old.state.send_rate = old.state.latency = 1;
   MergeTally tally;
-  CHECK(!Merged({hour}, 0, &tally));
+  CHECK(!Merged({old}, 0, &tally));
   CHECK(tally.stale >= 4);
 }
 
-TEST_CASE("state transfer: no more routes are kept than allowed") {
+TEST_CASE("state transfer: the merger keeps no more routes than allowed and counts the others") {
   SnapshotMerger merger({}, 3);
   for (int i = 0; i < 10; ++i) merger.Add(0, RetryAfter(i, 1), 0);
   CHECK(merger.Merge(0).size() == 3);
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -1,4 +1,4 @@
-// State transfer between whole relays, in one process and in several.
+// State transfer between complete relays, in one process and between processes.
 #include <doctest/doctest.h>
 #include <spdlog/spdlog.h>
 #include <unistd.h>
@@ -40,10 +40,11 @@
   return config;
 }
 
-TEST_CASE("state transfer: all relays of a fleet that start at once, each from the others") {
+TEST_CASE(
+    "state transfer: relays that start at the same time and fetch from each other all become ready in time") {
   spdlog::set_level(spdlog::level::off);
   const fs::path folder = fs::temp_directory_path() / ("opalroute-tier-" + std::to_string(getpid()));
-  ScriptedLoop net;
+  ScriptedLoop scripted;
   const lab::ReservedAddress reserved[3];
   std::vector<std::unique_ptr<Config>> configs;
   std::vector<std::unique_ptr<Relay>> fleet;
@@ -53,25 +54,26 @@
         config::Parse(BaseConfig(folder / name, name), [](const char*) { return std::nullopt; })));
     Operator settings;
     settings.learn.listen = reserved[i].address();
-    for (const auto& any : reserved)  // itself too
-      settings.learn.from.push_back(any.address());
-    fleet.push_back(std::make_unique<Relay>(net.loop, *configs.back(), settings));
+    for (const auto& server : reserved)  // including the relay itself
+      settings.learn.from.push_back(server.address());
+    fleet.push_back(std::make_unique<Relay>(scripted.loop, *configs.back(), settings));
   }
-  const auto ready = [&] {
+  const auto all_done = [&] {
     return std::all_of(fleet.begin(), fleet.end(),
                        [](const auto& relay) { return relay->state_transfer()->done(); });
   };
-  CHECK(!ready());
-  const Seconds began = net.clock.Now();
-  net.Until(ready);
-  CHECK(ready());
-  CHECK(net.clock.Now() - began < 0.31);
+  CHECK(!all_done());
+  const Seconds started_at = scripted.clock.Now();
+  scripted.RunUntil(all_done);
+  CHECK(all_done());
+  CHECK(scripted.clock.Now() - started_at < 0.31);
   fleet.clear();
   fs::remove_all(folder);
 }
 
 TEST_CASE(
-    "state transfer: processes; the server runs, stands still, and the client is killed while it fetches") {
+    "state transfer: a relay process starts while its server runs, while the server is stopped, and after it "
+    "was itself killed during a fetch") {
   const fs::path folder = fs::temp_directory_path() / ("opalroute-processes-" + std::to_string(getpid()));
   const auto write = [&](const std::string& name) {
     const fs::path file = folder / (name + ".json");
@@ -113,13 +115,15 @@
   fs::remove_all(folder);
 }
 
-TEST_CASE("state transfer: a relay that starts while its partner is closed, by each carrier") {
+TEST_CASE(
+    "state transfer: a relay that starts during an outage keeps to the Retry-After of the others, with each "
+    "carrier") {
   spdlog::set_level(spdlog::level::off);
   const std::string folder =
       (fs::temp_directory_path() / ("opalroute-experiment-" + std::to_string(getpid()))).string();
   using Carrier = lab::LearningRun::Carrier;
   const auto without = lab::RunLearning({3, true, Carrier::kNone}, folder);
-  CHECK(without.newcomer_shut + without.in_wait > 0);  // else the runs below would prove nothing
+  CHECK(without.newcomer_shut + without.in_wait > 0);  // otherwise the runs below would prove nothing
   for (const Carrier carrier : {Carrier::kTcp, Carrier::kNotes, Carrier::kState}) {
     CAPTURE(static_cast<int>(carrier));
     const auto with = lab::RunLearning({3, true, carrier}, folder);
