--- a/src/hot_restart/process_lock.cpp
+++ b/src/hot_restart/process_lock.cpp
@@ -10,15 +10,15 @@
 namespace opalroute::hot_restart {
 
 NoFreeSlotError::NoFreeSlotError(const std::string& folder)
-    : std::runtime_error("other processes of this relay run on the state folder " + folder) {}
+    : std::runtime_error("state folder " + folder + " is in use by other processes of this relay") {}
 
-ProcessLock::ProcessLock(const std::string& folder, bool others_may_run) {
+ProcessLock::ProcessLock(const std::string& folder, bool allow_two_processes) {
   for (int slot = 0; slot < kProcessSlots; ++slot)
     files_[slot] = OpenOrCreate(folder + "/seat." + std::to_string(slot));
-  const int slots = others_may_run ? kProcessSlots : 1;
-  for (int slot = 0; slot < slots && own_ < 0; ++slot)
-    if (TryLock(slot)) own_ = slot;
-  if (own_ < 0) throw NoFreeSlotError(folder);
+  const int slots = allow_two_processes ? kProcessSlots : 1;
+  for (int slot = 0; slot < slots && own_slot_ < 0; ++slot)
+    if (TryLock(slot)) own_slot_ = slot;
+  if (own_slot_ < 0) throw NoFreeSlotError(folder);
 }
 
 bool ProcessLock::TryLock(int slot) {
@@ -28,15 +28,15 @@
     return true;
   }
   if (errno == EWOULDBLOCK) return false;
-  // Where locks are refused, two processes can't be told apart and none is expected: the first slot is the
-  // only one.
+  // If locking is not supported, other processes can't be detected. Assumes that there are none and uses the
+  // first slot.
   log::Warn("feature_off",
             {{"feature", "locks of the state folder"}, {"why", std::generic_category().message(errno)}});
   return slot == 0;
 }
 
-void ProcessLock::TryRunWithOtherSlot(const std::function<void()>& action) {
-  const std::optional<FileLock> lock = FileLock::TryAcquire(files_[other()].get());
+void ProcessLock::TryRunWithOtherSlotLocked(const std::function<void()>& action) {
+  const std::optional<FileLock> lock = FileLock::TryAcquire(files_[other_slot()].get());
   if (lock) action();
 }
 
--- a/src/hot_restart/process_lock.h
+++ b/src/hot_restart/process_lock.h
@@ -1,6 +1,6 @@
-// The slots of a relay's processes. Two processes of one relay may run at once, while one takes over from the
-// other. Each holds the lock on a slot of its own, which the end of the process releases, however it ends. A
-// file of the state folder whose name ends in a slot's number belongs to the process that holds that slot.
+// The process slots of a relay. During a hot restart two processes of one relay run at once. Each holds the
+// lock of its own slot, which the system releases when the process ends for any reason. A file of the state
+// folder whose name ends in a slot number, such as `waits.1`, belongs to the process that holds that slot.
 //
 // The lock files are `seat.0` and `seat.1`; they stay empty.
 #pragma once
@@ -18,7 +18,7 @@
 
 constexpr int kProcessSlots = 2;
 
-// Other processes of the relay hold every slot that this one may have.
+// Thrown if other processes of the relay hold every slot that this one may use.
 class NoFreeSlotError : public std::runtime_error {
  public:
   explicit NoFreeSlotError(const std::string& folder);
@@ -26,22 +26,23 @@
 
 class ProcessLock {
  public:
-  // Locks a free slot: one of two if `others_may_run`, else the first alone. Throws std::system_error, with
-  // the path, if a lock file can't be opened for a second, NoFreeSlotError if no slot is free.
-  ProcessLock(const std::string& folder, bool others_may_run);
+  // Locks a free slot: either of the two if `allow_two_processes` (for hot restart), else only the first.
+  // Throws NoFreeSlotError if none is free, and std::system_error, with the path, if a lock file can't be
+  // opened for a second.
+  ProcessLock(const std::string& folder, bool allow_two_processes);
 
-  int own() const { return own_; }
-  int other() const { return kProcessSlots - 1 - own_; }
+  int own_slot() const { return own_slot_; }
+  int other_slot() const { return kProcessSlots - 1 - own_slot_; }
 
-  // Runs `action` while no process holds the other slot, and none can lock it; does nothing if one holds it.
-  void TryRunWithOtherSlot(const std::function<void()>& action);
+  // Locks the other slot and runs `action` under that lock. Does nothing if the slot can't be locked.
+  void TryRunWithOtherSlotLocked(const std::function<void()>& action);
 
  private:
   bool TryLock(int slot);
 
   std::array<net::FileDescriptor, kProcessSlots> files_;
-  std::optional<FileLock> own_lock_;  // none where the system refuses locks
-  int own_ = -1;
+  std::optional<FileLock> own_lock_;  // empty if the file system does not support locks
+  int own_slot_ = -1;
 };
 
 }  // namespace opalroute::hot_restart
--- a/src/journal/durable_file.cpp
+++ b/src/journal/durable_file.cpp
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr int kMaxRetries = 100;
-constexpr std::chrono::milliseconds kRetryPause(10);
+constexpr std::chrono::milliseconds kRetryInterval(10);
 constexpr std::size_t kReadChunkBytes = 65536;
-constexpr mode_t kOwnerOnly = 0600;
-constexpr mode_t kReadableByAll = 0644;
+constexpr mode_t kOwnerReadWrite = 0600;
+constexpr mode_t kOwnerWriteAllRead = 0644;
 
 }  // namespace
 
@@ -26,14 +26,14 @@
   while (!attempt()) {
     if (errno == EINTR) continue;
     if (++failures > kMaxRetries) throw std::system_error(errno, std::generic_category(), what);
-    std::this_thread::sleep_for(kRetryPause);
+    std::this_thread::sleep_for(kRetryInterval);
   }
 }
 
 net::FileDescriptor OpenOrCreate(const std::string& path) {
   int fd = -1;
   RetryTransientErrors(path, [&] {
-    fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerOnly);
+    fd = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kOwnerReadWrite);
     return fd >= 0;
   });
   return net::FileDescriptor(fd);
@@ -78,7 +78,8 @@
 
 bool ReplaceFile(const std::string& path, const std::string& bytes) {
   const std::string new_path = path + ".new";
-  net::FileDescriptor file(open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kReadableByAll));
+  net::FileDescriptor file(
+      open(new_path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, kOwnerWriteAllRead));
   if (!file.valid()) return false;
   const bool written = WriteAllAt(file.get(), bytes, 0);
   file.Close();
--- a/src/journal/durable_file.h
+++ b/src/journal/durable_file.h
@@ -1,7 +1,7 @@
-// Files of the state folder. They outlive the process, on a disk whose reads and writes may fail for a while.
+// File access for the state folder. Transient I/O errors of the disk are expected and retried or reported.
 //
-// Data that a write call has accepted survives the end of the process without a sync; it is lost only with
-// the machine or its power.
+// Nothing is synced to the disk: written data survives a crash of the process, but may be lost when the
+// machine crashes or loses power.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,30 @@
 
 namespace opalroute {
 
-constexpr std::size_t kDiskBlockBytes = 512;  // the limit of the state folder counts files in whole blocks
+constexpr std::size_t kDiskBlockBytes = 512;  // the state folder's disk limit counts whole blocks per file
 
-// Calls `attempt` until it returns true. A failed attempt leaves its error in errno and is repeated every 10
-// ms for about a second; then std::system_error is thrown with the last errno and with `what`. An interrupted
-// attempt (EINTR) is repeated at once and does not count.
+// Calls `attempt` until it returns true. `attempt` must set errno when it returns false; it is retried every
+// 10 ms for about a second, after which std::system_error is thrown with the last errno and `what`. An
+// interrupted attempt (EINTR) is retried at once and does not count.
 void RetryTransientErrors(const std::string& what, const std::function<bool()>& attempt);
 
-// Opens a file for reading and writing; creates it, readable by its owner alone, if it does not exist. Throws
-// std::system_error, with the path, if that fails for a second.
+// Opens a file for reading and writing. A file that does not exist is created with access for its owner only.
+// Throws std::system_error, with the path, after a second of failed attempts.
 net::FileDescriptor OpenOrCreate(const std::string& path);
 
-// All bytes of an open file. Throws std::system_error, with `path`, if a read fails for a second: a failed
-// read is never taken for the end of the file.
+// Returns the content of an open file. Throws std::system_error, with `path`, if a read keeps failing for a
+// second: a failed read is never treated as the end of the file.
 std::string ReadWholeFile(int fd, const std::string& path);
 
-// All bytes of the file with this path, nothing if there is none. Throws as ReadWholeFile does.
+// Returns the content of the file, or nullopt if it does not exist. Throws as ReadWholeFile does.
 std::optional<std::string> ReadFileIfExists(const std::string& path);
 
-// Writes all bytes at `offset`. Returns false, with errno set, after an error: some of them may be written.
+// Writes all bytes at `offset`. Returns false, with errno set, on an error; some bytes may then be written.
 bool WriteAllAt(int fd, const std::string& bytes, std::size_t offset);
 
-// Replaces the content of a file atomically (by way of `path`.new): whenever the process ends, the path names
-// either the complete old content or the complete new one. Returns false, with errno set, if the old one is
-// still there. Two processes must not replace one file at the same time.
+// Replaces the content of a file atomically: writes `path`.new and renames it. If the process ends at any
+// point, the file has either its complete old content or its complete new one. Returns false, with errno set,
+// if the old content remains. Two processes must not replace the same file at the same time.
 bool ReplaceFile(const std::string& path, const std::string& bytes);
 
 }  // namespace opalroute
--- a/src/journal/file_lock.h
+++ b/src/journal/file_lock.h
@@ -1,16 +1,17 @@
-// Advisory locks between the processes of one relay.
+// Advisory file locks between the processes of one relay.
 #pragma once
 
 #include <optional>
 
 namespace opalroute {
 
-// An exclusive flock(2) on an open file, released at the end of its scope. The file must stay open meanwhile.
+// Holds an exclusive flock(2) on an open file until it is destroyed. The file must stay open until then.
 class FileLock {
  public:
-  // Waits until no other process holds the lock. Nothing, with errno set: it can't be had.
+  // Waits until the lock is free. Returns nullopt, with errno set, on an error.
   static std::optional<FileLock> Acquire(int fd);
-  // Does not wait. Nothing, with errno set: EWOULDBLOCK where another open file holds the lock.
+  // Does not wait. Returns nullopt, with errno set, on an error; EWOULDBLOCK means that the lock is held
+  // through another open file description, in this process or another.
   static std::optional<FileLock> TryAcquire(int fd);
 
   ~FileLock();
@@ -22,7 +23,7 @@
  private:
   explicit FileLock(int fd) : fd_(fd) {}
 
-  int fd_;  // not owned; -1 once moved from
+  int fd_;  // not owned; -1 after a move
 };
 
 }  // namespace opalroute
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -14,12 +14,14 @@
 
 using net::Frame;
 
-constexpr std::size_t kOtherFilesBytes = 4 * kDiskBlockBytes;  // left to small files beside the journal
-constexpr std::size_t kBytesPerRequestToCome = 512;  // reserved for an attempt, an end, a notification
-// Shares of the disk. Retained records must fit twice, with space for ends: a compaction holds two files.
-constexpr double kMaxShareToAccept = 0.4;    // reserved bytes beyond which no request is accepted
-constexpr double kMaxShareToAttempt = 0.43;  // reserved bytes beyond which no attempt is recorded
-constexpr double kCompactionShare = 0.55;    // size of the file beyond which it is compacted
+constexpr std::size_t kOtherFilesBytes = 4 * kDiskBlockBytes;  // for small files beside the journal
+// Reserved per request for records still to come: the next attempt, the end, a notification.
+constexpr std::size_t kFutureBytesPerRequest = 512;
+// Shares of the disk budget. A compaction holds the old and the new file at once, so the records that it
+// keeps must fit twice, with space for end records.
+constexpr double kMaxShareToAccept = 0.4;    // limit on reserved bytes for accepting a request
+constexpr double kMaxShareToAttempt = 0.43;  // limit on reserved bytes for recording an attempt
+constexpr double kCompactionShare = 0.55;    // file size above which it is compacted
 
 std::size_t AttemptBytes(const std::string& id, const JournalAttempt& attempt) {
   return journal_record::FrameBytesOfAttempt(id, attempt) + journal_record::FrameBytesOfNotExecuted(id);
@@ -35,10 +37,10 @@
 
 // ---- budget --------------------------------------------------------------------------------------------
 
-// What the entry's records take when a compaction writes them, and what may follow. Computed without
-// encoding, since every request asks.
+// The size of the entry's records in a compacted file, plus the reserve for those still to come. Computed
+// without encoding the records, since it runs for every request.
 std::size_t Journal::BytesToReserve(const JournalEntry& entry) {
-  std::size_t bytes = kBytesPerRequestToCome + journal_record::FrameBytesOfAccepted(entry);
+  std::size_t bytes = kFutureBytesPerRequest + journal_record::FrameBytesOfAccepted(entry);
   for (const JournalAttempt& attempt : entry.attempts) bytes += AttemptBytes(entry.id, attempt);
   return bytes;
 }
@@ -86,7 +88,7 @@
   return true;
 }
 
-// Records of a request that is unknown here are skipped: its end stands before them.
+// Records of an unknown request are skipped, since it has already ended.
 bool Journal::Apply(journal_record::Attempt&& record) {
   JournalEntry* entry = Find(record.id);
   if (entry != nullptr) AddAttempt(*entry, std::move(record.attempt));
@@ -116,9 +118,9 @@
 
 bool Journal::RecordAccepted(const JournalEntry& entry) {
   if (numbers_.count(entry.id) > 0 || !HasSpace(BytesToReserve(entry), kMaxShareToAccept)) return false;
-  if (!Write(journal_record::EncodeAccepted(entry))) return false;
+  if (!WriteRecord(journal_record::EncodeAccepted(entry))) return false;
   JournalEntry accepted = entry;
-  accepted.attempts.clear();  // these have records of their own
+  accepted.attempts.clear();  // attempts and notifications have their own records
   accepted.notification.clear();
   Insert(std::move(accepted));
   return true;
@@ -126,8 +128,8 @@
 
 bool Journal::RecordAttempt(const std::string& id, const JournalAttempt& attempt) {
   JournalEntry* entry = Find(id);
-  if (entry == nullptr || !HasSpace(kBytesPerRequestToCome, kMaxShareToAttempt)) return false;
-  if (!Write(journal_record::EncodeAttempt(id, attempt))) return false;
+  if (entry == nullptr || !HasSpace(kFutureBytesPerRequest, kMaxShareToAttempt)) return false;
+  if (!WriteRecord(journal_record::EncodeAttempt(id, attempt))) return false;
   JournalAttempt recorded = attempt;
   recorded.may_have_run = true;
   AddAttempt(*entry, std::move(recorded));
@@ -136,7 +138,7 @@
 
 bool Journal::RecordNotExecuted(const std::string& id, std::size_t attempt) {
   JournalEntry* entry = Find(id);
-  if (entry == nullptr || !Write(journal_record::EncodeNotExecuted(id, attempt))) return false;
+  if (entry == nullptr || !WriteRecord(journal_record::EncodeNotExecuted(id, attempt))) return false;
   if (attempt < entry->attempts.size()) entry->attempts[attempt].may_have_run = false;
   return true;
 }
@@ -158,17 +160,18 @@
 }
 
 bool Journal::WriteEnd(std::string&& record) {
-  if (Write(record)) return true;
+  if (WriteRecord(record)) return true;
   pending_ends_.push_back(std::move(record));
   return false;
 }
 
-bool Journal::Write(const std::string& record) {
+bool Journal::WriteRecord(const std::string& record) {
   return record.size() <= journal_record::kMaxBytes && WritePendingEnds() && WriteFrames(Frame(record));
 }
 
-// Invariant: ends are written in their order and before any other record. An id whose end is not written
-// could be accepted anew, and the late end would then end the new request.
+// Invariant: pending ends are written in order and before any other record. Otherwise a request id could be
+// accepted again before the end of its previous use is written, and that late record would end the new
+// request on recovery.
 bool Journal::WritePendingEnds() {
   while (!pending_ends_.empty()) {
     const std::string record = pending_ends_.front();
@@ -189,13 +192,13 @@
   std::string frames;
   for (const auto& [number, entry] : entries_) frames += journal_record::EncodeFramesOf(entry);
   if (!file_.Replace(frames)) return;
-  pending_ends_
-      .clear();  // the new file has no ended entry, and the notification of each that awaits delivery
+  // The new file omits ended entries and contains the undelivered notifications.
+  pending_ends_.clear();
 }
 
 std::vector<std::uint64_t> Journal::AdoptEntriesOf(Journal& other) {
   std::vector<std::uint64_t> adopted;
-  const auto entries = other.entries_;  // a copy: each end changes the table
+  const auto entries = other.entries_;  // a copy, since RecordEnd erases entries
   for (const auto& [number, entry] : entries) {
     if (numbers_.count(entry.id) == 0) {
       if (!WriteFrames(journal_record::EncodeFramesOf(entry))) continue;
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,9 +1,9 @@
-// Write-ahead journal of the accepted requests, in a folder that outlives the process.
+// WriteRecord-ahead journal of the accepted requests, in a folder that outlives the process.
 //
-// The file is append-only, and each record is written before what it stands for happens: `accepted` before
-// the 202, `attempt` before the first byte of the call. Once the file has grown, the records that still
-// matter are written to a new file that replaces it; both count for the disk meanwhile, so the budget leaves
-// room for both. The records and their format: journal_record.h.
+// The file is append-only, and a record is written before the action that it announces: `accepted` before the
+// 202 response, `attempt` before the first byte of the call. When the file has grown too large it is
+// compacted: the records of unfinished requests are written to a new file that replaces the old one. Both
+// files exist meanwhile, so the disk budget leaves space for both. journal_record.h describes the records.
 #pragma once
 
 #include <cstddef>
@@ -21,31 +21,32 @@
 
 class Journal {
  public:
-  // Reads what an earlier process left. Records after a torn or damaged one are dropped and cut off. Throws
-  // std::system_error, with the path, if the file can't be opened or read for a second: requests are not
-  // given up for an error that may pass, and the file stays as it is. `file` is its name in the folder;
-  // `disk_bytes` bounds it and its compaction together.
+  // Recovers the entries that an earlier process left. The file is truncated at the first torn or damaged
+  // record. Throws std::system_error, with the path, if the file can't be opened or read for a second: it is
+  // left unchanged then, since a transient error must not lose requests. `file` is the file's name in the
+  // folder; `disk_bytes` bounds the file and the one of a compaction together.
   Journal(const std::string& folder, std::size_t disk_bytes, const std::string& file = "journal");
 
-  // The unfinished requests by their number, in the order accepted.
+  // The unfinished requests by entry number, in the order in which they were added to this journal.
   const std::map<std::uint64_t, JournalEntry>& entries() const { return entries_; }
-  std::size_t lost_bytes() const { return lost_bytes_; }  // dropped when the file was read
+  std::size_t lost_bytes() const { return lost_bytes_; }  // truncated when the file was read
 
-  // Each returns whether its record is written. RecordAccepted and RecordAttempt are also refused where the
-  // disk is too full; RecordAccepted also for an id that is in use. An end always finds space: one that can't
-  // be written now takes effect at once all the same, and is written before the next record.
+  // Each returns whether its record was written. RecordAccepted and RecordAttempt also fail if the disk
+  // budget is used up, RecordAccepted also if the id is in use. Space for the end of each request is
+  // reserved. An end whose write fails still takes effect in memory at once, and is written before the next
+  // record.
   bool RecordAccepted(const JournalEntry& entry);
   bool RecordAttempt(const std::string& id, const JournalAttempt& attempt);
   bool RecordNotExecuted(const std::string& id,
-                         std::size_t attempt);  // its index among the recorded attempts
+                         std::size_t attempt);  // index among the request's recorded attempts
   bool RecordEnd(const std::string& id);
-  // The request has ended; its entry stays until RecordEnd says that the notification has been delivered.
+  // The request has ended, but its entry stays until RecordEnd is called after the notification's delivery.
   bool RecordEndWithNotification(const std::string& id, const std::string& notification);
 
-  // Moves the entries of another journal, whose process has ended, to this one. Each is written here
-  // completely before it ends there, so that at least one of the two has it at every moment. Returns the
-  // numbers of the new entries. An entry that finds no space here stays there; without such the other file is
-  // emptied.
+  // Moves the entries of a journal whose process has ended to this one. An entry is written here completely
+  // before its end is recorded there, so that at any time at least one of the two files has it. Returns the
+  // numbers of the new entries. An entry that can't be written here stays in the other journal; the other
+  // file is emptied once no entry remains.
   std::vector<std::uint64_t> AdoptEntriesOf(Journal& other);
 
  private:
@@ -57,7 +58,7 @@
   void AddAttempt(JournalEntry& entry, JournalAttempt&& attempt);
   void Erase(const JournalEntry& entry);
 
-  // A record that was read; false: it contradicts the records before it.
+  // Apply a record of the file. Return false if it contradicts an earlier record.
   bool Apply(journal_record::Accepted&& record);
   bool Apply(journal_record::Attempt&& record);
   bool Apply(journal_record::NotExecuted&& record);
@@ -65,7 +66,7 @@
   bool Apply(journal_record::EndWithNotification&& record);
   bool ApplyBytes(std::string_view bytes);
 
-  bool Write(const std::string& record);
+  bool WriteRecord(const std::string& record);
   bool WriteEnd(std::string&& record);
   bool WritePendingEnds();
   bool WriteFrames(const std::string& frames);
@@ -74,8 +75,8 @@
   const std::size_t disk_bytes_;
   JournalFile file_;
   std::size_t lost_bytes_ = 0;
-  std::size_t reserved_bytes_ = 0;         // that the records of all entries take, now and until their ends
-  std::vector<std::string> pending_ends_;  // records of ends that could not be written
+  std::size_t reserved_bytes_ = 0;         // for the records of all entries, written and still to come
+  std::vector<std::string> pending_ends_;  // end records whose write failed, in their order
   std::uint64_t last_number_ = 0;
   std::map<std::uint64_t, JournalEntry> entries_;
   std::unordered_map<std::string, std::uint64_t> numbers_;  // by request id
--- a/src/journal/journal_record.cpp
+++ b/src/journal/journal_record.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-enum class Type : char {
+enum class RecordType : char {
   kAccepted = 'T',
   kAttempt = 'A',
   kNotExecuted = 'N',
@@ -32,13 +32,14 @@
 
 std::size_t HeaderBytes(const std::string& id) { return kTypeBytes + TextBytes(id); }
 
-std::string Header(Type type, const std::string& id) {
+std::string EncodeHeader(RecordType type, const std::string& id) {
   std::string record(kTypeBytes, static_cast<char>(type));
   AppendText(record, id);
   return record;
 }
 
-// Reads fields one after another. After the first that is cut off, all are empty and failed() holds.
+// Reads fields one after another. After a truncated field, that field and all later ones are empty or 0, and
+// failed() returns true.
 class FieldReader {
  public:
   explicit FieldReader(std::string_view record) : rest_(record) {}
@@ -100,17 +101,17 @@
   return {std::move(id), std::move(attempt)};
 }
 
-std::optional<Record> ReadFields(FieldReader& reader, Type type, std::string id) {
+std::optional<Record> ReadFields(FieldReader& reader, RecordType type, std::string id) {
   switch (type) {
-    case Type::kAccepted:
+    case RecordType::kAccepted:
       return ReadAccepted(reader, std::move(id));
-    case Type::kAttempt:
+    case RecordType::kAttempt:
       return ReadAttempt(reader, std::move(id));
-    case Type::kNotExecuted:
+    case RecordType::kNotExecuted:
       return NotExecuted{std::move(id), reader.Number()};
-    case Type::kEnd:
+    case RecordType::kEnd:
       return End{std::move(id)};
-    case Type::kEndWithNotification:
+    case RecordType::kEndWithNotification:
       return EndWithNotification{std::move(id), reader.Text()};
   }
   return std::nullopt;
@@ -120,7 +121,7 @@
 
 std::optional<Record> Decode(std::string_view bytes) {
   FieldReader reader(bytes);
-  const auto type = static_cast<Type>(reader.Byte());
+  const auto type = static_cast<RecordType>(reader.Byte());
   std::string id = reader.Text();
   std::optional<Record> record = ReadFields(reader, type, std::move(id));
   if (reader.failed()) return std::nullopt;
@@ -128,7 +129,7 @@
 }
 
 std::string EncodeAccepted(const JournalEntry& entry) {
-  std::string record = Header(Type::kAccepted, entry.id);
+  std::string record = EncodeHeader(RecordType::kAccepted, entry.id);
   AppendText(record, entry.request_class);
   AppendText(record, entry.tenant);
   AppendText(record, entry.key);
@@ -139,7 +140,7 @@
 }
 
 std::string EncodeAttempt(const std::string& id, const JournalAttempt& attempt) {
-  std::string record = Header(Type::kAttempt, id);
+  std::string record = EncodeHeader(RecordType::kAttempt, id);
   AppendText(record, attempt.endpoint);
   AppendText(record, attempt.zone);
   AppendNumber(record, static_cast<std::uint64_t>(attempt.sent_at));
@@ -147,15 +148,15 @@
 }
 
 std::string EncodeNotExecuted(const std::string& id, std::size_t attempt) {
-  std::string record = Header(Type::kNotExecuted, id);
+  std::string record = EncodeHeader(RecordType::kNotExecuted, id);
   AppendNumber(record, attempt);
   return record;
 }
 
-std::string EncodeEnd(const std::string& id) { return Header(Type::kEnd, id); }
+std::string EncodeEnd(const std::string& id) { return EncodeHeader(RecordType::kEnd, id); }
 
 std::string EncodeEndWithNotification(const std::string& id, const std::string& notification) {
-  std::string record = Header(Type::kEndWithNotification, id);
+  std::string record = EncodeHeader(RecordType::kEndWithNotification, id);
   AppendText(record, notification);
   return record;
 }
--- a/src/journal/journal_record.h
+++ b/src/journal/journal_record.h
@@ -1,8 +1,8 @@
 // The records of the journal, and their format on disk.
 //
-// A journal file is a sequence of frames (net/framing.h: length, checksum, record). A record begins with one
-// byte for its type and the request's id; its fields follow without padding. A number has 8 bytes,
-// little-endian; a text is its length as a number and then its bytes.
+// A journal file is a sequence of frames (net/framing.h: length, checksum, record). A record starts with its
+// type, one byte, and the request id, a text; its other fields follow without padding. A number has 8 bytes,
+// little-endian. A text is its length, as a number, followed by its bytes.
 //
 //   type  name                   fields after the id
 //   'T'   accepted               request class, tenant, key, body (texts), destination, deadline (numbers)
@@ -11,7 +11,7 @@
 //   'E'   end                    none
 //   'W'   end with notification  notification (text)
 //
-// Times are PersistentClock::Micros. A later version must go on reading these records.
+// Times are PersistentClock::Micros. Later versions must be able to read these records.
 #pragma once
 
 #include <cstddef>
@@ -24,15 +24,15 @@
 
 namespace opalroute {
 
-// An attempt of a request, written before the first byte of its call.
+// An attempt of a request. Its record is written before the first byte of its call.
 struct JournalAttempt {
   std::string endpoint;
   std::string zone;
   std::int64_t sent_at = 0;  // PersistentClock::Micros
-  bool may_have_run = true;  // until its outcome says otherwise
+  bool may_have_run = true;  // false once the outcome rules it out
 };
 
-// An accepted request that is not finished: it runs still, or its notification has not been delivered.
+// An unfinished request: one that has not ended, or whose notification has not been delivered.
 struct JournalEntry {
   std::string id;
   std::string request_class;
@@ -42,7 +42,7 @@
   std::int64_t destination = 0;
   std::int64_t deadline = 0;  // PersistentClock::Micros
   std::vector<JournalAttempt> attempts;
-  std::string notification;  // not empty: the request has ended, and the platform is still to be notified
+  std::string notification;  // not empty if the request has ended and the platform must still be notified
 };
 
 namespace journal_record {
@@ -60,7 +60,7 @@
 
 struct NotExecuted {
   std::string id;
-  std::uint64_t attempt = 0;  // its index among the attempts of the request
+  std::uint64_t attempt = 0;  // index among the attempts of the request
 };
 
 struct End {
@@ -74,21 +74,21 @@
 
 using Record = std::variant<Accepted, Attempt, NotExecuted, End, EndWithNotification>;
 
-// Decodes one record; nothing if its type is unknown or a field is cut off.
+// Decodes one record. Returns nullopt if its type is unknown or a field is truncated.
 std::optional<Record> Decode(std::string_view bytes);
 
-// One record without its frame.
+// Encode one record, without its frame.
 std::string EncodeAccepted(const JournalEntry& entry);
 std::string EncodeAttempt(const std::string& id, const JournalAttempt& attempt);
 std::string EncodeNotExecuted(const std::string& id, std::size_t attempt);
 std::string EncodeEnd(const std::string& id);
 std::string EncodeEndWithNotification(const std::string& id, const std::string& notification);
 
-// The frames that stand for an entry as it is now: what compaction keeps of it. Of an entry with a
-// notification only its id and the notification remain.
+// Returns the frames that a compaction keeps for an entry: those of its current state. For an entry with a
+// notification they hold only its id and the notification.
 std::string EncodeFramesOf(const JournalEntry& entry);
 
-// Bytes that the record takes in the file, frame included. Computed without encoding it.
+// Size of the record in the file, including its frame, computed without encoding it.
 std::size_t FrameBytesOfAccepted(const JournalEntry& entry);
 std::size_t FrameBytesOfAttempt(const std::string& id, const JournalAttempt& attempt);
 std::size_t FrameBytesOfNotExecuted(const std::string& id);
--- a/src/journal/persistent_clock.cpp
+++ b/src/journal/persistent_clock.cpp
@@ -37,8 +37,8 @@
   if (!resumed_) offset_ = clock_.WallMicros() - MonotonicMicros();
 }
 
-// A monotonic clock that shows less than when the offset was stored is another one, whatever the boot's id
-// says.
+// If the monotonic time is less than when the offset was stored, this is a different monotonic clock, even if
+// the boot ids match.
 bool PersistentClock::Resume(std::string_view record) {
   const nlohmann::json saved = nlohmann::json::parse(record, nullptr, false);
   try {
--- a/src/journal/persistent_clock.h
+++ b/src/journal/persistent_clock.h
@@ -1,17 +1,17 @@
 // A clock for times that outlive the process: deadlines and attempts in the journal, Retry-After times, route
 // states.
 //
-// The wall clock may be stepped, forward or back, while a process runs or between two of them. This clock
-// takes the wall clock's time once, when the first process of a state folder starts after the machine has
-// booted, and counts on from there with the monotonic clock, which no step moves. The offset between the two
-// stands in the state folder, with the id of the boot, so that every later process of this boot counts alike.
-// After the next boot the monotonic clock begins anew, and only the wall clock can say how long the machine
-// was down.
+// The wall clock may be stepped forward or back while a process runs, or between two processes. This clock
+// reads the wall clock once, when the first process that uses the state folder starts after the machine's
+// boot, and from then on advances with the monotonic clock, which steps do not affect. The offset between the
+// two is stored in the state folder with the boot id, so that all later processes of the same boot agree.
+// After a reboot the monotonic clock restarts, and only the wall clock can tell how long the machine was
+// down.
 //
 // The file `clock` holds one frame (net/framing.h) with a JSON object:
-//   {"boot": id of the boot, "monotonic": when it was written, "offset": from monotonic to this clock,
+//   {"boot": boot id, "monotonic": monotonic time of the write, "offset": from monotonic time to this clock,
 //   "version": 1}
-// with times in microseconds. A later version must go on reading it.
+// with times in microseconds. Later versions must be able to read it.
 #pragma once
 
 #include <cstddef>
@@ -23,29 +23,29 @@
 
 namespace opalroute {
 
-// The kernel's id of the current boot (random(4)); empty if it can't be read. Processes without an id are
-// never taken to run under the same boot.
+// The kernel's id of the current boot (random(4)), or an empty string if it can't be read. A process without
+// a boot id never resumes a stored offset.
 std::string SystemBootId();
 
 class PersistentClock {
  public:
-  static constexpr std::size_t kMostBytes = 1024;  // on disk: the file and the one that replaces it
+  static constexpr std::size_t kMaxDiskBytes = 1024;  // the file and its replacement
 
-  // Reads the offset that an earlier process has stored; writes nothing. Throws std::system_error, with the
-  // path, if the file exists and can't be read for a second.
+  // Reads the offset stored by an earlier process of the same boot, or takes a new one. Writes nothing.
+  // Throws std::system_error, with the path, if the file exists but can't be opened or read for a second.
   PersistentClock(const net::Clock& clock, const std::string& folder, std::string boot_id = SystemBootId());
 
-  // Microseconds since the Unix epoch by the wall clock as it stood when the offset was taken. Never goes
-  // back within a boot.
+  // Microseconds since the Unix epoch, according to the wall clock when the offset was taken. Monotonic
+  // within a boot.
   std::int64_t Micros() const;
 
-  // Whether the offset is an earlier process's.
+  // Whether the offset comes from an earlier process.
   bool resumed() const { return resumed_; }
-  // By how much the wall clock has been stepped since the offset was taken, in microseconds.
+  // How far the wall clock has been stepped since the offset was taken, in microseconds.
   std::int64_t WallStep() const { return clock_.WallMicros() - Micros(); }
 
-  // Stores the offset for later processes, unless it is stored. Returns false, with errno set, if the folder
-  // can't be written now.
+  // Stores the offset for later processes unless it is already stored. Returns false, with errno set, if the
+  // write fails; the caller may retry.
   bool Persist();
 
  private:
@@ -56,7 +56,7 @@
   const net::Clock& clock_;
   const std::string folder_;
   const std::string boot_id_;
-  std::int64_t offset_ = 0;  // microseconds from the monotonic clock's time to this clock's
+  std::int64_t offset_ = 0;  // Micros() minus the monotonic time, in microseconds
   bool resumed_ = false;
   bool persisted_ = false;
 };
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -19,7 +19,7 @@
       settings_(settings),
       process_lock_(config.state_folder, config.inherited_fd >= 0),
       clock_(loop.clock(), config.state_folder),
-      journal_(config.state_folder, JournalBudget(config, settings), JournalName(process_lock_.own())),
+      journal_(config.state_folder, JournalBudget(config, settings), JournalName(process_lock_.own_slot())),
       endpoints_client_(loop, EndpointClientBounds(config)),
       platform_client_(loop, PlatformClientBounds(config.limits)),
       endpoints_(loop, endpoints_client_, config, counters_),
@@ -64,8 +64,8 @@
   }
   if (settings.admin_listen) StartUnlessUnsupported("operators' pages", [this] { StartAdminServer(); });
   if (IsHotRestart()) {
-    retry_after_sharing_ = std::make_unique<RetryAfterSharing>(config, clock_, endpoints_, decisions_,
-                                                               process_lock_.own(), process_lock_.other());
+    retry_after_sharing_ = std::make_unique<RetryAfterSharing>(
+        config, clock_, endpoints_, decisions_, process_lock_.own_slot(), process_lock_.other_slot());
   }
   ApplyCachedList();
   // Started before recovered requests are sent: their endpoints may still be failing, and other relays know
--- a/src/relay/request_recovery.cpp
+++ b/src/relay/request_recovery.cpp
@@ -31,7 +31,7 @@
   const std::size_t snapshot = settings.learn.state ? config.limits.learn_file_bytes : 0;
   const std::size_t membership = settings.tier.on() ? MembershipFile::kMaxDiskBytes : 0;
   const std::size_t suspended = 2 * config.limits.ban_bytes;  // the file and its replacement
-  const std::size_t other_files = snapshot + membership + PersistentClock::kMostBytes + suspended;
+  const std::size_t other_files = snapshot + membership + PersistentClock::kMaxDiskBytes + suspended;
   const std::size_t disk = config.limits.disk_bytes;
   const std::size_t rest = disk - std::min(disk / 2, other_files);
   const bool two_processes = config.inherited_fd >= 0;
@@ -67,11 +67,11 @@
 // journal is not empty.
 std::vector<std::uint64_t> RequestRecovery::AdoptOtherJournal() {
   std::vector<std::uint64_t> adopted;
-  const std::string file = JournalName(dependencies_.process_lock.other());
+  const std::string file = JournalName(dependencies_.process_lock.other_slot());
   std::error_code error;
   const auto bytes = std::filesystem::file_size(dependencies_.config.state_folder + "/" + file, error);
   if (error || bytes == 0) return adopted;
-  dependencies_.process_lock.TryRunWithOtherSlot([&] {
+  dependencies_.process_lock.TryRunWithOtherSlotLocked([&] {
     Journal other(dependencies_.config.state_folder, other_journal_budget_, file);
     adopted = dependencies_.journal.AdoptEntriesOf(other);
   });
--- a/tests/journal/journal_faults_test.cpp
+++ b/tests/journal/journal_faults_test.cpp
@@ -1,6 +1,6 @@
-// The journal, and other files of the state folder, on a disk whose calls fail for a while, or write a part:
-// accepted requests stay, ended ones do not come back, a Retry-After time holds, and what is written after
-// the faults is read again.
+// The journal and other files of the state folder while system calls fail for a time or write only a part
+// of their bytes. Guards against lost requests, ended requests that come back after a restart, lost
+// Retry-After times, and records written after a fault that can't be read.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/syscall.h>
@@ -27,31 +27,31 @@
 
 namespace {
 
-// So many calls pass, then so many fail; a write that fails may have written some bytes before.
+// Faults of one system call: the first `successes` calls succeed, the next `failures` calls fail.
 struct Faults {
-  int passes = 0, failures = 0;
+  int successes = 0, failures = 0;
   int error = 0;
-  std::size_t partly = 0;  // bytes that a failing write leaves in the file
+  std::size_t partial_bytes = 0;  // if not 0, the first failing write returns after at most so many bytes
 
-  bool Strikes() {
-    if (passes > 0) {
-      --passes;
+  bool NextCallFails() {
+    if (successes > 0) {
+      --successes;
       return false;
     }
     if (failures == 0) return false;
     --failures;
     return true;
   }
-  void Plan(int after, int count, int with, std::size_t part = 0) {
-    passes = after;
-    failures = count;
-    error = with;
-    partly = part;
+  void Schedule(int success_count, int failure_count, int error_code, std::size_t partial = 0) {
+    successes = success_count;
+    failures = failure_count;
+    error = error_code;
+    partial_bytes = partial;
   }
 };
 
-Faults opens, reads, writes, cuts;
-constexpr int kForEver = std::numeric_limits<int>::max();
+Faults opens, reads, writes, truncations;
+constexpr int kForever = std::numeric_limits<int>::max();
 
 int Fail(int error) {
   errno = error;
@@ -60,11 +60,11 @@
 
 }  // namespace
 
-// In place of the C library's, for this executable alone.
+// These replace the C library's functions in this executable.
 extern "C" {
 
 int open(const char* path, int flags, ...) {
-  if (opens.Strikes()) return Fail(opens.error);
+  if (opens.NextCallFails()) return Fail(opens.error);
   va_list rest;
   va_start(rest, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(rest, mode_t) : 0;
@@ -72,19 +72,19 @@
   return static_cast<int>(syscall(SYS_openat, AT_FDCWD, path, flags, mode));
 }
 
-ssize_t pread(int fd, void* to, size_t size, off_t at) {
-  if (reads.Strikes()) return Fail(reads.error);
-  return syscall(SYS_pread64, fd, to, size, at);
+ssize_t pread(int fd, void* buffer, size_t size, off_t offset) {
+  if (reads.NextCallFails()) return Fail(reads.error);
+  return syscall(SYS_pread64, fd, buffer, size, offset);
 }
 
-ssize_t pwrite(int fd, const void* from, size_t size, off_t at) {
-  if (!writes.Strikes()) return syscall(SYS_pwrite64, fd, from, size, at);
-  if (writes.partly == 0) return Fail(writes.error);
-  return syscall(SYS_pwrite64, fd, from, std::min(size, std::exchange(writes.partly, 0)), at);
+ssize_t pwrite(int fd, const void* buffer, size_t size, off_t offset) {
+  if (!writes.NextCallFails()) return syscall(SYS_pwrite64, fd, buffer, size, offset);
+  if (writes.partial_bytes == 0) return Fail(writes.error);
+  return syscall(SYS_pwrite64, fd, buffer, std::min(size, std::exchange(writes.partial_bytes, 0)), offset);
 }
 
 int ftruncate(int fd, off_t size) noexcept {
-  if (cuts.Strikes()) return Fail(cuts.error);
+  if (truncations.NextCallFails()) return Fail(truncations.error);
   return static_cast<int>(syscall(SYS_ftruncate, fd, size));
 }
 
@@ -95,17 +95,18 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kDisk = 3'000'000;
+constexpr std::size_t kDiskBytes = 3'000'000;
 
-class Folder {
+class TemporaryFolder {
  public:
-  Folder() : path_(fs::temp_directory_path() / ("opalroute-journal-faults-" + std::to_string(getpid()))) {
+  TemporaryFolder()
+      : path_(fs::temp_directory_path() / ("opalroute-journal-faults-" + std::to_string(getpid()))) {
     fs::remove_all(path_);
     fs::create_directories(path_);
   }
-  ~Folder() { fs::remove_all(path_); }
+  ~TemporaryFolder() { fs::remove_all(path_); }
   std::string path() const { return path_.string(); }
-  std::string Bytes() const {
+  std::string JournalBytes() const {
     std::ifstream file(path_ / "journal", std::ios::binary);
     return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
   }
@@ -114,8 +115,8 @@
   const fs::path path_;
 };
 
-struct NoFaults {
-  ~NoFaults() { opens = reads = writes = cuts = Faults{}; }
+struct FaultsClearedAtExit {
+  ~FaultsClearedAtExit() { opens = reads = writes = truncations = Faults{}; }
 };
 
 JournalEntry Request(const std::string& id, std::size_t size = 40) {
@@ -128,51 +129,51 @@
   return entry;
 }
 
-std::set<std::string> Unfinished(const Journal& journal) {
+std::set<std::string> UnfinishedIds(const Journal& journal) {
   std::set<std::string> ids;
   for (const auto& [number, entry] : journal.entries()) ids.insert(entry.id);
   return ids;
 }
 
-TEST_CASE("reads that fail for a while lose nothing") {
+TEST_CASE("temporary read failures lose nothing") {
   for (const int error : {EIO, EINTR, EAGAIN}) {
     for (const int failures : {1, 3, 30}) {
-      const Folder folder;
-      const NoFaults after;
+      const TemporaryFolder folder;
+      const FaultsClearedAtExit cleared_at_exit;
       {
-        Journal journal(folder.path(), kDisk);
+        Journal journal(folder.path(), kDiskBytes);
         for (const char* id : {"a", "b", "c", "d", "e"}) REQUIRE(journal.RecordAccepted(Request(id, 30'000)));
       }
-      const std::string before = folder.Bytes();
-      for (const int passes : {0, 1, 2}) {  // the first piece of the file, one in its midst, the end
-        reads.Plan(passes, failures, error);
-        const Journal journal(folder.path(), kDisk);
-        CHECK(Unfinished(journal).size() == 5);
+      const std::string before = folder.JournalBytes();
+      for (const int successes : {0, 1, 2}) {  // the first chunk of the file, a middle one, the end
+        reads.Schedule(successes, failures, error);
+        const Journal journal(folder.path(), kDiskBytes);
+        CHECK(UnfinishedIds(journal).size() == 5);
         CHECK(journal.lost_bytes() == 0);
-        CHECK(folder.Bytes() == before);
+        CHECK(folder.JournalBytes() == before);
       }
     }
   }
 }
 
-TEST_CASE("a file that can't be read at all refuses the start, and stays as it is") {
-  const Folder folder;
-  const NoFaults after;
-  { REQUIRE(Journal(folder.path(), kDisk).RecordAccepted(Request("a"))); }
-  const std::string before = folder.Bytes();
-  reads.Plan(0, kForEver, EIO);
-  CHECK_THROWS_AS(Journal(folder.path(), kDisk), std::system_error);
+TEST_CASE("a permanent read failure prevents the start and leaves the file unchanged") {
+  const TemporaryFolder folder;
+  const FaultsClearedAtExit cleared_at_exit;
+  { REQUIRE(Journal(folder.path(), kDiskBytes).RecordAccepted(Request("a"))); }
+  const std::string before = folder.JournalBytes();
+  reads.Schedule(0, kForever, EIO);
+  CHECK_THROWS_AS(Journal(folder.path(), kDiskBytes), std::system_error);
   reads = Faults{};
-  CHECK(folder.Bytes() == before);
-  CHECK(Unfinished(Journal(folder.path(), kDisk)).size() == 1);
+  CHECK(folder.JournalBytes() == before);
+  CHECK(UnfinishedIds(Journal(folder.path(), kDiskBytes)).size() == 1);
 }
 
-// What a relay does with five requests, and which it must have in its journal afterwards: those that were
-// accepted and have not ended.
-class Script {
+// A fixed sequence of journal operations for five request ids. Tracks which requests must be unfinished after
+// it: those that were accepted and have not ended.
+class RequestSequence {
  public:
-  explicit Script(Journal& journal) : journal_(journal) {}
-  void Play() {
+  explicit RequestSequence(Journal& journal) : journal_(journal) {}
+  void Run() {
     Accept("a");
     Accept("b");
     Attempt("a");
@@ -182,7 +183,7 @@
     Attempt("c");
     End("b");
     Accept("d");
-    Accept("a");  // its id once more, after its end
+    Accept("a");  // the id is used again after its end
     End("d");
     Accept("e");
   }
@@ -206,106 +207,107 @@
   std::set<std::string> unfinished_;
 };
 
-// Each write of the script fails in turn, once or more often, whole or after some bytes, and so do the cuts
-// that would take those bytes back. Then the disk is well, one more message comes, and the process is killed.
-TEST_CASE("writes that fail at any place leave what is unfinished, and nothing that has ended") {
-  int played = 0;
-  for (int passes = 0; passes < 14; ++passes)
+// Writes fail from every position in the sequence, once or several times in a row, completely or after some
+// bytes; so do the truncations that remove those bytes. Then the faults end, one more request is accepted and
+// the journal is read again.
+TEST_CASE("write failures at any position keep unfinished requests and no ended ones") {
+  int runs = 0;
+  for (int successes = 0; successes < 14; ++successes)
     for (const int failures : {1, 2, 5})
-      for (const std::size_t part : {0, 1, 20, 60})
-        for (const int cuts_failing : {0, 1, 4}) {
-          CAPTURE(passes);
+      for (const std::size_t partial : {0, 1, 20, 60})
+        for (const int truncation_failures : {0, 1, 4}) {
+          CAPTURE(successes);
           CAPTURE(failures);
-          CAPTURE(part);
-          CAPTURE(cuts_failing);
-          const Folder folder;
-          const NoFaults after;
+          CAPTURE(partial);
+          CAPTURE(truncation_failures);
+          const TemporaryFolder folder;
+          const FaultsClearedAtExit cleared_at_exit;
           std::set<std::string> unfinished;
           {
-            Journal journal(folder.path(), kDisk);
-            Script script(journal);
-            writes.Plan(passes, failures, part > 0 ? ENOSPC : EIO, part);
-            cuts.Plan(0, cuts_failing, EIO);
-            script.Play();
-            writes = cuts = Faults{};
-            unfinished = script.unfinished();
+            Journal journal(folder.path(), kDiskBytes);
+            RequestSequence sequence(journal);
+            writes.Schedule(successes, failures, partial > 0 ? ENOSPC : EIO, partial);
+            truncations.Schedule(0, truncation_failures, EIO);
+            sequence.Run();
+            writes = truncations = Faults{};
+            unfinished = sequence.unfinished();
             REQUIRE(journal.RecordAccepted(Request("last")));
             unfinished.insert("last");
-            CHECK(Unfinished(journal) == unfinished);
+            CHECK(UnfinishedIds(journal) == unfinished);
           }
-          const Journal again(folder.path(), kDisk);
-          CHECK(Unfinished(again) == unfinished);
-          CHECK(again.lost_bytes() == 0);
-          ++played;
+          const Journal recovered(folder.path(), kDiskBytes);
+          CHECK(UnfinishedIds(recovered) == unfinished);
+          CHECK(recovered.lost_bytes() == 0);
+          ++runs;
         }
-  CHECK(played == 14 * 3 * 4 * 3);
+  CHECK(runs == 14 * 3 * 4 * 3);
 }
 
-// A torn record's rest is the client's own bytes: were a shorter record written over its beginning, they
-// could be read as a record of their own.
-TEST_CASE("while a torn record can't be cut off nothing is written over it") {
-  const Folder folder;
-  const NoFaults after;
-  Journal journal(folder.path(), kDisk);
+// A torn record ends in bytes chosen by the client. If a shorter record were written over its start, the rest
+// could be read as a record.
+TEST_CASE("nothing is written over a torn record until it is truncated") {
+  const TemporaryFolder folder;
+  const FaultsClearedAtExit cleared_at_exit;
+  Journal journal(folder.path(), kDiskBytes);
   REQUIRE(journal.RecordAccepted(Request("a")));
-  writes.Plan(0, 2, ENOSPC, 5'000);
-  cuts.Plan(0, kForEver, EIO);
+  writes.Schedule(0, 2, ENOSPC, 5'000);
+  truncations.Schedule(0, kForever, EIO);
   CHECK_FALSE(journal.RecordAccepted(Request("long", 10'000)));
   writes = Faults{};
   CHECK_FALSE(journal.RecordAccepted(Request("short")));
-  cuts = Faults{};
+  truncations = Faults{};
   CHECK(journal.RecordAccepted(Request("short")));
-  CHECK(Unfinished(Journal(folder.path(), kDisk)) == std::set<std::string>{"a", "short"});
+  CHECK(UnfinishedIds(Journal(folder.path(), kDiskBytes)) == std::set<std::string>{"a", "short"});
 }
 
-TEST_CASE("a compaction that can't be written leaves the old file, and is done later") {
-  const Folder folder;
-  const NoFaults after;
-  Journal journal(folder.path(), kDisk);
+TEST_CASE("a failed compaction leaves the old file, and a later one succeeds") {
+  const TemporaryFolder folder;
+  const FaultsClearedAtExit cleared_at_exit;
+  Journal journal(folder.path(), kDiskBytes);
   REQUIRE(journal.RecordAccepted(Request("kept")));
   for (int i = 0; i < 60; ++i) {
     const std::string id = "m" + std::to_string(i);
-    if (i % 7 == 3) writes.Plan(0, 2, EIO);
+    if (i % 7 == 3) writes.Schedule(0, 2, EIO);
     if (!journal.RecordAccepted(Request(id, 60'000))) continue;
     journal.RecordEnd(id);
-    if (i % 5 == 0) CHECK(Unfinished(Journal(folder.path(), kDisk)).count("kept") == 1);
+    if (i % 5 == 0) CHECK(UnfinishedIds(Journal(folder.path(), kDiskBytes)).count("kept") == 1);
   }
   writes = Faults{};
   REQUIRE(journal.RecordAccepted(Request("last")));
-  CHECK(Unfinished(Journal(folder.path(), kDisk)) == std::set<std::string>{"kept", "last"});
+  CHECK(UnfinishedIds(Journal(folder.path(), kDiskBytes)) == std::set<std::string>{"kept", "last"});
 }
 
-TEST_CASE("files of the state folder that can't be opened for a while do not refuse the start") {
+TEST_CASE("temporary failures to open files of the state folder do not prevent the start") {
   const net::SystemClock clock;
   const auto start = [&](const std::string& folder) {
     const hot_restart::ProcessLock lock(folder, true);
     PersistentClock(clock, folder).Persist();
-    const Journal journal(folder, kDisk);
-    const hot_restart::SharedRetryAfterTable times(folder, lock.own(), lock.other(), 8);
+    const Journal journal(folder, kDiskBytes);
+    const hot_restart::SharedRetryAfterTable table(folder, lock.own_slot(), lock.other_slot(), 8);
   };
-  constexpr int kOpened = 6;  // two lock files, the clock, the journal, two files of Retry-After times
+  constexpr int kOpenCalls = 6;  // two lock files, the clock, the journal, two files of Retry-After times
   for (const int error : {EIO, ENOSPC, EMFILE, ENFILE, EINTR})
-    for (int passes = 0; passes <= kOpened; ++passes) {
+    for (int successes = 0; successes <= kOpenCalls; ++successes) {
       CAPTURE(error);
-      CAPTURE(passes);
-      const Folder folder;
-      const NoFaults after;
-      opens.Plan(passes, 3, error);
+      CAPTURE(successes);
+      const TemporaryFolder folder;
+      const FaultsClearedAtExit cleared_at_exit;
+      opens.Schedule(successes, 3, error);
       CHECK_NOTHROW(start(folder.path()));
     }
-  const Folder folder;
-  const NoFaults after;
-  opens.Plan(2, kForEver, EIO);
+  const TemporaryFolder folder;
+  const FaultsClearedAtExit cleared_at_exit;
+  opens.Schedule(2, kForever, EIO);
   CHECK_THROWS_AS(start(folder.path()), std::system_error);
 }
 
-// The Retry-After times of two processes of one relay: `first` publishes under faults, `second` reads.
-class SharedTimes {
+// The Retry-After tables of two processes of one relay: the first publishes under faults, the second reads.
+class SharedTables {
  public:
-  explicit SharedTimes(const std::string& folder) : folder_(folder), second_(folder, 1, 0, kMaxEntries) {
-    Restart();
+  explicit SharedTables(const std::string& folder) : folder_(folder), second_(folder, 1, 0, kMaxEntries) {
+    RestartFirst();
   }
-  void Restart() {
+  void RestartFirst() {
     first_.reset();
     first_ = std::make_unique<hot_restart::SharedRetryAfterTable>(folder_, 0, 1, kMaxEntries);
   }
@@ -313,8 +315,8 @@
     first_->Publish({destination, 0, until});
     published_[destination] = std::max(published_[destination], until);
   }
-  void EndBatch() { first_->HasChanges(); }
-  // As a relay does at the end of each batch.
+  void RetryWrites() { first_->HasChanges(); }
+  // Reads as a relay does at the end of each batch.
   void ReadChanges() {
     if (!second_.HasChanges()) return;
     for (const hot_restart::SharedRetryAfter& entry : second_.Active(0))
@@ -331,45 +333,44 @@
   std::map<std::int64_t, std::int64_t> seen_;
 };
 
-TEST_CASE(
-    "a Retry-After time that could not be written or read at once reaches the other process all the same") {
-  for (int passes = 0; passes < 8; ++passes)
+TEST_CASE("a Retry-After time whose write or read failed at first still reaches the other process") {
+  for (int successes = 0; successes < 8; ++successes)
     for (const int failures : {1, 2, 5})
-      for (const std::size_t part : {std::size_t{0}, std::size_t{7}})
+      for (const std::size_t partial : {std::size_t{0}, std::size_t{7}})
         for (Faults* faulty : {&writes, &reads}) {
-          CAPTURE(passes);
+          CAPTURE(successes);
           CAPTURE(failures);
-          CAPTURE(part);
-          const Folder folder;
-          const NoFaults after;
-          SharedTimes times(folder.path());
-          faulty->Plan(passes, failures, part > 0 ? ENOSPC : EIO, part);
+          CAPTURE(partial);
+          const TemporaryFolder folder;
+          const FaultsClearedAtExit cleared_at_exit;
+          SharedTables tables(folder.path());
+          faulty->Schedule(successes, failures, partial > 0 ? ENOSPC : EIO, partial);
           for (int i = 0; i < 4; ++i) {
-            times.Publish(i % 3, 1000 + i);
-            times.ReadChanges();
+            tables.Publish(i % 3, 1000 + i);
+            tables.ReadChanges();
           }
-          opens = reads = writes = cuts = Faults{};
-          times.EndBatch();
-          times.ReadChanges();
-          CHECK(times.AllSeen());
+          opens = reads = writes = truncations = Faults{};
+          tables.RetryWrites();
+          tables.ReadChanges();
+          CHECK(tables.AllSeen());
         }
 }
 
-TEST_CASE("a process that starts while the disk fails keeps the Retry-After times of its predecessor") {
-  for (int passes = 0; passes < 6; ++passes)
-    for (Faults* faulty : {&reads, &writes, &cuts}) {
-      CAPTURE(passes);
-      const Folder folder;
-      const NoFaults after;
-      SharedTimes times(folder.path());
-      for (int i = 0; i < 3; ++i) times.Publish(i, 1000 + i);
-      faulty->Plan(passes, 3, EIO);
-      times.Restart();
-      times.Publish(3, 1003);
-      opens = reads = writes = cuts = Faults{};
-      times.EndBatch();
-      times.ReadChanges();
-      CHECK(times.AllSeen());
+TEST_CASE("a process that starts during disk faults keeps the Retry-After times of its predecessor") {
+  for (int successes = 0; successes < 6; ++successes)
+    for (Faults* faulty : {&reads, &writes, &truncations}) {
+      CAPTURE(successes);
+      const TemporaryFolder folder;
+      const FaultsClearedAtExit cleared_at_exit;
+      SharedTables tables(folder.path());
+      for (int i = 0; i < 3; ++i) tables.Publish(i, 1000 + i);
+      faulty->Schedule(successes, 3, EIO);
+      tables.RestartFirst();
+      tables.Publish(3, 1003);
+      opens = reads = writes = truncations = Faults{};
+      tables.RetryWrites();
+      tables.ReadChanges();
+      CHECK(tables.AllSeen());
     }
 }
 
--- a/tests/journal/state_file_formats_test.cpp
+++ b/tests/journal/state_file_formats_test.cpp
@@ -1,5 +1,5 @@
-// The bytes of each file of the state folder, as a released version wrote them. A later version writes the
-// same and reads these: docs/state-folder.md.
+// The exact bytes of each file of the state folder, as a released version wrote them (docs/state-folder.md).
+// The current version must write the same bytes and read these files.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -99,7 +99,8 @@
     "49000000ee69739a5401000000000000006305000000000000006f7264657204000000000000006e6f72640200000000"
     "0000006b310400000000000000626f64790700000000000000404b4c0000000000"
     "18000000461253025701000000000000006306000000000000006e6f74696365";
-// The same after a compaction or a takeover: only what is unfinished.
+// The same journal after a compaction, or after another process adopted its entries: unfinished requests
+// only.
 const char* const kCompactedJournalHex =
     "490000008534685f5401000000000000006105000000000000006f7264657204000000000000006e6f72640200000000"
     "0000006b310400000000000000626f64790700000000000000404b4c0000000000"
@@ -166,15 +167,15 @@
     "0700000000000000b80b00000000000000000000f4334172"
     "f7ffffffffffffffa00f00000000000098badcfe58328f71";
 
-TEST_CASE("state files: Retry-After times shared by two processes, and the processes' locks") {
+TEST_CASE("state files: shared Retry-After times and process locks") {
   const StateFolder folder;
   const hot_restart::ProcessLock lock(folder.path(), true);
   {
-    hot_restart::SharedRetryAfterTable table(folder.path(), lock.own(), lock.other(), 2);
+    hot_restart::SharedRetryAfterTable table(folder.path(), lock.own_slot(), lock.other_slot(), 2);
     table.Publish({7, 0, 1000});
     table.Publish({8, 0x1234, 2000});
     table.Publish({7, 0, 3000});
-    table.Publish({-9, 0xfedcba98, 4000});  // in place of the earliest
+    table.Publish({-9, 0xfedcba98, 4000});  // replaces the entry that ends first
   }
   CHECK(ToHex(folder.Read("waits.0")) == kSharedRetryAfterHex);
   CHECK(folder.FileNames() == std::set<std::string>{"seat.0", "seat.1", "waits.0", "waits.1"});
