--- a/src/hot_restart/process_lock.cpp
+++ b/src/hot_restart/process_lock.cpp
@@ -28,7 +28,7 @@
     return true;
   }
   if (errno == EWOULDBLOCK) return false;
-  // If locking is not supported, other processes can't be detected. Assumes that there are none and uses the
+  // Locks are not available, so other processes can't be detected. Assumes that there are none and uses the
   // first slot.
   log::Warn("feature_off",
             {{"feature", "locks of the state folder"}, {"why", std::generic_category().message(errno)}});
--- a/src/hot_restart/process_lock.h
+++ b/src/hot_restart/process_lock.h
@@ -41,7 +41,7 @@
   bool TryLock(int slot);
 
   std::array<net::FileDescriptor, kProcessSlots> files_;
-  std::optional<FileLock> own_lock_;  // empty if the file system does not support locks
+  std::optional<FileLock> own_lock_;  // empty if locks are not available
   int own_slot_ = -1;
 };
 
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -1,4 +1,4 @@
-// WriteRecord-ahead journal of the accepted requests, in a folder that outlives the process.
+// Write-ahead journal of the accepted requests, in a folder that outlives the process.
 //
 // The file is append-only, and a record is written before the action that it announces: `accepted` before the
 // 202 response, `attempt` before the first byte of the call. When the file has grown too large it is
@@ -46,7 +46,7 @@
   // Moves the entries of a journal whose process has ended to this one. An entry is written here completely
   // before its end is recorded there, so that at any time at least one of the two files has it. Returns the
   // numbers of the new entries. An entry that can't be written here stays in the other journal; the other
-  // file is emptied once no entry remains.
+  // file is emptied once it has no entry and no unwritten end.
   std::vector<std::uint64_t> AdoptEntriesOf(Journal& other);
 
  private:
@@ -58,7 +58,7 @@
   void AddAttempt(JournalEntry& entry, JournalAttempt&& attempt);
   void Erase(const JournalEntry& entry);
 
-  // Apply a record of the file. Return false if it contradicts an earlier record.
+  // Apply a record of the file. Return false if it can't be decoded or contradicts an earlier record.
   bool Apply(journal_record::Accepted&& record);
   bool Apply(journal_record::Attempt&& record);
   bool Apply(journal_record::NotExecuted&& record);
--- a/src/journal/journal_file.h
+++ b/src/journal/journal_file.h
@@ -25,7 +25,8 @@
   // Each returns whether it succeeded. On failure the frames are unchanged, and errno is set if a system call
   // failed.
   bool Append(const std::string& frames);
-  bool Replace(const std::string& frames);  // atomically; fails unless the file gets smaller
+  // Replaces all frames atomically. Fails unless the file gets smaller and both files fit into `max_bytes`.
+  bool Replace(const std::string& frames);
   bool Clear();
 
   std::size_t bytes() const { return bytes_; }
--- a/tests/journal/journal_faults_test.cpp
+++ b/tests/journal/journal_faults_test.cpp
@@ -243,8 +243,8 @@
   CHECK(runs == 14 * 3 * 4 * 3);
 }
 
-// A torn record ends in bytes chosen by the client. If a shorter record were written over its start, the rest
-// could be read as a record.
+// A torn record may contain bytes chosen by the client. If a shorter record were written over its start, the
+// rest could be read as a record.
 TEST_CASE("nothing is written over a torn record until it is truncated") {
   const TemporaryFolder folder;
   const FaultsClearedAtExit cleared_at_exit;
