--- a/src/zone_failover/directive_publisher.h
+++ b/src/zone_failover/directive_publisher.h
@@ -1,5 +1,5 @@
-// Tells the request router what follows from membership and zone failover: the share count that quotas are
-// divided by and the traffic share of each zone. Only changes are published. Without I/O.
+// Publishes the outcome of membership and zone failover to the request router: the share count that quotas
+// are divided by, and the traffic share of each zone. Only changes are published. Without I/O.
 #pragma once
 
 #include <vector>
@@ -13,8 +13,8 @@
  public:
   explicit DirectivePublisher(const FailoverOptions& options);
 
-  // Appends FleetSize if the share count has changed, and ZoneTrafficShare for each zone with a new
-  // directive.
+  // Appends FleetSize if the share count has changed, and ZoneTrafficShare for each zone whose directive has
+  // changed. A decrease of the share count is held back for `share_growth_interval` after the last change.
   void Publish(Seconds now, double share_count, const ZoneEvacuation& evacuation,
                std::vector<opalroute::Event>& events);
 
@@ -22,9 +22,9 @@
   void PublishShareCount(Seconds now, double share_count, std::vector<opalroute::Event>& events);
 
   const Seconds share_growth_interval_;
-  std::vector<TrafficDirective> directives_;  // as published, by zone
-  double share_count_;                        // as published
-  Seconds share_count_at_ = kLongAgo;
+  std::vector<TrafficDirective> published_directives_;  // by zone
+  double published_share_count_;
+  Seconds share_count_published_at_ = kLongAgo;
 };
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/gossip_composer.h
+++ b/src/zone_failover/gossip_composer.h
@@ -1,5 +1,5 @@
-// Composes what a relay tells the others about zones, and writes it with membership messages into datagrams.
-// Without I/O.
+// Composes the zone part of a relay's gossip, and encodes it with membership messages into datagrams. Without
+// I/O.
 #pragma once
 
 #include <optional>
@@ -16,17 +16,18 @@
 
 // A datagram to send.
 struct OutgoingDatagram {
-  std::optional<membership::Peer> to;  // nothing: to every other relay
+  std::optional<membership::Peer> to;  // std::nullopt: every other relay
   std::string bytes;
 };
 
-// The report of this relay's own calls, by zone.
+// This relay's report, by zone, of its own calls.
 Report MakeReport(Seconds now, const ZoneHealthObserver& observer);
 
-// The state of each zone with the age of its phase in `since`, as gossip and the state file have it.
+// The state of each zone, with `since` converted to the age of the phase, as in gossip and in the state file.
 std::vector<EvacuationState> StatesWithAges(Seconds now, const ZoneEvacuation& evacuation);
 
-// Appends `messages` with `zone_payload`, each encoded in at most `max_bytes`.
+// Appends a datagram for each of `messages`, with `zone_payload` added. Peer reports that do not fit into
+// `max_bytes` are dropped.
 void AppendDatagrams(const std::vector<membership::OutgoingMessage>& messages,
                      const std::string& zone_payload, std::size_t max_bytes,
                      std::vector<OutgoingDatagram>& out);
--- a/src/zone_failover/operator_override.cpp
+++ b/src/zone_failover/operator_override.cpp
@@ -9,8 +9,8 @@
 
 constexpr const char* kNames[] = {"none", "leave", "keep"};  // by OverrideKind
 constexpr int kKinds = 3;
-constexpr Seconds kMinRevocationTime = 60;  // a revocation is gossiped for so long at least
-constexpr Seconds kExpiryTolerance = 1;     // above kMaxDuration, for rounding and transmission
+constexpr Seconds kMinRevocationTime = 60;  // a revocation is gossiped for at least this long
+constexpr Seconds kExpiryTolerance = 1;     // above kMaxDuration, for rounding and transmission time
 
 }  // namespace
 
@@ -35,8 +35,8 @@
     known = received;
     return true;
   }
-  // Of the same override the earliest expiry is the most exact: what remains is rounded up, and gossip takes
-  // time.
+  // The earliest expiry of the same override is the most accurate: gossip rounds the remaining time up and
+  // takes time to arrive.
   if (!received.IsOlderThan(known)) known.expires_at = std::min(known.expires_at, received.expires_at);
   return false;
 }
@@ -50,7 +50,7 @@
   return known;
 }
 
-OverrideKind OperatorOverrides::InForce(Seconds now, int zone) const {
+OverrideKind OperatorOverrides::ActiveKind(Seconds now, int zone) const {
   const OperatorOverride& latest = Get(zone);
   return now < latest.expires_at ? latest.kind : OverrideKind::kNone;
 }
--- a/src/zone_failover/operator_override.h
+++ b/src/zone_failover/operator_override.h
@@ -1,5 +1,5 @@
-// Operators' overrides of zone failover: each applies to one zone and expires. Relays gossip them and persist
-// them over restarts. An override has a version (sequence, issuer) and the latest one wins, so that messages
+// Operators' overrides of zone failover. Each applies to one zone and expires. Relays gossip them and persist
+// them across restarts. An override has a version (sequence, issuer) and the latest version wins, so messages
 // may be lost, duplicated or reordered. Without I/O.
 #pragma once
 
@@ -14,19 +14,19 @@
 
 enum class OverrideKind {
   kNone,          // the zone's health decides
-  kEvacuate,      // it is evacuated whatever its health, and not health-checked
-  kKeepInService  // it stays in service whatever its health
+  kEvacuate,      // the zone is evacuated regardless of its health, and not health-checked
+  kKeepInService  // the zone stays in service regardless of its health
 };
 
-// The word for it in operators' commands, on their pages and in the state file.
+// The name of an override in operators' commands, on their pages and in the state file.
 const char* NameOf(OverrideKind kind);
 std::optional<OverrideKind> OverrideKindOf(std::string_view name);
 
 struct OperatorOverride {
-  std::uint64_t sequence = 0;      // grows with each override of the zone; 0: there was none
-  membership::Peer issued_by = 0;  // the relay that got the command; breaks ties of `sequence`
+  std::uint64_t sequence = 0;      // grows with each override of the zone; 0: none so far
+  membership::Peer issued_by = 0;  // the relay that received the command; breaks ties of `sequence`
   OverrideKind kind{};
-  Seconds expires_at = 0;  // by the own clock; in gossip and in the state file the time that remains
+  Seconds expires_at = 0;  // on this relay's clock; in gossip and in the state file, the remaining time
 
   bool IsOlderThan(const OperatorOverride& other) const;
 };
@@ -39,20 +39,22 @@
 
   explicit OperatorOverrides(int zones) : overrides_(static_cast<std::size_t>(zones)) {}
 
-  // Adopts `received` if it is later than the known one; `expires_at` by the own clock. True: it was adopted.
+  // Adopts `received`, with `expires_at` on this relay's clock, if it is valid and later than the known
+  // override. Returns whether it was adopted.
   bool Merge(Seconds now, int zone, const OperatorOverride& received);
 
-  // An operator's command at this relay; `duration` is clamped to kMaxDuration. kNone revokes the override in
-  // force, and is gossiped for as long as that could still be in force at some relay.
+  // Applies an operator's command to this relay; `duration` is clamped to kMaxDuration. kNone revokes the
+  // override in force; the revocation is gossiped for as long as some relay could still apply that override.
   const OperatorOverride& Issue(Seconds now, int zone, OverrideKind kind, Seconds duration,
                                 membership::Peer own_peer);
 
-  OverrideKind InForce(Seconds now, int zone) const;
+  // kNone if the latest override has expired.
+  OverrideKind ActiveKind(Seconds now, int zone) const;
 
   // The latest override of the zone, in force or expired.
   const OperatorOverride& Get(int zone) const { return overrides_[static_cast<std::size_t>(zone)]; }
 
-  // By zone, with the time that remains as `expires_at`. Empty: no zone has one.
+  // By zone, with the remaining time as `expires_at`; empty if no zone has an unexpired override.
   std::vector<OperatorOverride> ForGossip(Seconds now) const;
 
  private:
--- a/src/zone_failover/report_scheduler.cpp
+++ b/src/zone_failover/report_scheduler.cpp
@@ -7,10 +7,15 @@
 namespace {
 
 constexpr double kBurst = 2;                 // reports that may be sent at once
-constexpr double kMinReportRate = 1.0 / 60;  // a second and relay
-constexpr double kMaxReportRate = 4;         // a second and relay
-constexpr int kEnoughQuorums = 3;            // of failure reporters
-constexpr double kEnoughContradictions = 2;  // times the consensus's contradiction share
+constexpr double kMinReportRate = 1.0 / 60;  // reports per second and relay
+constexpr double kMaxReportRate = 4;         // reports per second and relay
+
+// A failure report is redundant once this many quorums of relays have reported failures.
+constexpr int kSufficientQuorums = 3;
+
+// Any report is redundant once the success reporters exceed the consensus's contradiction share by this
+// factor.
+constexpr double kSufficientContradiction = 2;
 
 }  // namespace
 
@@ -34,9 +39,9 @@
   entry.is_suspected = is_suspected;
 }
 
-// Relays that have not agreed by themselves learn of the state. Evacuating is a question that is not yet
-// decided, and is not spread.
-void ReportScheduler::OnOwnStateChange(int zone) {
+// The new state is gossiped so that relays which have not reached it themselves adopt it. kEvacuating is not
+// yet a decision, so it is not gossiped separately.
+void ReportScheduler::OnLocalStateChange(int zone) {
   const bool is_decided = evacuation_.StateOf(zone).phase != EvacuationPhase::kEvacuating;
   At(zone).confirmations = is_decided ? std::optional(0) : std::nullopt;
 }
@@ -45,10 +50,10 @@
 
 void ReportScheduler::OnConfirmedState(int zone) {
   std::optional<int>& confirmations = At(zone).confirmations;
-  if (confirmations && ++*confirmations >= options_.state_repeats) confirmations.reset();
+  if (confirmations && ++*confirmations >= options_.sufficient_confirmations) confirmations.reset();
 }
 
-bool ReportScheduler::IsQuiet(Seconds now) const {
+bool ReportScheduler::AreAllZonesHealthy(Seconds now) const {
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (evacuation_.StateOf(zone).phase != EvacuationPhase::kInService) return false;
     if (At(zone).is_suspected || observer_.Observe(now, zone).failed != 0) return false;
@@ -58,12 +63,12 @@
 
 bool ReportScheduler::TakeDueReport(Seconds now) {
   if (next_report_at_ == decision::kNever) {
-    if (!HasUnreported(now)) return false;
+    if (!HasAnythingToReport(now)) return false;
     next_report_at_ = now + options_.report_delay * random_.Unit();
   }
-  if (now < next_report_at_ || !HasBudget(now)) return false;
+  if (now < next_report_at_ || !RefillAndCheckBudgets(now)) return false;
   next_report_at_ = decision::kNever;
-  if (IsRedundant(now) && !HasStateToSpread()) return false;
+  if (IsRedundant(now) && !HasStateToGossip()) return false;
   if (!budget_.TryTake()) urgent_budget_.TryTake();
   MarkReported(now);
   return true;
@@ -77,20 +82,21 @@
   }
 }
 
-bool ReportScheduler::HasStateToSpread() const {
+bool ReportScheduler::HasStateToGossip() const {
   return std::any_of(zones_.begin(), zones_.end(),
                      [](const Zone& zone) { return zone.confirmations.has_value(); });
 }
 
-bool ReportScheduler::HasUnreported(Seconds now) const {
-  if (HasStateToSpread()) return true;
+bool ReportScheduler::HasAnythingToReport(Seconds now) const {
+  if (HasStateToGossip()) return true;
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (HasUnreportedCalls(now, zone)) return true;
   }
   return false;
 }
 
-// Failures are news until the zone is evacuated, successes while it is suspected.
+// Failures are worth reporting until the zone is evacuated. Successes are worth reporting while the zone is
+// suspected, if the calls were sent since the suspicion began.
 bool ReportScheduler::HasUnreportedCalls(Seconds now, int zone) const {
   const Zone& entry = At(zone);
   const ZoneObservation observation = observer_.Observe(now, zone);
@@ -102,17 +108,19 @@
          observation.success_at > std::max(entry.suspected_at, entry.reported_at);
 }
 
-// Others have reported what a verdict needs, for every zone that this relay has news of. Where destinations
-// are at their limits some relays report failures all day, so a few reports of either kind must suffice.
+// For every zone of which this relay has unreported calls, other relays have reported enough for a verdict.
+// Where destinations are at their limits some relays report failures all the time, so a few reports of either
+// kind must suffice.
 bool ReportScheduler::IsRedundant(Seconds now) const {
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (!HasUnreportedCalls(now, zone)) continue;
     const ZoneView view = consensus_.ViewOf(now, zone);
-    const bool is_contradicted = view.success_reporters > options_.consensus.contradiction_share *
-                                                              kEnoughContradictions * view.failure_reporters;
+    const bool is_contradicted =
+        view.success_reporters >
+        options_.consensus.contradiction_share * kSufficientContradiction * view.failure_reporters;
     if (is_contradicted) continue;
-    const bool is_confirmed =
-        view.failure_reporters >= kEnoughQuorums * Quorum() && observer_.Observe(now, zone).ReportsFailure();
+    const bool is_confirmed = view.failure_reporters >= kSufficientQuorums * Quorum() &&
+                              observer_.Observe(now, zone).ReportsFailure();
     if (!is_confirmed) return false;
   }
   return true;
@@ -120,9 +128,9 @@
 
 int ReportScheduler::Quorum() const { return consensus_.QuorumOf(options_.membership.fleet_size); }
 
-// The fleet decides on a zone now, or is about to.
+// The fleet is deciding on a zone, or is about to.
 bool ReportScheduler::IsUrgent(Seconds now) const {
-  if (HasStateToSpread()) return true;
+  if (HasStateToGossip()) return true;
   for (int zone = 0; zone < options_.zones; ++zone) {
     const EvacuationPhase phase = evacuation_.StateOf(zone).phase;
     if (phase == EvacuationPhase::kEvacuating) return true;
@@ -134,9 +142,9 @@
   return false;
 }
 
-// Urgent reports have a budget of their own. Where some relays report failures all day, others would use up
-// what is needed when the zone fails.
-bool ReportScheduler::HasBudget(Seconds now) {
+// Urgent reports have a separate budget. Where some relays report failures all the time, the other reports
+// would otherwise use up the budget that is needed when the zone fails.
+bool ReportScheduler::RefillAndCheckBudgets(Seconds now) {
   const double rate = std::clamp(options_.reports_per_second / options_.membership.fleet_size, kMinReportRate,
                                  kMaxReportRate);
   budget_.Refill(now, rate, kBurst);
--- a/src/zone_failover/report_scheduler.h
+++ b/src/zone_failover/report_scheduler.h
@@ -1,6 +1,7 @@
-// Decides when a relay sends a report of its zones on its own account, besides those in membership messages.
-// A report is due when the relay has something new to report, after a random delay, unless other relays have
-// reported enough by then (as in the Trickle algorithm) or the rate limit holds it back. Without I/O.
+// Decides when a relay broadcasts a report of its zones, in addition to those that membership messages carry.
+// A report is due a random delay after the relay has something new to report, unless other relays have
+// reported enough by then (as in the Trickle algorithm, RFC 6206) or the rate limit holds it back. Without
+// I/O.
 #pragma once
 
 #include <cstdint>
@@ -21,41 +22,43 @@
                   const ZoneHealthObserver& observer, const ZoneConsensus& consensus,
                   const ZoneEvacuation& evacuation);
 
-  // To be called with the current view of a zone, before its evacuation ticks.
+  // Call with the current view of a zone before ZoneEvacuation::Tick of that zone.
   void UpdateSuspicion(Seconds now, int zone, const ZoneView& view);
 
-  // This relay has changed the state of the zone by itself.
-  void OnOwnStateChange(int zone);
+  // This relay has changed the state of the zone on its own decision.
+  void OnLocalStateChange(int zone);
 
   // This relay has adopted the state of the zone from gossip.
   void OnAdoptedState(int zone);
 
-  // Gossip of another relay has the own state of the zone, or a later one.
+  // Gossip from another relay has the same state of the zone as this relay.
   void OnConfirmedState(int zone);
 
-  // No zone is in question, so that gossip needs no report.
-  bool IsQuiet(Seconds now) const;
+  // Every zone is in service and neither this relay nor any other reports failures, so gossip needs no
+  // report.
+  bool AreAllZonesHealthy(Seconds now) const;
 
-  // True: a report is to be sent now, and is counted as sent.
+  // Returns whether to send a report now. If so, it is counted as sent.
   bool TakeDueReport(Seconds now);
 
  private:
   struct Zone {
-    Seconds reported_at = kLongAgo;   // the newest call that has been reported
-    Seconds suspected_at = kLongAgo;  // since then it is suspected
+    Seconds reported_at = kLongAgo;   // time of the latest call that has been reported
+    Seconds suspected_at = kLongAgo;  // start of the latest suspicion
     bool is_suspected = false;        // some relay reports failures, or the zone is being evacuated
-    std::optional<int>
-        confirmations;  // of a state that this relay has changed to by itself; nothing: none to spread
+    // Messages that confirm a state which this relay decided on and has not gossiped; std::nullopt: no such
+    // state.
+    std::optional<int> confirmations;
   };
 
   const Zone& At(int zone) const { return zones_[static_cast<std::size_t>(zone)]; }
   Zone& At(int zone) { return zones_[static_cast<std::size_t>(zone)]; }
-  bool HasStateToSpread() const;
-  bool HasUnreported(Seconds now) const;
+  bool HasStateToGossip() const;
+  bool HasAnythingToReport(Seconds now) const;
   bool HasUnreportedCalls(Seconds now, int zone) const;
   bool IsRedundant(Seconds now) const;
   bool IsUrgent(Seconds now) const;
-  bool HasBudget(Seconds now);
+  bool RefillAndCheckBudgets(Seconds now);
   void MarkReported(Seconds now);
   int Quorum() const;
 
--- a/src/zone_failover/zone_consensus.cpp
+++ b/src/zone_failover/zone_consensus.cpp
@@ -32,8 +32,8 @@
   *entry = {from, received_at, incarnation, sequence, report};
 }
 
-// The sequence of an expired report is dropped with it, so a replay would count. Membership has rejected
-// replays before.
+// The sequence of an expired report is dropped with it, so a replay would count. But membership rejects
+// replays before they get here.
 void ZoneConsensus::ExpireReports(Seconds now) {
   const Seconds oldest = now - ZoneReport::kMaxAge;
   reports_.erase(std::remove_if(reports_.begin(), reports_.end(),
@@ -56,8 +56,8 @@
     const Seconds age = now - entry.received_at;
     if (entry.received_at < since) continue;
     if (age < ZoneReport::kMaxAge) observed |= report.observed;
-    // Where calls fail by chance or are rejected above a limit, failure reporters have been served, too. A
-    // destination that has just served any relay has not failed.
+    // Where calls fail at random or are rejected above a limit, failure reporters also have calls that were
+    // served. A destination that has just served any relay does not count as failed.
     if (report.success_age + age < options_.success_lifetime) succeeded |= report.succeeded;
     if (report.ReportsFailure(options_.failure_lifetime, age)) {
       ++view.failure_reporters;
@@ -69,8 +69,9 @@
       succeeded |= report.succeeded;
     }
   }
-  const int* const most = std::max_element(std::begin(reporters_by_fault), std::end(reporters_by_fault));
-  view.fault = static_cast<FaultKind>(most - reporters_by_fault);
+  const int* const most_frequent =
+      std::max_element(std::begin(reporters_by_fault), std::end(reporters_by_fault));
+  view.fault = static_cast<FaultKind>(most_frequent - reporters_by_fault);
   view.succeeded_destinations = CountBits(succeeded);
   view.failed_destinations = CountBits(failed & ~succeeded);
   view.destinations = CountBits(observed | failed | succeeded);
@@ -90,8 +91,8 @@
 bool ZoneConsensus::HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const {
   if (view.failed_destinations < options_.min_failed_destinations) return false;
   if (view.failure_reports < options_.min_failure_reports) return false;
-  // Most destinations of a zone may be above their limits and reject everything for a while. A failing zone
-  // serves nobody.
+  // Most destinations of a healthy zone may be above their limits and reject everything for a while. So
+  // rejections count as the zone's failure only if none of its destinations serves.
   const bool is_rejecting = view.fault == FaultKind::kRejected;
   if (is_rejecting && view.succeeded_destinations > 0) return false;
   const double min_share = is_rejecting && is_another_zone_evacuated ? 1 : options_.min_failed_share;
@@ -99,16 +100,16 @@
 }
 
 bool ZoneConsensus::IsFailing(Seconds now, int zone, const ZoneView& view, const FleetState& fleet) const {
-  if (view.fault == FaultKind::kSlow) return false;  // it serves
+  if (view.fault == FaultKind::kSlow) return false;  // a slow zone still serves
   return HasFailureQuorum(view, fleet.share_count) &&
          HasEnoughFailedDestinations(view, fleet.is_another_zone_evacuated) &&
          IsAnotherZoneServing(now, zone, fleet);
 }
 
-// False where all zones fail at once: the cause is not the zone then.
+// False if all zones fail at once: then the cause is not this zone.
 bool ZoneConsensus::IsAnotherZoneServing(Seconds now, int zone, const FleetState& fleet) const {
-  // A failure report lasts for longer than the successes since `control_since`. So the control's success
-  // reporters are compared with the relays that reported a failure since then, not with all of them.
+  // A failure report counts for longer than the successes since `control_since`. So the control's success
+  // reporters are compared only with the relays that have reported a failure since then.
   const int failure_reporters =
       ViewOf(now, zone, options_.success_lifetime, fleet.control_since).failure_reporters;
   const double min_success_reporters =
--- a/src/zone_failover/zone_consensus.h
+++ b/src/zone_failover/zone_consensus.h
@@ -1,6 +1,6 @@
-// The fleet's view of each zone, from the reports of all relays. The latest report of each relay counts and
-// fades with its age. The verdict is a pure function of the reports, so relays that have the same reports
-// agree. docs/zone-failover.md has the alternatives.
+// The fleet's view of each zone, from the reports of all relays. Only the latest report of each relay counts,
+// until the calls that it reports are too old. The verdict is a pure function of the reports and of
+// FleetState, so relays that know the same reports agree. See docs/zone-failover.md for the alternatives.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,9 @@
 
 namespace opalroute::zone_failover {
 
-// One relay's report of one zone; ages as of the time of the report.
+// One relay's report of one zone. Ages are as of the time of the report.
 struct ZoneReport {
-  static constexpr Seconds kMaxAge = 3;  // older calls are not reported
+  static constexpr Seconds kMaxAge = 3;  // greater ages are reported as this; an older report is dropped
 
   std::uint32_t succeeded = 0;  // bits of destinations, as in ZoneObservation
   std::uint32_t failed = 0;
@@ -22,8 +22,8 @@
   Seconds failure_age = kMaxAge;
   FaultKind fault{};
 
-  // Whether the relay's latest call into the zone failed, or succeeded, within `lifetime`, for a report that
-  // is `report_age` old. Neither: it made no recent call.
+  // Whether the relay's latest call into the zone failed (or succeeded) less than `lifetime` ago, given that
+  // the report is `report_age` old. Both are false if the relay made no recent call.
   bool ReportsFailure(Seconds lifetime, Seconds report_age) const;
   bool ReportsSuccess(Seconds lifetime, Seconds report_age) const;
 };
@@ -33,36 +33,39 @@
 
 // One zone, from all recent reports.
 struct ZoneView {
-  int failure_reporters = 0;    // relays
-  int success_reporters = 0;    // relays
-  int failure_reports = 0;      // destinations that failure reporters name, summed up over the relays
-  int failed_destinations = 0;  // of those that can be told apart
+  int failure_reporters = 0;  // relays
+  int success_reporters = 0;  // relays
+  int failure_reports = 0;    // failed destinations of each failure reporter, summed over the relays
+  // Destinations as counted by their bits. One that failed at one relay and served another counts as
+  // succeeded.
+  int failed_destinations = 0;
   int succeeded_destinations = 0;
   int destinations = 0;
-  FaultKind fault{};  // that most failure reporters name
+  FaultKind fault{};  // the one that most failure reporters name
 };
 
 class ZoneConsensus {
  public:
   struct Options {
-    Seconds success_lifetime = 1;    // a served call counts for so long after it was sent
-    Seconds failure_lifetime = 1.5;  // a failed call counts for so long after the failure
-    double quorum = 0.25;            // part of the share count that must report failures, plus one relay
+    Seconds success_lifetime = 1;    // a served call counts for this long after it was sent
+    Seconds failure_lifetime = 1.5;  // a failed call counts for this long after the failure
+    double quorum = 0.25;            // fraction of the share count that must report failures, plus one relay
     int max_quorum = 20;             // relays
-    double contradiction_share =
-        0.25;  // success reporters per failure reporter above which there is no consensus
+    // Success reporters per failure reporter above which there is no consensus.
+    double contradiction_share = 0.25;
     double min_failed_share = 0.6;  // of the zone's destinations
     int min_failed_destinations = 2;
     int min_failure_reports = 6;
-    double control_share = 0.25;  // success reporters of another zone per failure reporter of this one
-    Seconds control_window = 1.5;
-    double control_success_ratio = 1.5;  // success reporters per failure reporter of that other zone
+    // A verdict requires another zone, the control, that serves calls.
+    double control_share = 0.25;  // success reporters of the control per failure reporter of the failing zone
+    Seconds control_window = 1.5;  // a served call into the control counts for this long after it was sent
+    double control_success_ratio = 1.5;  // success reporters per failure reporter, both of the control
   };
 
   ZoneConsensus(const Options& options, int zones);
 
-  // `received_at`: no earlier than the report was made. Ignored if it is not later, by incarnation and
-  // sequence, than the known one of that relay.
+  // Stores a relay's report, unless one that is the same or later by incarnation and sequence is known.
+  // `received_at` is no earlier than the time of the report.
   void AddReport(Seconds received_at, membership::Peer from, std::uint64_t incarnation,
                  std::uint64_t sequence, const Report& report);
 
@@ -71,20 +74,21 @@
 
   ZoneView ViewOf(Seconds now, int zone) const;
 
-  // Failure reporters that a verdict takes.
+  // How many relays must report failures for a verdict.
   int QuorumOf(double share_count) const;
 
   // The state of the fleet that a verdict depends on, besides the reports.
   struct FleetState {
     double share_count = 1;
-    Seconds control_since = kLongAgo;        // calls of the control zone must have been sent since
-    bool is_another_zone_evacuated = false;  // so that its load is on the remaining zones
+    Seconds control_since = kLongAgo;        // only calls into the control zone sent since then count
+    bool is_another_zone_evacuated = false;  // if so, the remaining zones carry its load
   };
 
-  // The zone as a whole fails while another zone, the control, serves. `view`: of the zone, as of `now`.
+  // Whether the zone as a whole fails while another zone, the control, serves. `view` is the zone's as of
+  // `now`.
   bool IsFailing(Seconds now, int zone, const ZoneView& view, const FleetState& fleet) const;
 
-  // Too many relays are served in the zone for a verdict against it.
+  // Whether too many relays report successes in the zone for a verdict against it.
   bool IsContradicted(const ZoneView& view) const;
 
  private:
@@ -96,7 +100,7 @@
     Report report;
   };
 
-  // Counts reports received since `since`, and successes of `success_lifetime`.
+  // Counts reports received at or after `since`, and success reporters by `success_lifetime`.
   ZoneView ViewOf(Seconds now, int zone, Seconds success_lifetime, Seconds since) const;
   bool HasFailureQuorum(const ZoneView& view, double share_count) const;
   bool HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const;
@@ -104,7 +108,7 @@
 
   const Options options_;
   const int zones_;
-  std::vector<ReportEntry> reports_;  // one a relay, unordered; a vector, as views read all of them often
+  std::vector<ReportEntry> reports_;  // one per relay, unordered; a vector because every view reads them all
 };
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_evacuation.cpp
+++ b/src/zone_failover/zone_evacuation.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr int kMaxDoublings = 10;      // of min_evacuated_time
-constexpr double kRecoverySteps = 20;  // the router is told each step of the growing share
+constexpr double kRecoverySteps = 20;  // the growing share is rounded down to a multiple of 1/20
 constexpr std::uint64_t kHashMultiplier = 0x9e3779b97f4a7c15ULL;
-constexpr int kRoundShift = 20;  // bits of the hash below the round's
+constexpr int kRoundShift = 20;  // keeps the round apart from the zone, which is in the low bits
 
 struct RankedPeer {
   double rank = 0;
@@ -78,7 +78,8 @@
     entry.served_since = -1;
     return true;
   }
-  // Of the same state the earliest beginning is the most exact: ages are rounded down, and gossip takes time.
+  // The earliest start of the same state is the most accurate: gossip rounds ages down and takes time to
+  // arrive.
   if (!received.IsOlderThan(entry.state)) entry.state.since = std::min(entry.state.since, received.since);
   return false;
 }
@@ -92,8 +93,8 @@
   return now - zone.failing_since >= options_.confirm_time;
 }
 
-// Only successes of calls that were sent in this phase count: a relay that met no failure, as the zone was
-// evacuated on the reports of others or by an operator, has been served since long before.
+// Only successes of calls sent in this phase count. A relay that saw no failure, because the zone was
+// evacuated on the reports of others or by an operator, may have had successes for a long time before.
 bool ZoneEvacuation::IsHealthy(Zone& zone, const ZoneObservation& own) const {
   if (own.failure_at >= zone.served_since) zone.served_since = -1;
   if (own.success_at <= std::max(zone.state.since, own.failure_at)) return false;
@@ -101,8 +102,8 @@
   return own.success_at - zone.served_since >= options_.healthy_time;
 }
 
-// True: the state has changed. The new state is later than the old one, so relays that do not know the
-// override adopt it, too.
+// Returns whether the state has changed. The new state is later than the old one, so relays that do not know
+// the override adopt it, too.
 bool ZoneEvacuation::ApplyOverride(Seconds now, Zone& zone, OverrideKind kind) {
   const EvacuationState state = zone.state;
   const bool is_evacuated = state.phase == EvacuationPhase::kEvacuated;
@@ -115,7 +116,7 @@
     return true;
   }
   if (kind == OverrideKind::kKeepInService && is_evacuated) {
-    // With slow start, as its endpoints may have to warm up.
+    // With slow start, because its endpoints may have to warm up.
     Enter(now, zone, state.round, EvacuationPhase::kRecovering, state.relapses);
     return true;
   }
@@ -147,7 +148,7 @@
   return true;
 }
 
-// Relays that are served in the zone contradict within `evacuating_time`.
+// Within `evacuating_time`, relays whose calls into the zone succeed contradict the failure reports.
 bool ZoneEvacuation::TickEvacuating(Seconds now, Zone& zone, const Inputs& inputs) {
   const EvacuationState state = zone.state;
   const bool may_decide = now - state.since >= options_.evacuating_time;
@@ -155,7 +156,7 @@
     Enter(now, zone, state.round + 1, EvacuationPhase::kEvacuated, state.relapses);
     return true;
   }
-  const bool is_undecided = now - state.since >= options_.undecided_time;
+  const bool is_undecided = now - state.since >= options_.max_evacuating_time;
   if (is_undecided || (may_decide && inputs.is_contradicted)) {
     Enter(now, zone, state.round, EvacuationPhase::kInService, state.relapses);
     return true;
--- a/src/zone_failover/zone_evacuation.h
+++ b/src/zone_failover/zone_evacuation.h
@@ -1,16 +1,16 @@
-// The evacuation of each zone as a state machine that all relays share by gossip. Without I/O. States are
-// ordered by round and, within a round, by phase. A relay adopts any later state, so that messages may be
-// lost, duplicated or reordered.
+// The evacuation of each zone, as a state machine that all relays share by gossip. Without I/O. States are
+// ordered by round and, within a round, by phase. A relay adopts any later state, so messages may be lost,
+// duplicated or reordered.
 //
 //   in service -> evacuating -> evacuated -> recovering -> in service        relapse: recovering -> evacuated
 //                      \-> in service (contradicted or undecided)
 //
-// Evacuating begins a new round, and so does evacuated. Invariant: the return from evacuating to in service
-// stays in its round, so it is never later than evacuated. Otherwise a relay that was frozen or partitioned
-// while the others agreed would cancel the evacuation for all.
+// The phases "evacuating" and "evacuated" each begin a new round. Invariant: the return from "evacuating" to
+// "in service" stays in its round, so it is never later than "evacuated". Otherwise a relay that was frozen
+// or partitioned while the others agreed would cancel the evacuation for all.
 //
-// An operator's override kEvacuate leads to evacuated, without health checks until it expires; kKeepInService
-// leads back into service.
+// The operator override kEvacuate leads to "evacuated", without health checks until it expires.
+// kKeepInService leads back into service.
 #pragma once
 
 #include <cstdint>
@@ -22,44 +22,44 @@
 
 namespace opalroute::zone_failover {
 
-// In their order within a round, which gossip and the state file encode.
+// In the order of phases within a round. Gossip and the state file contain the numeric values.
 enum class EvacuationPhase {
-  kEvacuating,  // the fleet halves its traffic until the consensus is confirmed
-  kEvacuated,   // no traffic but that of health-check relays
+  kEvacuating,  // the fleet reduces its traffic until the consensus is confirmed
+  kEvacuated,   // no traffic except by health-check relays
   kRecovering,  // traffic grows by slow start
   kInService
 };
 
-// The word for it on the operators' pages.
+// The name of a phase in logs and on the operators' pages.
 const char* NameOf(EvacuationPhase phase);
 
 struct EvacuationState {
   std::uint64_t round = 0;
   EvacuationPhase phase = EvacuationPhase::kInService;
   int relapses = 0;   // in a row
-  Seconds since = 0;  // by the own clock; in gossip and in the state file the age of the phase
+  Seconds since = 0;  // on this relay's clock; in gossip and in the state file, the age of the phase
 
   bool IsOlderThan(const EvacuationState& other) const;
 };
 
 struct EvacuationOptions {
-  Seconds confirm_time = 0.15;      // a consensus that lasts for so long begins an evacuation
-  Seconds evacuating_time = 0.5;    // and completes it if it still holds after this
-  Seconds undecided_time = 2;       // evacuating for longer ends in service again
-  double evacuating_share = 0.5;    // of the traffic while evacuating
+  Seconds confirm_time = 0.15;      // a consensus must last this long to begin an evacuation
+  Seconds evacuating_time = 0.5;    // and must still hold after this to complete it
+  Seconds max_evacuating_time = 2;  // an undecided evacuation is cancelled after this
+  double evacuating_share = 0.5;    // of the traffic, while evacuating
   Seconds min_evacuated_time = 1;   // before recovery; doubled with each relapse in a row
-  Seconds max_evacuated_time = 16;  // bound of the doubled time
-  Seconds healthy_time = 1;         // health checks succeed for so long before recovery
+  Seconds max_evacuated_time = 16;  // upper bound of the doubled time
+  Seconds healthy_time = 1;         // health checks must succeed for this long before recovery
   int health_check_relays = 3;
   double slow_start_initial_share = 0.22;  // of the traffic, at the start of recovery
   Seconds slow_start_duration = 13;        // of recovery
-  Seconds relapse_reset_time = 60;         // in service for longer, relapses are forgotten
+  Seconds relapse_reset_time = 60;         // relapses are forgotten after this long in service
 };
 
-// What the request router is to do with a zone.
+// How the request router is to treat a zone.
 struct TrafficDirective {
   double traffic_share = 1;            // of ordinary sends, 0 to 1
-  bool is_health_check_relay = false;  // this relay tries the evacuated zone
+  bool is_health_check_relay = false;  // this relay health-checks the evacuated zone
 
   bool operator==(const TrafficDirective& other) const;
 };
@@ -68,20 +68,20 @@
  public:
   ZoneEvacuation(const EvacuationOptions& options, int zones, membership::Peer own_peer);
 
-  // Adopts `received`, of gossip or of the state file, if it is later than the known state; `since` by the
-  // own clock. True: it was adopted.
+  // Adopts `received`, from gossip or the state file and with `since` on this relay's clock, if it is later
+  // than the known state. Returns whether it was adopted.
   bool Merge(Seconds now, int zone, const EvacuationState& received);
 
   // What the next phase depends on.
   struct Inputs {
-    bool is_failing = false;       // by the consensus
-    bool is_contradicted = false;  // by the consensus
+    bool is_failing = false;       // ZoneConsensus::IsFailing
+    bool is_contradicted = false;  // ZoneConsensus::IsContradicted
     ZoneObservation own_observation;
-    std::vector<membership::Peer> alive;  // needed for an evacuated zone only
-    OverrideKind override_kind{};         // in force
+    std::vector<membership::Peer> alive;  // needed only for an evacuated zone
+    OverrideKind override_kind{};         // OperatorOverrides::ActiveKind
   };
 
-  // True: the state has changed.
+  // Returns whether the state has changed.
   bool Tick(Seconds now, int zone, const Inputs& inputs);
 
   const EvacuationState& StateOf(int zone) const;
@@ -91,9 +91,9 @@
  private:
   struct Zone {
     EvacuationState state;
-    Seconds failing_since = -1;  // below 0: not failing
-    Seconds served_since =
-        -1;  // this relay's first success while evacuated with no failure after it; below 0: none
+    Seconds failing_since = -1;  // negative: not failing
+    // This relay's first success while evacuated that no failure has followed; negative: none.
+    Seconds served_since = -1;
     bool is_health_check_relay = false;
   };
 
@@ -111,8 +111,8 @@
   std::vector<Zone> zones_;
 };
 
-// The health-check relays of a zone in a round: the first `count` of the alive members by rendezvous hashing,
-// so that relays that know the same members name the same ones.
+// The health-check relays of a zone in a round: the first `count` alive members by rendezvous hashing, so
+// that relays that know the same members choose the same ones.
 std::vector<membership::Peer> HealthCheckRelaysOf(const std::vector<membership::Peer>& alive, int zone,
                                                   std::uint64_t round, int count);
 
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// Calls of the control zone count if they were sent up to this long before a zone began to be evacuated: a
-// call of this duration is served within the phase.
+// While a zone is being evacuated, a call into the control zone counts if it was sent at most this long
+// before the phase began, so that a call which takes this long and is served within the phase counts.
 constexpr Seconds kControlMargin = 0.3;
 
 }  // namespace
@@ -16,7 +16,7 @@
                            Seconds now, const SavedState& saved)
     : options_(options),
       incarnation_(incarnation),
-      started_(now),
+      started_at_(now),
       membership_(options.membership, incarnation, seed, now),
       observer_(options.observer, options.zones),
       consensus_(options.consensus, options.zones),
@@ -37,7 +37,8 @@
   }
 }
 
-// Until gossip arrives the cautious state holds: evacuating becomes evacuated, and recovery begins anew.
+// Until gossip arrives the more cautious state is assumed: an evacuation in progress is complete, and a
+// recovery starts again from its beginning.
 void ZoneFailover::RestoreStates(Seconds now, const std::vector<EvacuationState>& saved) {
   if (saved.size() != static_cast<std::size_t>(options_.zones)) return;
   for (int zone = 0; zone < options_.zones; ++zone) {
@@ -115,7 +116,7 @@
   std::string payload;
   if (options_.evacuate_zones) {
     ZoneGossip gossip{StatesWithAges(now, evacuation_), std::nullopt, overrides_.ForGossip(now)};
-    if (!scheduler_.IsQuiet(now)) gossip.report = MakeReport(now, observer_);
+    if (!scheduler_.AreAllZonesHealthy(now)) gossip.report = MakeReport(now, observer_);
     payload = EncodeZoneGossip(gossip);
   }
   AppendDatagrams(messages, payload, options_.membership.max_message_bytes, out.datagrams);
@@ -155,7 +156,7 @@
 void ZoneFailover::TickZones(Seconds now, Actions& out) {
   observer_.Tick(now);
   consensus_.ExpireReports(now);
-  consensus_.AddReport(now, options_.membership.own_peer, incarnation_, ++own_reports_,
+  consensus_.AddReport(now, options_.membership.own_peer, incarnation_, ++own_report_sequence_,
                        MakeReport(now, observer_));
   const double share_count =
       membership_.IsSettled(now) ? membership_.ShareCount(now) : options_.membership.fleet_size;
@@ -173,13 +174,14 @@
   inputs.is_contradicted = consensus_.IsContradicted(view);
   inputs.own_observation = observer_.Observe(now, zone);
   inputs.alive = alive;
-  inputs.override_kind = overrides_.InForce(now, zone);
+  inputs.override_kind = overrides_.ActiveKind(now, zone);
   if (!evacuation_.Tick(now, zone, inputs)) return;
   out.changes.push_back({zone, before, evacuation_.StateOf(zone), view, false});
-  scheduler_.OnOwnStateChange(zone);
+  scheduler_.OnLocalStateChange(zone);
 }
 
-// Health-check relays are chosen from them while a zone is evacuated.
+// Health-check relays are chosen from the alive members while a zone is evacuated; at other times the list is
+// empty.
 std::vector<membership::Peer> ZoneFailover::AliveMembersIfNeeded(Seconds now) const {
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (evacuation_.StateOf(zone).phase == EvacuationPhase::kEvacuated) return membership_.AliveMembers(now);
@@ -187,8 +189,9 @@
   return {};
 }
 
-// While a zone is being evacuated the control must have served calls of that time: where all zones fail at
-// once, the first to be reported would be compared with earlier successes of the others.
+// While a zone is being evacuated, only calls that the control zone has served in that time count. If all
+// zones fail at once, the zone that is reported first would otherwise be compared with earlier successes of
+// the others.
 ZoneConsensus::FleetState ZoneFailover::FleetStateFor(int zone, double share_count) const {
   ZoneConsensus::FleetState fleet;
   fleet.share_count = share_count;
@@ -213,7 +216,7 @@
 
 bool ZoneFailover::HasJoined(Seconds now) const {
   return options_.membership.fleet_size < 2 || membership_.HasAnyAck() ||
-         now - started_ >= options_.join_timeout;
+         now - started_at_ >= options_.join_timeout;
 }
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,7 +1,7 @@
-// Zone failover of one relay: joins membership, the relay's own observations, the fleet's consensus, the
-// evacuation of zones and operators' overrides. Time, datagrams and calls are handed in; datagrams to send
-// and events for the request router are handed out. Without I/O, so the laboratory simulates hundreds of
-// relays. docs/membership.md and docs/zone-failover.md describe both.
+// Zone failover of one relay: combines membership, the relay's own observations, the fleet's consensus, the
+// evacuation of zones and operators' overrides. The caller passes in the time, received datagrams and the
+// calls of this relay, and gets datagrams to send and events for the request router. Without I/O, so the
+// laboratory can simulate hundreds of relays. See docs/membership.md and docs/zone-failover.md.
 #pragma once
 
 #include <string_view>
@@ -41,21 +41,22 @@
     bool from_peer = false;  // adopted from another relay
   };
 
-  // What the caller has to do.
+  // What the caller has to carry out.
   struct Actions {
-    std::vector<OutgoingDatagram> datagrams;
-    std::vector<opalroute::Event> events;  // for the request router
-    std::vector<Change> changes;
-    std::vector<OverrideChange> overrides;
+    std::vector<OutgoingDatagram> datagrams;  // to send
+    std::vector<opalroute::Event> events;     // for the request router
+    std::vector<Change> changes;              // to save and log
+    std::vector<OverrideChange> overrides;    // to save and log
   };
 
-  // What a relay persists over restarts: by zone, with ages and remaining times in place of times; or empty.
+  // What a relay persists across restarts, by zone, with ages and remaining times in place of points in time.
+  // Either vector may be empty.
   struct SavedState {
     std::vector<EvacuationState> states;
     std::vector<OperatorOverride> overrides;
   };
 
-  // `incarnation`: greater than that of every earlier process of this relay.
+  // `incarnation` must be greater than that of every earlier process of this relay.
   ZoneFailover(const FailoverOptions& options, std::uint64_t incarnation, std::uint64_t seed, Seconds now,
                const SavedState& saved = {});
   ZoneFailover(const ZoneFailover&) = delete;
@@ -63,27 +64,28 @@
 
   void OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint);
 
-  // A call or health check that was sent `duration` ago.
+  // A call or health check has ended that was sent `duration` ago.
   void OnEnded(Seconds now, int zone, DestinationId destination, EndpointId endpoint, Outcome outcome,
                Seconds duration);
 
-  // False: the bytes are no membership message.
+  // Handles a datagram of `from`. Returns false if the bytes are not a membership message.
   bool HandleMessage(Seconds now, membership::Peer from, std::string_view bytes, Actions& out);
 
   // The host of `peer` answered a datagram with 'port unreachable'.
   void OnUnreachable(Seconds now, membership::Peer peer);
 
-  // To be called every kTickInterval.
+  // Call every kTickInterval.
   void Tick(Seconds now, Actions& out);
 
-  // The process is about to end.
+  // Tells the other relays that this process is about to end.
   void AnnounceLeave(Actions& out);
 
-  // An operator's command to this relay, which gossips it to all. False: there is no such zone, or
-  // `evacuate_zones` is off.
+  // Applies an operator's command to this relay and gossips it to all. Returns false if there is no such zone
+  // or `evacuate_zones` is off.
   bool ApplyOverride(Seconds now, int zone, OverrideKind kind, Seconds duration, Actions& out);
 
-  // Some relay has acknowledged this process, or the wait for it has timed out: clients may be admitted.
+  // Whether clients may be admitted: some relay has acknowledged this process, or the wait for that has timed
+  // out, or there is no other relay.
   bool HasJoined(Seconds now) const;
 
   const membership::Membership& membership() const { return membership_; }
@@ -91,7 +93,7 @@
   ZoneView ViewOf(Seconds now, int zone) const { return consensus_.ViewOf(now, zone); }
   TrafficDirective DirectiveFor(Seconds now, int zone) const { return evacuation_.DirectiveFor(now, zone); }
   const OperatorOverride& OverrideOf(int zone) const { return overrides_.Get(zone); }
-  OverrideKind ActiveOverride(Seconds now, int zone) const { return overrides_.InForce(now, zone); }
+  OverrideKind ActiveOverride(Seconds now, int zone) const { return overrides_.ActiveKind(now, zone); }
   int zones() const { return options_.zones; }
   SavedState Save(Seconds now) const;
 
@@ -113,7 +115,7 @@
 
   const FailoverOptions options_;
   const std::uint64_t incarnation_;
-  const Seconds started_;
+  const Seconds started_at_;
   membership::Membership membership_;
   ZoneHealthObserver observer_;
   ZoneConsensus consensus_;
@@ -121,7 +123,7 @@
   OperatorOverrides overrides_;
   ReportScheduler scheduler_;
   DirectivePublisher publisher_;
-  std::uint64_t own_reports_ = 0;  // sequence of the own reports to the consensus
+  std::uint64_t own_report_sequence_ = 0;  // of the latest report to this relay's own consensus
 };
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_gossip.h
+++ b/src/zone_failover/zone_gossip.h
@@ -1,13 +1,13 @@
-// The zone payload of a membership message: the evacuation state of each zone, and the sender's report and
-// operators' overrides if there are any. Without I/O. Numbers are varints (membership/varint.h), ages and
-// remaining times are in tenths of a second.
+// The zone payload of a membership message: the evacuation state of each zone, and optionally the sender's
+// report and operators' overrides. Without I/O. Numbers are varints (membership/varint.h); ages and remaining
+// times are in tenths of a second.
 //
-//   count of zones; for each: round, phase | relapses << 2, age of the phase
-//   bits of the sections that follow: 1 a report, 2 overrides. 4 to 64 are for later versions, which write
-//   the length of each such section before it; a version that does not know a section skips it
+//   number of zones; for each: round, phase | relapses << 2, age of the phase
+//   bits of the sections that follow: 1 a report, 2 overrides. 4 to 64 are reserved for later versions, which
+//   put the length of each such section before it, so that a version that does not know the section skips it
 //
-//   report, for each zone: bits of succeeded, failed and observed destinations (four bytes each), ages of
-//   success and of failure, FaultKind
+//   report, for each zone: bits of the succeeded, failed and observed destinations (four bytes each), ages of
+//   the latest success and the latest failure, FaultKind
 //
 //   overrides, for each zone: 0, or sequence, issuer, OverrideKind, remaining time
 #pragma once
@@ -25,13 +25,13 @@
 
 struct ZoneGossip {
   std::vector<EvacuationState> states;      // by zone; `since` is the age of the phase
-  std::optional<Report> report;             // of as many zones
-  std::vector<OperatorOverride> overrides;  // by zone, `expires_at` is the remaining time; or empty
+  std::optional<Report> report;             // of the same zones
+  std::vector<OperatorOverride> overrides;  // empty, or by zone; `expires_at` is the remaining time
 };
 
 std::string EncodeZoneGossip(const ZoneGossip& gossip);
 
-// Nothing if the bytes are not exactly one encoded gossip.
+// Returns std::nullopt unless the bytes are exactly one encoded ZoneGossip.
 std::optional<ZoneGossip> DecodeZoneGossip(std::string_view bytes);
 
 }  // namespace opalroute::zone_failover
--- a/src/zone_failover/zone_health_observer.cpp
+++ b/src/zone_failover/zone_health_observer.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-constexpr Seconds kSameCallTolerance = 0.05;  // between two notions of when a call was sent
-constexpr double kLatencyGain = 0.2;          // weight of the newest latency
-constexpr std::size_t kMaxInFlight = 64;      // calls watched for a time-out, an endpoint
-constexpr std::size_t kMaxEndpoints = 20000;  // above it those without calls in flight are dropped
+// Between the time at which OnSent was called and the one that OnEnded computes from the duration.
+constexpr Seconds kSameCallTolerance = 0.05;
+constexpr double kLatencyGain = 0.2;          // weight of the latest call in the moving average
+constexpr std::size_t kMaxInFlight = 64;      // calls per endpoint that are watched for a timeout
+constexpr std::size_t kMaxEndpoints = 20000;  // above this, endpoints without calls in flight are dropped
 
 std::uint32_t BitOf(DestinationId destination) {
   return 1U << decision::Random(static_cast<std::uint64_t>(destination)).Below(kDestinationBits);
@@ -33,13 +34,13 @@
     case Outcome::kCancelled:
     case Outcome::kNotSent:
     case Outcome::kLocalShortage:
-    case Outcome::kOutOfConnections:  // the endpoint is there, with its connection table full
+    case Outcome::kOutOfConnections:  // the endpoint is up, but its connection table is full
       break;
   }
   return FaultKind::kNone;
 }
 
-// Removes the call that was sent at about `sent`. False: there is none.
+// Removes the call that was sent at about `sent`. Returns false if there is none.
 bool RemoveCall(std::vector<Seconds>& in_flight, Seconds sent) {
   const auto nearest = std::min_element(in_flight.begin(), in_flight.end(), [sent](Seconds a, Seconds b) {
     return std::abs(a - sent) < std::abs(b - sent);
@@ -82,9 +83,9 @@
     Endpoint& entry = it->second;
     const bool was_in_flight = RemoveCall(entry.in_flight, sent);
     if (!was_in_flight && outcome == Outcome::kTimeout) return;
-    is_slow = entry.latency > 0 && duration > options_.slow_factor * entry.latency;
-    const bool is_usual = entry.latency <= 0 || duration < options_.slow_factor * entry.latency;
-    if (outcome == Outcome::kServed && is_usual) UpdateLatency(entry, duration);
+    is_slow = entry.mean_latency > 0 && duration > options_.slow_factor * entry.mean_latency;
+    const bool is_typical = entry.mean_latency <= 0 || duration < options_.slow_factor * entry.mean_latency;
+    if (outcome == Outcome::kServed && is_typical) UpdateLatency(entry, duration);
   }
   if (outcome == Outcome::kServed && !is_slow) return RecordSuccess(zone, destination, sent);
   const FaultKind fault = is_slow && outcome == Outcome::kServed ? FaultKind::kSlow : FaultOf(outcome);
@@ -92,26 +93,27 @@
 }
 
 void ZoneHealthObserver::UpdateLatency(Endpoint& endpoint, Seconds duration) {
-  for (Seconds* mean : {&endpoint.latency, &latency_}) {
+  for (Seconds* mean : {&endpoint.mean_latency, &mean_latency_}) {
     *mean = *mean > 0 ? *mean + kLatencyGain * (duration - *mean) : duration;
   }
 }
 
 void ZoneHealthObserver::Tick(Seconds now) {
   for (auto& [id, entry] : endpoints_) {
-    const Seconds usual = entry.latency > 0 ? entry.latency : latency_;
-    const Seconds timeout = usual > 0 ? options_.timeout_factor * usual : options_.default_latency;
-    const auto late = std::remove_if(entry.in_flight.begin(), entry.in_flight.end(),
-                                     [&](Seconds sent) { return now - sent > timeout; });
-    if (late == entry.in_flight.end()) continue;
-    entry.in_flight.erase(late, entry.in_flight.end());
+    const Seconds mean_latency = entry.mean_latency > 0 ? entry.mean_latency : mean_latency_;
+    const Seconds timeout =
+        mean_latency > 0 ? options_.timeout_factor * mean_latency : options_.default_timeout;
+    const auto timed_out = std::remove_if(entry.in_flight.begin(), entry.in_flight.end(),
+                                          [&](Seconds sent) { return now - sent > timeout; });
+    if (timed_out == entry.in_flight.end()) continue;
+    entry.in_flight.erase(timed_out, entry.in_flight.end());
     RecordFailure(now, entry.zone, entry.destination, FaultKind::kTimeout);
   }
 }
 
-// Shows that the endpoint was healthy when the call was sent.
+// A success shows that the endpoint was healthy when the call was sent, so it counts from that time.
 void ZoneHealthObserver::RecordSuccess(int zone, DestinationId destination, Seconds sent) {
-  if (!IsKnown(zone)) return;
+  if (!IsValidZone(zone)) return;
   Zone& entry = zones_[static_cast<std::size_t>(zone)];
   LatestCall& latest = entry.latest[destination];
   latest.success_at = std::max(latest.success_at, sent);
@@ -122,9 +124,9 @@
   entry.success_at = std::max(entry.success_at, sent);
 }
 
-// Shows that the endpoint is not healthy now.
+// A failure shows that the endpoint is unhealthy now, so it counts from the present.
 void ZoneHealthObserver::RecordFailure(Seconds now, int zone, DestinationId destination, FaultKind fault) {
-  if (!IsKnown(zone)) return;
+  if (!IsValidZone(zone)) return;
   Zone& entry = zones_[static_cast<std::size_t>(zone)];
   LatestCall& latest = entry.latest[destination];
   latest.succeeded = false;
@@ -136,7 +138,7 @@
 ZoneObservation ZoneHealthObserver::Observe(Seconds now, int zone) const {
   const Zone& entry = zones_[static_cast<std::size_t>(zone)];
   ZoneObservation observation{0, 0, 0, entry.success_at, entry.failure_at, entry.fault};
-  // Only failures since this relay was last served there count: else failures by chance would add up.
+  // Only failures since this relay's last success in the zone count. Otherwise random failures would add up.
   const Seconds failed_since = std::max(now - options_.failure_lifetime, entry.success_at);
   for (const auto& [destination, latest] : entry.latest) {
     const std::uint32_t bit = BitOf(destination);
--- a/src/zone_failover/zone_health_observer.h
+++ b/src/zone_failover/zone_health_observer.h
@@ -1,6 +1,6 @@
-// The health of each zone as one relay's own calls show it: to which destinations the latest call there
-// succeeded, and to which it failed. Destinations are counted, not calls, so that a busy destination that
-// fails counts once. Without I/O.
+// The health of each zone as seen by one relay's own calls: which of its destinations served the latest call,
+// and which failed it. Destinations are counted, not calls, so that a busy destination that fails counts
+// once. Without I/O.
 #pragma once
 
 #include <cstdint>
@@ -11,20 +11,21 @@
 
 namespace opalroute::zone_failover {
 
-// A time before all events, in place of one that never happened.
+// The time of an event that has not happened: earlier than all others.
 constexpr Seconds kLongAgo = -1e9;
 
-// How a call failed. kSlow: it was served, much later than usual. The order is part of the gossip's encoding.
+// How a call failed. kSlow: it was served, but took much longer than usual. Gossip contains the numeric
+// values.
 enum class FaultKind { kNone, kRejected, kConnectFailed, kReset, kTimeout, kSlow };
 constexpr int kFaultKinds = 6;
 
-// The word for it on the operators' pages.
+// The name of a fault in logs and on the operators' pages.
 const char* NameOf(FaultKind fault);
 
-// Destinations are told apart by hashes of so many values, one bit each.
+// Size of a set of destinations. A hash maps each destination to a bit, so some destinations share one.
 constexpr int kDestinationBits = 32;
 
-// One zone, as the calls of the recent past show it.
+// One zone, as seen by recent calls.
 struct ZoneObservation {
   std::uint32_t succeeded = 0;    // bits of destinations whose latest call was served
   std::uint32_t failed = 0;       // bits of destinations whose latest call failed
@@ -39,24 +40,24 @@
 class ZoneHealthObserver {
  public:
   struct Options {
-    Seconds success_lifetime = 1;       // an older success says nothing any more
-    Seconds failure_lifetime = 3;       // nor does an older failure
-    Seconds destination_lifetime = 10;  // destinations that were served are known for so long
-    double timeout_factor = 2.5;        // times the usual latency: a call in flight for longer has failed
-    double slow_factor = 4;             // times the usual latency: a call served after longer was slow
-    Seconds default_latency = 1;        // time until a call has failed while no latency is known
+    Seconds success_lifetime = 1;       // older successes are ignored
+    Seconds failure_lifetime = 3;       // older failures are ignored
+    Seconds destination_lifetime = 10;  // a destination that served a call counts as observed for this long
+    double timeout_factor = 2.5;        // times the mean latency: a call in flight for longer has failed
+    double slow_factor = 4;             // times the mean latency: a call served after longer was slow
+    Seconds default_timeout = 1;        // a call in flight for longer has failed, while no latency is known
   };
 
   ZoneHealthObserver(const Options& options, int zones);
 
   void OnSent(Seconds now, int zone, DestinationId destination, EndpointId endpoint);
 
-  // A call or health check that was sent `duration` ago. Outcomes that say nothing about the endpoint are
-  // ignored, and so are time-outs of calls that Tick has counted already.
+  // A call or health check has ended that was sent `duration` ago. Outcomes that say nothing about the
+  // endpoint are ignored, and so are timeouts of calls that Tick has already counted.
   void OnEnded(Seconds now, int zone, DestinationId destination, EndpointId endpoint, Outcome outcome,
                Seconds duration);
 
-  // Counts calls that are in flight for too long as failed.
+  // Counts calls that have been in flight for too long as failed.
   void Tick(Seconds now);
 
   ZoneObservation Observe(Seconds now, int zone) const;
@@ -66,12 +67,12 @@
   struct Endpoint {
     int zone = 0;
     DestinationId destination = 0;
-    Seconds latency = 0;             // smoothed, of served calls; 0: unknown
-    std::vector<Seconds> in_flight;  // times of sending
+    Seconds mean_latency = 0;        // moving average of served calls that were not slow; 0: unknown
+    std::vector<Seconds> in_flight;  // when each call was sent
   };
   struct LatestCall {
     bool succeeded = false;
-    Seconds at = 0;  // a success: when it was sent; a failure: when it was noticed
+    Seconds at = 0;  // when a call that succeeded was sent, or when a failure was noticed
     Seconds success_at = kLongAgo;
   };
   struct Zone {
@@ -83,14 +84,14 @@
 
   void DropIdleEndpoints();
   void UpdateLatency(Endpoint& endpoint, Seconds duration);
-  bool IsKnown(int zone) const { return zone >= 0 && zone < zones(); }
+  bool IsValidZone(int zone) const { return zone >= 0 && zone < zones(); }
   void RecordSuccess(int zone, DestinationId destination, Seconds sent);
   void RecordFailure(Seconds now, int zone, DestinationId destination, FaultKind fault);
 
   const Options options_;
   std::vector<Zone> zones_;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
-  Seconds latency_ = 0;  // smoothed, of all endpoints; 0: unknown
+  Seconds mean_latency_ = 0;  // the same, over all endpoints
 };
 
 }  // namespace opalroute::zone_failover
