--- a/tests/zone_failover/simulated_calls.cpp
+++ b/tests/zone_failover/simulated_calls.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr double kHealthCheckShare = 0.2;  // of the calls into a zone, by its health-check relays
+// Probability that a health-check relay makes a call that would go into the evacuated zone.
+constexpr double kHealthCheckProbability = 0.2;
 
 }  // namespace
 
@@ -37,8 +38,8 @@
   EndDueCalls();
   for (int relay = 0; relay < fleet_.size(); ++relay) {
     if (!fleet_.IsRunning(relay)) continue;
-    double due = rate_ * zone_failover::ZoneFailover::kTickInterval;
-    for (; lab::DrawUnit(fleet_.random()) < due; due -= 1) Call(relay);
+    double expected_calls = rate_ * zone_failover::ZoneFailover::kTickInterval;
+    for (; lab::DrawUnit(fleet_.random()) < expected_calls; expected_calls -= 1) Call(relay);
   }
 }
 
@@ -56,7 +57,7 @@
   const int destination = fleet_.Below(kDestinations);
   const int zone = fleet_.Below(kZones);
   const ZoneTrafficShare& share = fleet_.TrafficShareOf(relay, zone);
-  const double probability = share.is_health_check_relay ? kHealthCheckShare : share.traffic_share;
+  const double probability = share.is_health_check_relay ? kHealthCheckProbability : share.traffic_share;
   if (lab::DrawUnit(fleet_.random()) >= probability) return;
   ++calls_by_zone[zone];
   const CallResult result = response_(relay, destination, zone);
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -1,4 +1,5 @@
-// Zones that a fleet evacuates and returns to, on a simulated clock. Each test says what calls meet.
+// Tests of evacuation and recovery by a whole fleet, on a simulated clock. Each test decides the outcome of
+// calls.
 #include <doctest/doctest.h>
 
 #include <numeric>
@@ -12,7 +13,8 @@
 using zone_failover::EvacuationPhase;
 
 TEST_CASE(
-    "zone failover: a zone that fails_at in any way is evacuated by all within seconds, and no other is") {
+    "zone failover: a zone that fails in any way is evacuated by all relays within seconds, and no other "
+    "is") {
   for (const Outcome outcome :
        {Outcome::kConnectFailed, Outcome::kRejected, Outcome::kReset, Outcome::kError, Outcome::kTimeout})
     for (const int size : {3, 12, 60}) {
@@ -32,8 +34,8 @@
       CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == size);
       calls.calls_by_zone.clear();
       calls.RunUntil(recovers_at);
-      CHECK(calls.calls_by_zone[1] * 10 <= (calls.calls_by_zone[0] + calls.calls_by_zone[2]) *
-                                               3);  // in a small fleet all are health-check relays
+      // In a small fleet all relays are health-check relays.
+      CHECK(calls.calls_by_zone[1] * 10 <= (calls.calls_by_zone[0] + calls.calls_by_zone[2]) * 3);
       if (size == 60) CHECK(calls.calls_by_zone[1] * 12 < calls.calls_by_zone[0]);
       calls.RunUntil(recovers_at + 8);
       CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 0);
@@ -46,7 +48,8 @@
     }
 }
 
-TEST_CASE("zone failover: with 20% and 60% of the messages lost all evacuate, a little later") {
+TEST_CASE(
+    "zone failover: with 20% and 60% of the messages lost, all relays still evacuate within three seconds") {
   for (const double loss : {0.2, 0.6}) {
     lab::LinkPlan links;
     links.loss = loss;
@@ -62,7 +65,8 @@
   }
 }
 
-TEST_CASE("zone failover: all relays name the same three health-check relays, and others in the next round") {
+TEST_CASE(
+    "zone failover: all relays choose the same three health-check relays, and others in the next round") {
   SimulatedFleet fleet(OptionsFor(30), {}, 7);
   SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
     return zone == 2 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
@@ -73,16 +77,16 @@
   for (int relay = 0; relay < 30; ++relay)
     if (fleet.TrafficShareOf(relay, 2).is_health_check_relay) health_check_relays.insert(relay);
   CHECK(health_check_relays.size() >= 3);
-  CHECK(health_check_relays.size() <= 6);  // relays may know different members
-  std::vector<int> live(30);
-  std::iota(live.begin(), live.end(), 0);
-  const auto first = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
-  CHECK(first != zone_failover::HealthCheckRelaysOf(live, 2, 3, 3));
-  CHECK(first != zone_failover::HealthCheckRelaysOf(live, 1, 2, 3));
+  CHECK(health_check_relays.size() <= 6);  // relays may know different sets of members
+  std::vector<int> alive(30);
+  std::iota(alive.begin(), alive.end(), 0);
+  const auto first = zone_failover::HealthCheckRelaysOf(alive, 2, 2, 3);
+  CHECK(first != zone_failover::HealthCheckRelaysOf(alive, 2, 3, 3));
+  CHECK(first != zone_failover::HealthCheckRelaysOf(alive, 1, 2, 3));
   for (const int relay : first) CHECK(health_check_relays.count(relay) == 1);
-  // Without one of them the others keep their ranks.
-  live.erase(std::find(live.begin(), live.end(), first[0]));
-  const auto without = zone_failover::HealthCheckRelaysOf(live, 2, 2, 3);
+  // If one of them is gone, the others keep their ranks.
+  alive.erase(std::find(alive.begin(), alive.end(), first[0]));
+  const auto without = zone_failover::HealthCheckRelaysOf(alive, 2, 2, 3);
   CHECK(without[0] == first[1]);
   CHECK(without[1] == first[2]);
 }
@@ -90,25 +94,26 @@
 TEST_CASE("zone failover: a zone that serves for 300 ms every 3 s does not recover") {
   SimulatedFleet fleet(OptionsFor(12), {}, 8);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    const bool flash = std::fmod(fleet.now - 105, 3) >= 2.7;
-    return zone == 1 && fleet.now >= 105 && !flash ? Failing(Outcome::kConnectFailed)
-                                                   : CallResult{Outcome::kServed, 0.05};
+    const bool serves = std::fmod(fleet.now - 105, 3) >= 2.7;
+    return zone == 1 && fleet.now >= 105 && !serves ? Failing(Outcome::kConnectFailed)
+                                                    : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
   calls.RunUntil(108);
-  const std::size_t left = fleet.changes.size();
+  const std::size_t changes_before = fleet.changes.size();
   calls.RunUntil(150);
-  CHECK(fleet.changes.size() == left);
+  CHECK(fleet.changes.size() == changes_before);
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zone failover: a relapse evacuates it again, each time for longer up to a bound") {
+TEST_CASE("zone failover: a zone that relapses is evacuated again, each time for longer up to a bound") {
   SimulatedFleet fleet(OptionsFor(12), {}, 9);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    // Serves health-check relays, and fails_at under the load of all.
-    const bool out = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) > 6;
-    return zone == 1 && fleet.now >= 105 && (!out || fleet.now < 107) ? Failing(Outcome::kReset)
-                                                                      : CallResult{Outcome::kServed, 0.05};
+    // The zone serves health-check relays but fails under the load of all relays.
+    const bool is_evacuated = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) > 6;
+    return zone == 1 && fleet.now >= 105 && (!is_evacuated || fleet.now < 107)
+               ? Failing(Outcome::kReset)
+               : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
   calls.RunUntil(200);
@@ -127,14 +132,15 @@
   for (std::uint64_t round = 3; round + 1 <= rounds.rbegin()->first && rounds[round + 1].recovering_at > 0;
        ++round) {
     CAPTURE(round);
-    const double lasted = rounds[round].recovering_at - rounds[round].evacuated_at;
-    CHECK(lasted >= std::min(16.0, std::exp2(static_cast<double>(round - 2))) - 0.5);
-    CHECK(lasted < 20);
+    const double evacuated_for = rounds[round].recovering_at - rounds[round].evacuated_at;
+    CHECK(evacuated_for >= std::min(16.0, std::exp2(static_cast<double>(round - 2))) - 0.5);
+    CHECK(evacuated_for < 20);
   }
 }
 
 TEST_CASE(
-    "zone failover: a relay that starts, restarts or thaws learns the phase before its first send there") {
+    "zone failover: a relay that starts, restarts or is unfrozen learns a zone's phase before it sends "
+    "there") {
   SimulatedFleet fleet(OptionsFor(12), {}, 10);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
@@ -143,13 +149,13 @@
   fleet.RunUntil(104);
   fleet.Kill(11);
   calls.RunUntil(106.9);
-  fleet.Freeze(5, 120);  // it keeps its state
-  fleet.Kill(3);         // with its state folder
-  fleet.Kill(4, true);   // and without
+  fleet.Freeze(5, 120);  // keeps its state in memory
+  fleet.Kill(3);         // keeps its state folder
+  fleet.Kill(4, true);   // loses its state folder
   calls.RunUntil(112);
   for (const int relay : {3, 4, 11}) fleet.Start(relay);
-  CHECK(fleet[3].StateOf(1).phase ==
-        EvacuationPhase::kEvacuated);  // from the state folder, before any gossip
+  // From the state folder, before any gossip.
+  CHECK(fleet[3].StateOf(1).phase == EvacuationPhase::kEvacuated);
   CHECK(!fleet[4].HasJoined(fleet.now));
   fleet.RunUntil(fleet.now + 0.15);
   for (const int relay : {3, 4, 11}) {
@@ -161,7 +167,8 @@
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
 }
 
-TEST_CASE("zone failover: the outdated state of a relay that thaws changes nothing") {
+TEST_CASE(
+    "zone failover: the outdated state of a relay that is unfrozen does not change the state of others") {
   SimulatedFleet fleet(OptionsFor(12), {}, 11);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 105 && fleet.now < 108 ? Failing(Outcome::kReset)
@@ -173,14 +180,15 @@
   fleet.Freeze(2, 125);
   calls.RunUntil(124);
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 11);
-  const std::size_t before = fleet.changes.size();
+  const std::size_t changes_before = fleet.changes.size();
   calls.RunUntil(130);
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 12);
-  CHECK(fleet.changes.size() <= before + 2);  // its own only
+  CHECK(fleet.changes.size() <= changes_before + 2);  // only its own
 }
 
 TEST_CASE(
-    "zone failover: a relay that was frozen and cut off while others agreed does not cancel the evacuation") {
+    "zone failover: a relay that was frozen and cut off while the others agreed does not cancel the "
+    "evacuation") {
   SimulatedFleet fleet(OptionsFor(12), {}, 17);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kConnectFailed)
@@ -190,22 +198,22 @@
   while (fleet.now < 110 && fleet[2].StateOf(1).phase != EvacuationPhase::kEvacuating)
     calls.RunUntil(fleet.now + 0.01);
   REQUIRE(fleet[2].StateOf(1).phase == EvacuationPhase::kEvacuating);
-  const Seconds thaws_at = fleet.now + 4;
-  fleet.Freeze(2, thaws_at);
-  fleet.cut = [&](int, int to) { return fleet.now < thaws_at + 0.1 && to == 2; };
+  const Seconds unfrozen_at = fleet.now + 4;
+  fleet.Freeze(2, unfrozen_at);
+  fleet.cut = [&](int, int to) { return fleet.now < unfrozen_at + 0.1 && to == 2; };
   calls.RunUntil(fleet.now + 2);
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 11);
   calls.RunUntil(fleet.now + 6);
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) == 12);
-  int withdrawn = 0;
+  int cancellations = 0;
   for (const auto& change : fleet.changes) {
     CHECK(change.after.round < 3);
-    withdrawn += change.after.phase == EvacuationPhase::kInService;
+    cancellations += change.after.phase == EvacuationPhase::kInService;
   }
-  CHECK(withdrawn == 1);  // its own, which no other relay adopts
+  CHECK(cancellations == 1);  // by the unfrozen relay; no other relay adopts it
 }
 
-TEST_CASE("zone failover: both sides of a partition decide alike, and agree once it heals") {
+TEST_CASE("zone failover: both sides of a partition reach the same decision, and agree once it heals") {
   SimulatedFleet fleet(OptionsFor(16), {}, 12);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? Failing(Outcome::kTimeout)
@@ -222,7 +230,8 @@
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 16);
 }
 
-TEST_CASE("zone failover: seven in ten relays are killed during the outage; the rest recovers without them") {
+TEST_CASE(
+    "zone failover: if seven in ten relays are killed during the outage, the others recover without them") {
   SimulatedFleet fleet(OptionsFor(20), {}, 13);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     return zone == 1 && fleet.now >= 105 && fleet.now < 114 ? Failing(Outcome::kReset)
@@ -238,65 +247,69 @@
   CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 20);
 }
 
-// SIGKILL at every moment of evacuation and recovery, with the state folder and without: the relay never
-// sends to a zone that all others have evacuated.
-TEST_CASE("zone failover: a relay that is killed at any moment restarts in the phase of the others") {
-  for (int moment = 0; moment < 60; ++moment) {
-    CAPTURE(moment);
+// Kills a relay at 60 points in time during evacuation and recovery, at every second one with the loss of its
+// state folder. After its restart it must not send to a zone that all others have evacuated.
+TEST_CASE("zone failover: a relay that is killed at any time restarts in the phase of the others") {
+  for (int step = 0; step < 60; ++step) {
+    CAPTURE(step);
     SimulatedFleet fleet(OptionsFor(8), {}, 16);
     SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
       return zone == 1 && fleet.now >= 105 && fleet.now < 110 ? Failing(Outcome::kReset)
                                                               : CallResult{Outcome::kServed, 0.05};
     });
     fleet.StartAll();
-    const Seconds kill = 104.9 + 0.2 * moment;
-    calls.RunUntil(kill);
-    fleet.Kill(3, moment % 2 == 0);
-    calls.RunUntil(kill + 0.6);
-    const bool all_out = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) >= 7;
+    const Seconds killed_at = 104.9 + 0.2 * step;
+    calls.RunUntil(killed_at);
+    fleet.Kill(3, step % 2 == 0);
+    calls.RunUntil(killed_at + 0.6);
+    const bool all_others_evacuated = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) >= 7;
     fleet.Start(3);
     fleet.RunUntil(fleet.now + 0.15);
     CHECK(fleet[3].HasJoined(fleet.now));
-    if (all_out) CHECK(fleet.TrafficShareOf(3, 1).traffic_share == 0);
+    if (all_others_evacuated) CHECK(fleet.TrafficShareOf(3, 1).traffic_share == 0);
     calls.RunUntil(125);
     CHECK(CountInPhase(fleet, 1, EvacuationPhase::kInService) == 8);
   }
 }
 
-TEST_CASE("zone failover: none is evacuated over 1,000 scripts of faults that are no zone's") {
+TEST_CASE("zone failover: in 1,000 runs with faults that are not those of one zone, none is evacuated") {
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
-    pcg32 draw(seed, 31);
-    const int size = 2 + static_cast<int>(draw(11));
-    const int kind = static_cast<int>(seed % 8), bad = static_cast<int>(draw(kDestinations));
-    const int some = 1 + static_cast<int>(draw(static_cast<std::uint32_t>(std::max(1, size / 5))));
+    pcg32 random(seed, 31);
+    const int size = 2 + static_cast<int>(random(11));
+    const int kind = static_cast<int>(seed % 8);
+    const int failing_destination = static_cast<int>(random(kDestinations));
+    const int affected_relays =
+        1 + static_cast<int>(random(static_cast<std::uint32_t>(std::max(1, size / 5))));
     const Outcome outcome = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
-                                                 Outcome::kError}[draw(4)];
+                                                 Outcome::kError}[random(4)];
     lab::LinkPlan links;
-    links.loss = draw(3) * 0.3;
+    links.loss = random(3) * 0.3;
     SimulatedFleet fleet(OptionsFor(size), links, seed);
-    pcg32 chance(seed, 33);
-    const auto one_in = [&](std::uint32_t n) { return chance(n) == 0; };
-    SimulatedCalls calls(fleet, 2 + draw(8), [&](int relay, int destination, int zone) -> CallResult {
+    pcg32 call_random(seed, 33);
+    const auto one_in = [&](std::uint32_t n) { return call_random(n) == 0; };
+    SimulatedCalls calls(fleet, 2 + random(8), [&](int relay, int destination, int zone) -> CallResult {
       if (fleet.now < 102) return {};
       switch (kind) {
         case 0:  // one destination in one zone
-          return zone == 1 && destination == bad ? Failing(outcome) : CallResult{};
-        case 1:  // three destinations in all zones, and another one in three calls
-          return (destination + 12 - bad) % 12 < 3 || (zone == 1 && destination == 5 && one_in(3))
+          return zone == 1 && destination == failing_destination ? Failing(outcome) : CallResult{};
+        case 1:  // three destinations in all zones, and one call in three of another destination in zone 1
+          return (destination + 12 - failing_destination) % 12 < 3 ||
+                         (zone == 1 && destination == 5 && one_in(3))
                      ? Failing(outcome)
                      : CallResult{};
-        case 2:  // a few relays have lost their path to it; of four or fewer relays one is a quarter
-          return zone == 1 && relay < some && size > 4 * some ? Failing(outcome) : CallResult{};
-        case 3:  // all at once
+        case 2:  // fewer than a quarter of the relays (none if there are four or fewer) cannot reach zone 1
+          return zone == 1 && relay < affected_relays && size > 4 * affected_relays ? Failing(outcome)
+                                                                                    : CallResult{};
+        case 3:  // all zones fail at once
           return Failing(outcome);
-        case 4:  // everything is slow at once
+        case 4:  // all zones become slow at once
           return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, fleet.now - 102)};
-        case 5:  // discovery is wrong about a third of a zone's endpoints
+        case 5:  // the endpoint list is wrong about a third of a zone's endpoints
           return zone == 2 && destination % 3 == 0 ? Failing(Outcome::kConnectFailed) : CallResult{};
         case 6:  // half of the destinations of a zone are above their limits: two calls in three are rejected
           return zone == 1 && destination % 2 == 0 && !one_in(3) ? Failing(Outcome::kRejected)
                                                                  : CallResult{Outcome::kServed, 0.05};
-        default:  // one call in four fails_at by chance, everywhere
+        default:  // one call in four fails at random, in all zones
           return one_in(4) ? Failing(outcome) : CallResult{};
       }
     });
@@ -321,7 +334,7 @@
   for (const auto& change : fleet.changes) CHECK(change.after.phase != EvacuationPhase::kEvacuated);
 }
 
-TEST_CASE("zone failover: one relay with false failure reports changes nothing") {
+TEST_CASE("zone failover: one relay that falsely reports failures does not change the state of any zone") {
   SimulatedFleet fleet(OptionsFor(8), {}, 15);
   SimulatedCalls calls(
       fleet, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
--- a/tests/zone_failover/zone_gossip_test.cpp
+++ b/tests/zone_failover/zone_gossip_test.cpp
@@ -1,4 +1,4 @@
-// The encoding of zone payloads.
+// Tests of the encoding of zone payloads.
 #include "zone_failover/zone_gossip.h"
 
 #include <doctest/doctest.h>
@@ -18,15 +18,15 @@
   (*gossip.report)[1].failure_age = 0.37;
   (*gossip.report)[1].fault = FaultKind::kTimeout;
   const std::string bytes = zone_failover::EncodeZoneGossip(gossip);
-  const auto read = zone_failover::DecodeZoneGossip(bytes);
-  REQUIRE(read);
-  CHECK(read->states[0].round == 300);
-  CHECK(read->states[0].phase == EvacuationPhase::kRecovering);
-  CHECK(read->states[0].relapses == 3);
-  CHECK(read->states[0].since == doctest::Approx(12.3));  // rounded down
-  CHECK((*read->report)[0].succeeded == 0x80000001);
-  CHECK((*read->report)[1].failure_age == doctest::Approx(0.3));
-  CHECK((*read->report)[1].fault == FaultKind::kTimeout);
+  const auto decoded = zone_failover::DecodeZoneGossip(bytes);
+  REQUIRE(decoded);
+  CHECK(decoded->states[0].round == 300);
+  CHECK(decoded->states[0].phase == EvacuationPhase::kRecovering);
+  CHECK(decoded->states[0].relapses == 3);
+  CHECK(decoded->states[0].since == doctest::Approx(12.3));  // rounded down
+  CHECK((*decoded->report)[0].succeeded == 0x80000001);
+  CHECK((*decoded->report)[1].failure_age == doctest::Approx(0.3));
+  CHECK((*decoded->report)[1].fault == FaultKind::kTimeout);
   for (std::size_t size = 0; size < bytes.size(); ++size)
     CHECK(!zone_failover::DecodeZoneGossip(bytes.substr(0, size)));
   CHECK(!zone_failover::DecodeZoneGossip(bytes + "x"));
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -1,5 +1,5 @@
-// 24 processes of the program with faults between them: datagrams lost, a zone shut, processes killed and
-// frozen. Checks are of counts and order, whatever the machine's speed.
+// Tests of 24 relay processes under faults: lost datagrams, a zone that fails, processes that are killed or
+// frozen. They check only counts and the order of events, so they do not depend on the machine's speed.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -16,38 +16,39 @@
 
 namespace fs = std::filesystem;
 
-// Of the share of calls before the evacuation.
-constexpr double kEvacuatedShare = 0.6;
+// A zone counts as evacuated while its share of the calls is below this fraction of its share before.
+constexpr double kEvacuatedFraction = 0.6;
 
-class Folder {
+class TemporaryFolder {
  public:
-  Folder()
-      : path_((fs::temp_directory_path() / ("opalroute-tier-test-" + std::to_string(getpid()))).string()) {}
-  ~Folder() { fs::remove_all(path_); }
+  TemporaryFolder()
+      : path_((fs::temp_directory_path() / ("opalroute-zone-test-" + std::to_string(getpid()))).string()) {}
+  ~TemporaryFolder() { fs::remove_all(path_); }
   const std::string& path() const { return path_; }
 
  private:
   const std::string path_;
 };
 
-// Plays one of lab/scenarios, and reads the phase changes from the logs of all relays.
-RunResult Play(const std::string& name) {
-  const Folder folder;
+// Runs one of lab/scenarios with real relay processes. Fails the test on any breach or crash.
+RunResult RunScenario(const std::string& name) {
+  const TemporaryFolder folder;
   SocketOptions options;
   options.program = RELAY_PROGRAM;
   options.folder = folder.path();
   options.most_lateness = options.most_lateness_p99 = 1e9;
   const Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/" + name + ".json");
-  const RunResult r = PlayOnSockets(scenario, 1, options);
-  for (const Breach& b : r.breaches) FAIL_CHECK(NameOf(b.kind), " ", b.at, " ", b.trace);
-  for (const Crash& c : r.crashes) FAIL_CHECK(c.relay, " ", c.how, "\n", c.last_log);
-  return r;
+  const RunResult result = PlayOnSockets(scenario, 1, options);
+  for (const Breach& b : result.breaches) FAIL_CHECK(NameOf(b.kind), " ", b.at, " ", b.trace);
+  for (const Crash& c : result.crashes) FAIL_CHECK(c.relay, " ", c.how, "\n", c.last_log);
+  return result;
 }
 
-// All 24 have evacuated zone 1 and no other, and have returned to it.
-void CheckOneEvacuated(const RunResult& r) {
-  std::map<int, std::string> phases;  // of zone 1 by relay, in their order
-  for (const StageChange& c : r.stage_changes) {
+// Checks that all 24 relays have evacuated zone 1 and no other, and that it is in service again at all of
+// them.
+void CheckOnlyZone1Evacuated(const RunResult& result) {
+  std::map<int, std::string> phases;  // of zone 1, by relay, in the order in which they were entered
+  for (const StageChange& c : result.stage_changes) {
     if (c.zone == 1) phases[c.relay] += c.step + " ";
     CHECK_MESSAGE((c.zone == 1 || c.step != "out"), "relay ", c.relay, " has evacuated zone ", c.zone);
   }
@@ -61,42 +62,42 @@
     CHECK(returning != std::string::npos);
     CHECK(order.rfind("in ") == order.size() - 3);
   }
-  CHECK(r.notes > 1000);
+  CHECK(result.notes > 1000);
 }
 
-// The share of the calls that go into zone 1, from second to second, among destinations that have endpoints
-// in other zones, too: the others are still called there.
-double ZoneShareWithin(const RunResult& r, std::size_t from, std::size_t to) {
-  long into = 0, all = 0;
+// Zone 1's share of the calls from second `from` until second `to`. Counts only calls to destinations that
+// also have endpoints in other zones, because the others are still called in zone 1 during an evacuation.
+double ZoneShareWithin(const RunResult& result, std::size_t from, std::size_t to) {
+  long zone_calls = 0, all_calls = 0;
   for (std::size_t second = from; second < to; ++second) {
-    const std::vector<long>& calls = r.seconds[second].spared_calls;
-    into += calls.size() > 1 ? calls[1] : 0;
-    all += std::accumulate(calls.begin(), calls.end(), 0L);
+    const std::vector<long>& calls = result.seconds[second].spared_calls;
+    zone_calls += calls.size() > 1 ? calls[1] : 0;
+    all_calls += std::accumulate(calls.begin(), calls.end(), 0L);
   }
-  REQUIRE(all > 40);  // enough for a share
-  return static_cast<double>(into) / static_cast<double>(all);
+  REQUIRE(all_calls > 40);  // enough to compute a share
+  return static_cast<double>(zone_calls) / static_cast<double>(all_calls);
 }
 
 TEST_CASE(
-    "processes: 24 of them evacuate a zone that is shut, and return, though six are killed and two frozen") {
-  const RunResult r = Play("zone_processes");
-  CheckOneEvacuated(r);
-  CHECK(ZoneShareWithin(r, 8, 11) < kEvacuatedShare * ZoneShareWithin(r, 1, 4));
+    "processes: 24 relays evacuate a failing zone and return to it, though six are killed and two frozen") {
+  const RunResult result = RunScenario("zone_processes");
+  CheckOnlyZone1Evacuated(result);
+  CHECK(ZoneShareWithin(result, 8, 11) < kEvacuatedFraction * ZoneShareWithin(result, 1, 4));
 }
 
 TEST_CASE(
-    "processes: 24 of them follow an override issued at one, though it is killed and four are cut off") {
-  const RunResult r = Play("zone_orders");
-  CheckOneEvacuated(r);
-  const double before = ZoneShareWithin(r, 1, 4);
-  CHECK(ZoneShareWithin(r, 7, 9) < kEvacuatedShare * before);
-  CHECK(ZoneShareWithin(r, 20, 23) > kEvacuatedShare * before);
+    "processes: 24 relays follow an override issued at one, though that one is killed and four are cut off") {
+  const RunResult result = RunScenario("zone_orders");
+  CheckOnlyZone1Evacuated(result);
+  const double before = ZoneShareWithin(result, 1, 4);
+  CHECK(ZoneShareWithin(result, 7, 9) < kEvacuatedFraction * before);
+  CHECK(ZoneShareWithin(result, 20, 23) > kEvacuatedFraction * before);
 }
 
-// Two relays' sockets and the forwarder between them, in this process.
+// Runs the sockets of two relays and the forwarder between them in this process.
 TEST_CASE(
-    "processes: the forwarder keeps senders apart, refuses for dead processes, and is silent in a "
-    "partition") {
+    "processes: the forwarder keeps senders apart, answers 'port unreachable' for dead processes, and drops "
+    "datagrams in a partition") {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
   LinkPlan plan;
@@ -106,35 +107,35 @@
   cut.lasts = 1e6;
   plan.cuts.push_back(cut);
   Seconds now = 0;
-  Post post(loop, 3, plan, 1, [&now] { return now; });
-  const std::vector<sockaddr_in> peers = post.Peers();
-  std::vector<std::string> got;
+  Post forwarder(loop, 3, plan, 1, [&now] { return now; });
+  const std::vector<sockaddr_in> peers = forwarder.Peers();
+  std::vector<std::string> received;
   int refused = 0;
   net::DatagramSocket first(
-      loop, post.ListenOf(0), 256, [](const sockaddr_in&, const std::string&) {},
+      loop, forwarder.ListenOf(0), 256, [](const sockaddr_in&, const std::string&) {},
       [&](const sockaddr_in& to) { refused += to.sin_port == peers[2].sin_port; });
-  net::DatagramSocket second(loop, post.ListenOf(1), 256,
+  net::DatagramSocket second(loop, forwarder.ListenOf(1), 256,
                              [&](const sockaddr_in& from, const std::string& bytes) {
-                               got.push_back((from.sin_port == peers[0].sin_port ? "0:" : "?:") + bytes);
+                               received.push_back((from.sin_port == peers[0].sin_port ? "0:" : "?:") + bytes);
                              });
-  post.SetThere(0, true);
-  post.SetThere(1, true);
-  const auto until = [&](const std::function<bool()>& holds) {
-    for (int i = 0; i < 2000 && !holds(); ++i) loop.RunOnce(0.005);
-    return holds();
+  forwarder.SetThere(0, true);
+  forwarder.SetThere(1, true);
+  const auto run_until = [&](const std::function<bool()>& condition) {
+    for (int i = 0; i < 2000 && !condition(); ++i) loop.RunOnce(0.005);
+    return condition();
   };
   first.Send(peers[1], "one");
-  CHECK(until([&] { return got.size() == 1; }));
-  CHECK(got[0] == "0:one");
+  CHECK(run_until([&] { return received.size() == 1; }));
+  CHECK(received[0] == "0:one");
   first.Send(peers[2], "nobody");
-  CHECK(until([&] { return refused == 1; }));
-  now = 20;  // cut off from all others
+  CHECK(run_until([&] { return refused == 1; }));
+  now = 20;  // relay 0 is cut off from all others
   first.Send(peers[1], "two");
-  post.SetThere(2, false);
+  forwarder.SetThere(2, false);
   first.Send(peers[2], "nobody");
   first.Send(peers[1], "three");
   for (int i = 0; i < 20; ++i) loop.RunOnce(0.005);
-  CHECK(got.size() == 1);
+  CHECK(received.size() == 1);
   CHECK(refused == 1);
 }
 
