--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -21,7 +21,7 @@
 
 namespace fs = std::filesystem;
 using nlohmann::json;
-using Reply = DiscoveryStandIn::Reply;
+using Reply = FakeDiscovery::Reply;
 
 // Bounds of docs/acceptance.md, in seconds. A relay counts as notified of a change kNotifiedWithin after
 // discovery had the change and was reachable, or kNotifiedAfterReload after SIGHUP. Calls may continue for
@@ -55,24 +55,24 @@
   void Poll() { relay_.Poll(); }
   void Begin() {
     start_ = loop_.Now();
-    client_ = std::make_unique<ClientStandIn>(loop_, relay_.address(), "m" + std::to_string(number_));
+    client_ = std::make_unique<FakeClient>(loop_, relay_.address(), "m" + std::to_string(number_));
     switch (fault_) {
       case Fault::kOverloadedAddressChanges:
         for (const Seconds at : {1.0, 1.3, 1.7, kLastAddressChange}) At(at, [this] { ChangeAddress(); });
-        At(2.4, [this] { discovery_.Drain(); });
+        At(2.4, [this] { discovery_.DrainFirstEndpoint(); });
         notification_due_ = kLastAddressChange + kNotifiedAfterReload;
         notified_by_ =
             notification_due_ + kGracePeriod;  // discovery is overloaded almost until `notification_due_`
         break;
       case Fault::kOutage:
-        At(1.0, [this] { discovery_.GoDown(); });
-        At(2.0, [this] { discovery_.Drain(); });
-        At(kOutageEnd, [this] { discovery_.Return(); });
+        At(1.0, [this] { discovery_.StartOutage(); });
+        At(2.0, [this] { discovery_.DrainFirstEndpoint(); });
+        At(kOutageEnd, [this] { discovery_.EndOutage(); });
         notification_due_ = notified_by_ = kOutageEnd + kNotifiedWithin;
         break;
       case Fault::kUnresponsiveTwice:
-        At(1.0, [this] { discovery_.Mute(); });
-        At(1.2, [this] { discovery_.Drain(); });
+        At(1.0, [this] { discovery_.SilenceOpenWatches(); });
+        At(1.2, [this] { discovery_.DrainFirstEndpoint(); });
         notification_due_ = notified_by_ = 1.0 + kNotifiedWithin;
         break;
     }
@@ -85,7 +85,7 @@
     CAPTURE(discovery_.calls());
     CAPTURE(relay_.LastLog());
     CHECK_MESSAGE(crash_.empty(), crash_);
-    const Seconds notified = discovery_.told_at() < 0 ? 1e9 : discovery_.told_at() - start_;
+    const Seconds notified = discovery_.drain_sent_at() < 0 ? 1e9 : discovery_.drain_sent_at() - start_;
     CHECK_MESSAGE(notified <= notified_by_ + kTolerance, "notified at ", notified, " s, bound ",
                   notified_by_);
     const Seconds latest = draining_endpoint_.latest_call() - start_;
@@ -117,7 +117,7 @@
   }
   void At(Seconds after, std::function<void()> action) { loop_.At(start_ + after, std::move(action)); }
   void ChangeAddress() {
-    discovery_.Move();
+    discovery_.MoveToNewPort();
     relay_.Reload();
   }
   Reply CurrentReply() {
@@ -138,15 +138,15 @@
   net::EventLoop& loop_;
   const Fault fault_;
   const int number_;
-  EndpointStandIn draining_endpoint_, other_endpoint_;
+  FakeEndpoint draining_endpoint_, other_endpoint_;
   int watches_after_fault_ = 0;
   Seconds start_ = 0;
   Seconds notification_due_ = 0;  // the relay counts as notified from then on, even without the list
   Seconds notified_by_ = 0;       // when the list must have reached it
   std::string crash_;
-  DiscoveryStandIn discovery_;
+  FakeDiscovery discovery_;
   lab::RelayProcess relay_;
-  std::unique_ptr<ClientStandIn> client_;
+  std::unique_ptr<FakeClient> client_;
 };
 
 class Folder {
--- a/tests/lab/endpoints_test.cpp
+++ b/tests/lab/endpoints_test.cpp
@@ -66,10 +66,10 @@
            {"partners", {{"count", 1}, {"endpoints", {1, 1}}}},
            {"troubles", {{{"kind", "refuse"}, {"partner", 0}, {"from_s", 0.05}, {"lasts_s", 0.1}}}}});
   const std::string address = s.endpoints.AddressOf(1, 0);
-  CHECK(SomebodyListens(address));
+  CHECK(AcceptsConnections(address));
   s.endpoints.Begin(s.loop.Now());
-  CHECK(s.Until([&] { return !SomebodyListens(address); }));
-  CHECK(s.Until([&] { return SomebodyListens(address); }));
+  CHECK(s.Until([&] { return !AcceptsConnections(address); }));
+  CHECK(s.Until([&] { return AcceptsConnections(address); }));
 }
 
 TEST_CASE("lab: an endpoint takes as many connections as it should, and one more once one has ended") {
@@ -115,7 +115,7 @@
   CHECK(poll(&waits, 1, 100) == 0);  // neither up nor refused
   close(fd);
   CHECK(s.Until([&] { return s.loop.Now() > began + 0.4; }));  // to connect before would block
-  CHECK(SomebodyListens(s.endpoints.AddressOf(1, 0)));
+  CHECK(AcceptsConnections(s.endpoints.AddressOf(1, 0)));
 }
 
 }  // namespace
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -329,22 +329,22 @@
   std::ofstream(folder / "day.json") << SmallDay().dump();
   for (const int number : {SIGINT, SIGKILL}) {
     const std::string out = folder / ("run" + std::to_string(number));
-    Program lab(folder / "none", "",
-                {"run", folder / "day.json", "--sockets", "--out", out, "--relay", RELAY_PROGRAM},
-                LAB_PROGRAM);
+    ChildProcess lab(folder / "none", "",
+                     {"run", folder / "day.json", "--sockets", "--out", out, "--relay", RELAY_PROGRAM},
+                     LAB_PROGRAM);
     std::string address;
     for (int i = 0; i < 1000 && address.empty(); ++i) {
       usleep(10000);
       std::ifstream file(out + "/relays/relay1/config.json");
       const json config = json::parse(file, nullptr, false);
-      if (config.is_object() && SomebodyListens(config["listen"])) address = config["listen"];
+      if (config.is_object() && AcceptsConnections(config["listen"])) address = config["listen"];
     }
     REQUIRE(!address.empty());
     lab.Signal(number);
     lab.ExitStatus();
     bool gone = false;
     for (int i = 0; i < 500 && !gone; ++i) {
-      gone = !SomebodyListens(address);
+      gone = !AcceptsConnections(address);
       if (!gone) usleep(10000);
     }
     CHECK(gone);
@@ -355,9 +355,9 @@
 
 // Runs the laboratory with these words. Returns its exit status.
 int Lab(const std::vector<std::string>& words, std::string* last_line = nullptr) {
-  Program lab("none", "", words, LAB_PROGRAM);
+  ChildProcess lab("none", "", words, LAB_PROGRAM);
   std::string line, found;
-  while (!(line = lab.Line("")).empty()) found = line;
+  while (!(line = lab.ReadLogLine("")).empty()) found = line;
   if (last_line != nullptr) *last_line = found;
   return WEXITSTATUS(lab.ExitStatus());
 }
--- a/tests/lab/unwatched_connection_test.cpp
+++ b/tests/lab/unwatched_connection_test.cpp
@@ -31,11 +31,11 @@
 };
 
 struct Meeting {
-  net::HandClock clock;
+  net::ManualClock clock;
   net::EventLoop loop{clock};
   Server handler;
-  net::HttpServer server{loop, *net::ParseAddress("127.0.0.1:0"), net::BoundsOf(4, kFirstRequestWithin),
-                         handler};
+  net::HttpServer server{loop, *net::ParseAddress("127.0.0.1:0"),
+                         net::TestServerBounds(4, kFirstRequestWithin), handler};
   std::unique_ptr<UnwatchedConnection> connection = UnwatchedConnection::Connect(server.address());
   Request request;
 
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -62,7 +62,7 @@
 TEST_CASE("pipelined requests are all answered, however slowly the client reads") {
   const SystemClock clock;
   EventLoop loop(clock);
-  const ServerBounds bounds = BoundsOf(4, 60);
+  const ServerBounds bounds = TestServerBounds(4, 60);
   LargeResponseHandler handler;
   HttpServer server(loop, Loopback(), bounds, handler);
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -129,7 +129,7 @@
 // Guards against clients that leave unused connections open: once they reach their own connection limit they
 // can't open another one, even though the server would accept it.
 TEST_CASE("the idle timeout is shorter while more than half of the connections are in use") {
-  HandClock clock;
+  ManualClock clock;
   EventLoop loop(clock);
   ServerBounds bounds;
   bounds.http = {4096, 16, 4096};
@@ -178,7 +178,7 @@
 TEST_CASE("peers at one address share no connections, and their pools are removed with the last one") {
   const SystemClock clock;
   EventLoop loop(clock);
-  const ServerBounds server_bounds = BoundsOf(4, 60);
+  const ServerBounds server_bounds = TestServerBounds(4, 60);
   LargeResponseHandler handler;
   HttpServer server(loop, Loopback(), server_bounds, handler);
   ClientBounds bounds;
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -45,7 +45,7 @@
 };
 
 struct NotifierFixture {
-  net::HandClock clock;
+  net::ManualClock clock;
   net::EventLoop loop{clock};
   Limits limits;
   int fd = BindWithoutListening();
@@ -68,7 +68,7 @@
   }
   void Listen() {
     REQUIRE(listen(fd, kBacklog) == 0);
-    net::ServerBounds bounds = net::BoundsOf(kBacklog, 2 * kOutage);
+    net::ServerBounds bounds = net::TestServerBounds(kBacklog, 2 * kOutage);
     bounds.http.body_bytes = bounds.http.head_bytes = kBodyBytes;
     server = std::make_unique<net::HttpServer>(loop, fd, bounds, platform);
   }
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -36,19 +36,19 @@
   config["discovery"] = "127.0.0.1:1";
   write(config.dump());
   {
-    Program program(folder / "config.json", "127.0.0.1:1");
-    REQUIRE(program.Says("listening"));
+    ChildProcess program(folder / "config.json", "127.0.0.1:1");
+    REQUIRE(program.ReadLogUntil("listening"));
     config["discovery"] = "127.0.0.1:2";
     config["limits"]["disk_mb"] = 5;
     write(config.dump());
     program.Signal(SIGHUP);
-    CHECK(program.Says("reload_key_waits key=/limits/disk_mb"));
-    CHECK(program.Says("reload_done discovery=127.0.0.1:2 before=127.0.0.1:1"));
+    CHECK(program.ReadLogUntil("reload_key_waits key=/limits/disk_mb"));
+    CHECK(program.ReadLogUntil("reload_done discovery=127.0.0.1:2 before=127.0.0.1:1"));
     write("{\"name\":");
     program.Signal(SIGHUP);
-    CHECK(program.Says("reload_refused why=\"the configuration is no JSON"));
+    CHECK(program.ReadLogUntil("reload_refused why=\"the configuration is no JSON"));
     program.Signal(SIGTERM);
-    CHECK(program.Says("counters"));
+    CHECK(program.ReadLogUntil("counters"));
     CHECK(program.ExitStatus() == 0);
   }
   fs::remove_all(folder);
@@ -88,12 +88,13 @@
   config["peer_listen"] = "127.0.0.1:0";
   std::ofstream(folder / "config.json") << config.dump();
   {
-    Program program(folder / "config.json", "127.0.0.1:1", {}, RELAY_PROGRAM,
-                    DenyDatagramSocketsAndUnusedCalls);
-    CHECK(program.Says("feature_off feature=\"gossip between relays\" why=\"datagram socket: Function not"));
-    CHECK(program.Says("listening"));
+    ChildProcess program(folder / "config.json", "127.0.0.1:1", {}, RELAY_PROGRAM,
+                         DenyDatagramSocketsAndUnusedCalls);
+    CHECK(program.ReadLogUntil(
+        "feature_off feature=\"gossip between relays\" why=\"datagram socket: Function not"));
+    CHECK(program.ReadLogUntil("listening"));
     program.Signal(SIGTERM);
-    CHECK(program.Says("counters"));
+    CHECK(program.ReadLogUntil("counters"));
     CHECK(program.ExitStatus() == 0);
   }
   fs::remove_all(folder);
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -83,31 +83,31 @@
   const fs::path client_config = write("client");
   const lab::ReservedAddress reserved;
   const std::string address = net::FormatAddress(reserved.address());
-  Program server(server_config, "127.0.0.1:1", {"run", "--learn-listen", address});
-  REQUIRE(server.Says("listening"));
+  ChildProcess server(server_config, "127.0.0.1:1", {"run", "--learn-listen", address});
+  REQUIRE(server.ReadLogUntil("listening"));
   const auto arguments = [&](const char* milliseconds) {
     return std::vector<std::string>{"run",           "--learn-from",    address,
                                     "--learn-state", "--learn-time-ms", milliseconds};
   };
   {
-    Program client(client_config, "127.0.0.1:1", arguments("10000"));
-    const std::string line = client.Line("snapshot_received");
+    ChildProcess client(client_config, "127.0.0.1:1", arguments("10000"));
+    const std::string line = client.ReadLogLine("snapshot_received");
     CHECK_MESSAGE(line.find("name=server result=whole") != std::string::npos, line);
-    CHECK(client.Says("state_merged carrier=tcp"));
+    CHECK(client.ReadLogUntil("state_merged carrier=tcp"));
   }
   server.Signal(SIGSTOP);
   {
-    Program client(client_config, "127.0.0.1:1", arguments("50"));
-    CHECK(client.Line("snapshot_received").find("result=late") != std::string::npos);
-    CHECK(client.Says("state_merged carrier=tcp routes=0"));
+    ChildProcess client(client_config, "127.0.0.1:1", arguments("50"));
+    CHECK(client.ReadLogLine("snapshot_received").find("result=late") != std::string::npos);
+    CHECK(client.ReadLogUntil("state_merged carrier=tcp routes=0"));
   }
   {
-    Program killed(client_config, "127.0.0.1:1", arguments("10000"));
-    REQUIRE(killed.Says("listening"));
+    ChildProcess killed(client_config, "127.0.0.1:1", arguments("10000"));
+    REQUIRE(killed.ReadLogUntil("listening"));
   }  // SIGKILL
   server.Signal(SIGCONT);
-  Program again(client_config, "127.0.0.1:1", arguments("10000"));
-  CHECK(again.Line("snapshot_received carrier=tcp").find("result=whole") != std::string::npos);
+  ChildProcess again(client_config, "127.0.0.1:1", arguments("10000"));
+  CHECK(again.ReadLogLine("snapshot_received carrier=tcp").find("result=whole") != std::string::npos);
   again.Signal(SIGTERM);
   CHECK(again.ExitStatus() == 0);
   fs::remove_all(folder);
--- a/tests/support/discovery_stand_in.h
+++ b/tests/support/discovery_stand_in.h
@@ -1,5 +1,6 @@
-// A discovery service on loopback sockets that tests can make crowded, silent or unreachable, and an endpoint
-// and a client beside it. Written from the protocol page; all run on the caller's event loop.
+// A fake discovery service on loopback sockets that can be overloaded, silent or unreachable, and a fake
+// endpoint and client to go with it. They implement the documented protocol independently of the relay's
+// code, and run on the caller's event loop.
 #pragma once
 
 #include <netinet/in.h>
@@ -19,55 +20,56 @@
 
 namespace opalroute {
 
-constexpr net::HttpBounds kStandInBounds{16 * 1024, 64, 1 << 20};
+constexpr net::HttpBounds kFakeHttpBounds{16 * 1024, 64, 1 << 20};
 
-// One relay's view of discovery: two endpoints of one destination, of which the first begins to drain.
-class DiscoveryStandIn {
+// A discovery service for one relay. Its list has two endpoints of one destination; the first can start to
+// drain.
+class FakeDiscovery {
  public:
   enum class Reply {
     kServe,   // the list, then an empty line every 2 s
-    kBusy,    // 503 after `busy_time`: the call has waited too long
-    kSilent,  // nothing, on a connection that stays open
+    kBusy,    // 503 after `busy_delay`: an overloaded server that gives up on a queued request
+    kSilent,  // no response; the connection stays open
   };
-  using Plan = std::function<Reply()>;  // what happens to a call that arrives now
+  using ChooseReply = std::function<Reply()>;  // called when a watch request arrives
 
-  // `first`, `second`: addresses of the two endpoints. Listens at a free loopback port.
-  DiscoveryStandIn(net::EventLoop& loop, std::string first, std::string second, Plan plan)
+  // `first`, `second`: addresses of the two endpoints. Listens on a free loopback port.
+  FakeDiscovery(net::EventLoop& loop, std::string first, std::string second, ChooseReply choose_reply)
       : loop_(loop),
         first_(std::move(first)),
         second_(std::move(second)),
-        plan_(std::move(plan)),
+        choose_reply_(std::move(choose_reply)),
         sessions_(loop) {
-    Move();
+    MoveToNewPort();
   }
 
   sockaddr_in address() const { return address_; }
-  // Takes another address; the one before accepts nothing more, as after a move.
-  void Move() { ListenAt(*net::ParseAddress("127.0.0.1:0")); }
-  // An outage: connections end, and new ones are refused, until Return.
-  void GoDown() {
+  // Switches to another port. The old one accepts no more connections; open ones stay.
+  void MoveToNewPort() { ListenAt(*net::ParseAddress("127.0.0.1:0")); }
+  // Closes all connections and refuses new ones until EndOutage.
+  void StartOutage() {
     listener_.reset();
     while (!sessions_.all().empty()) sessions_.Drop(*sessions_.all().begin()->first);
   }
-  void Return() { ListenAt(address_); }
-  // Watches that are open stay open and bring nothing more, no empty line either.
-  void Mute() { mute_from_ = ++last_session_; }
-  // From now on the first endpoint drains; open watches are told.
-  void Drain() {
-    drains_ = true;
-    for (const auto& [key, session] : sessions_.all()) session->TellList();
+  void EndOutage() { ListenAt(address_); }
+  // Open watches stay open but send nothing more, not even heartbeats.
+  void SilenceOpenWatches() { first_unsilenced_session_ = ++last_session_; }
+  // Sets the first endpoint to draining and sends the list on the open watches.
+  void DrainFirstEndpoint() {
+    is_draining_ = true;
+    for (const auto& [key, session] : sessions_.all()) session->SendList();
   }
-  // When a list in which the first endpoint drains was first written to the relay; negative: not yet.
-  net::Seconds told_at() const { return told_at_; }
-  int calls() const { return calls_; }  // watches asked for
+  // When a list with the draining endpoint was first sent to the relay; negative: not yet.
+  net::Seconds drain_sent_at() const { return drain_sent_at_; }
+  int calls() const { return calls_; }  // number of watch requests
 
-  net::Seconds busy_time = 0.5;
+  net::Seconds busy_delay = 0.5;
 
  private:
   class Session : public net::Connection::Owner {
    public:
-    Session(DiscoveryStandIn& service, int number)
-        : service_(service), number_(number), parser_(net::HttpParser::Kind::kRequest, kStandInBounds) {}
+    Session(FakeDiscovery& service, int number)
+        : service_(service), number_(number), parser_(net::HttpParser::Kind::kRequest, kFakeHttpBounds) {}
     ~Session() override { service_.loop_.Cancel(timer_); }
     bool Open(int fd) {
       connection_ = net::Connection::Adopt(service_.loop_, fd, *this, 64 * 1024, 64 * 1024);
@@ -80,30 +82,31 @@
     void OnData(net::Connection& connection) override {
       net::RingBuffer& in = connection.in();
       while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
-      if (parser_.done()) Answer(std::exchange(parser_.message(), {}));
+      if (parser_.done()) Respond(std::exchange(parser_.message(), {}));
       if (connection.peer_closed()) service_.sessions_.Drop(*this);
     }
     void OnClosed(net::Connection&, net::Connection::CloseReason) override { service_.sessions_.Drop(*this); }
-    void TellList() {
-      if (!watches_ || muted()) return;
-      WriteLine(service_.List() + "\n");
-      if (service_.drains_ && service_.told_at_ < 0) service_.told_at_ = service_.loop_.Now();
+    void SendList() {
+      if (!is_watch_ || is_silenced()) return;
+      WriteChunk(service_.ListJson() + "\n");
+      if (service_.is_draining_ && service_.drain_sent_at_ < 0)
+        service_.drain_sent_at_ = service_.loop_.Now();
     }
 
    private:
-    bool muted() const { return number_ < service_.mute_from_; }
-    void Answer(const net::HttpMessage& request) {
+    bool is_silenced() const { return number_ < service_.first_unsilenced_session_; }
+    void Respond(const net::HttpMessage& request) {
       parser_.Reset();
       if (request.method == "POST") return void(connection_->Write(net::FormatResponse(204, {}, "")));
       ++service_.calls_;
-      switch (service_.plan_()) {
+      switch (service_.choose_reply_()) {
         case Reply::kServe:
-          watches_ = true;
+          is_watch_ = true;
           connection_->Write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-          TellList();
-          return Beat();
+          SendList();
+          return ScheduleHeartbeat();
         case Reply::kBusy:
-          timer_ = service_.loop_.At(service_.loop_.Now() + service_.busy_time, [this] {
+          timer_ = service_.loop_.At(service_.loop_.Now() + service_.busy_delay, [this] {
             timer_ = 0;
             connection_->Write(net::FormatResponse(503, {}, ""));
           });
@@ -112,25 +115,25 @@
           return;
       }
     }
-    void WriteLine(const std::string& line) {
+    void WriteChunk(const std::string& line) {
       char size[16];
       std::snprintf(size, sizeof(size), "%zx\r\n", line.size());
       connection_->Write(size + line + "\r\n");
     }
-    void Beat() {
-      constexpr net::Seconds kBeat = 2;  // an empty line in a quiet watch (protocol page)
-      timer_ = service_.loop_.At(service_.loop_.Now() + kBeat, [this] {
+    void ScheduleHeartbeat() {
+      constexpr net::Seconds kHeartbeatInterval = 2;  // an empty line while nothing changes
+      timer_ = service_.loop_.At(service_.loop_.Now() + kHeartbeatInterval, [this] {
         timer_ = 0;
-        if (!muted()) WriteLine("\n");
-        Beat();
+        if (!is_silenced()) WriteChunk("\n");
+        ScheduleHeartbeat();
       });
     }
 
-    DiscoveryStandIn& service_;
+    FakeDiscovery& service_;
     const int number_;
     std::unique_ptr<net::Connection> connection_;
     net::HttpParser parser_;
-    bool watches_ = false;
+    bool is_watch_ = false;
     net::EventLoop::TimerId timer_ = 0;
   };
 
@@ -141,31 +144,31 @@
     });
     address_ = listener_->address();
   }
-  std::string Row(const char* id, const std::string& address, bool drains) const {
+  std::string EndpointJson(const char* id, const std::string& address, bool is_draining) const {
     return std::string("{\"instanceId\":\"") + id + "\",\"hostPort\":\"" + address +
            "\",\"zone\":\"ground\",\"machineType\":\"small\",\"cell\":7,\"lifecycle\":\"" +
-           (drains ? "draining" : "ready") + "\",\"weight\":1000,\"startedAtMs\":0}";
+           (is_draining ? "draining" : "ready") + "\",\"weight\":1000,\"startedAtMs\":0}";
   }
-  std::string List() const {
-    return "{\"generation\":" + std::to_string(drains_ ? 43 : 42) + ",\"reset\":true,\"instances\":[" +
-           Row("first", first_, drains_) + "," + Row("second", second_, false) + "]}";
+  std::string ListJson() const {
+    return "{\"generation\":" + std::to_string(is_draining_ ? 43 : 42) + ",\"reset\":true,\"instances\":[" +
+           EndpointJson("first", first_, is_draining_) + "," + EndpointJson("second", second_, false) + "]}";
   }
 
   net::EventLoop& loop_;
   const std::string first_, second_;
-  const Plan plan_;
-  bool drains_ = false;
-  int last_session_ = 0, mute_from_ = 0, calls_ = 0;
-  net::Seconds told_at_ = -1;
+  const ChooseReply choose_reply_;
+  bool is_draining_ = false;
+  int last_session_ = 0, first_unsilenced_session_ = 0, calls_ = 0;
+  net::Seconds drain_sent_at_ = -1;
   sockaddr_in address_{};
   lab::Sessions<Session> sessions_;
   std::unique_ptr<net::Listener> listener_;
 };
 
-// An endpoint that delivers every message and notes when the latest call came.
-class EndpointStandIn : private net::HttpServer::Handler {
+// An endpoint that answers every call with 200 and remembers when the latest one arrived.
+class FakeEndpoint : private net::HttpServer::Handler {
  public:
-  explicit EndpointStandIn(net::EventLoop& loop)
+  explicit FakeEndpoint(net::EventLoop& loop)
       : loop_(loop), server_(loop, *net::ParseAddress("127.0.0.1:0"), Bounds(), *this) {}
   std::string address() const { return net::FormatAddress(server_.address()); }
   net::Seconds latest_call() const { return latest_call_; }
@@ -174,7 +177,7 @@
  private:
   static net::ServerBounds Bounds() {
     net::ServerBounds bounds;
-    bounds.http = kStandInBounds;
+    bounds.http = kFakeHttpBounds;
     bounds.response_bytes = 4096;
     bounds.connections = 256;
     bounds.requests_per_turn = 16;
@@ -197,61 +200,61 @@
   net::HttpServer server_;
 };
 
-// Hands a message of a class that is safe to repeat to a relay, again and again.
-class ClientStandIn : private net::HttpClient::Call {
+// Sends requests of an idempotent class to a relay, one after the other.
+class FakeClient : private net::HttpClient::Call {
  public:
-  ClientStandIn(net::EventLoop& loop, const sockaddr_in& relay, std::string name)
+  FakeClient(net::EventLoop& loop, const sockaddr_in& relay, std::string name)
       : loop_(loop), relay_(relay), name_(std::move(name)), client_(loop, Bounds()) {
-    Ask();
+    SendRequest();
   }
-  ~ClientStandIn() override {
+  ~FakeClient() override {
     loop_.Cancel(timer_);
-    if (out_) client_.Abandon(*this);
+    if (in_flight_) client_.Abandon(*this);
   }
-  int taken() const { return taken_; }
+  int accepted() const { return accepted_; }
 
  private:
-  static constexpr net::Seconds kEvery = 0.04;
+  static constexpr net::Seconds kInterval = 0.04;
   static net::ClientBounds Bounds() {
     net::ClientBounds bounds;
-    bounds.http = kStandInBounds;
+    bounds.http = kFakeHttpBounds;
     bounds.request_bytes = 4096;
     bounds.connections = 4;
     bounds.connect_timeout = bounds.response_timeout = bounds.response_rest_timeout = 5;
     bounds.idle_timeout = 1;
     return bounds;
   }
-  void Ask() {
+  void SendRequest() {
     timer_ = 0;
-    out_ = true;
+    in_flight_ = true;
     client_.Start({relay_}, *this);
   }
-  void AskLater() {
-    out_ = false;
-    timer_ = loop_.At(loop_.Now() + kEvery, [this] { Ask(); });
+  void ScheduleRequest() {
+    in_flight_ = false;
+    timer_ = loop_.At(loop_.Now() + kInterval, [this] { SendRequest(); });
   }
   std::string OnReady() override {
     return net::FormatRequest("POST", "/api",
                               {{"Host", "app.svc"},
-                               {"X-Txn", name_ + "-" + std::to_string(++asked_)},
+                               {"X-Txn", name_ + "-" + std::to_string(++sent_)},
                                {"X-Lane", "status"},
                                {"X-Org", "nord"},
                                {"X-Remaining-Ms", "4000"},
                                {"X-Addressing", "dest=7"}},
                               "text");
   }
-  void OnResponse(net::HttpMessage& answer) override {
-    if (answer.status == 202) ++taken_;
-    AskLater();
+  void OnResponse(net::HttpMessage& response) override {
+    if (response.status == 202) ++accepted_;
+    ScheduleRequest();
   }
-  void OnFailure(net::HttpClient::Failure, int) override { AskLater(); }
+  void OnFailure(net::HttpClient::Failure, int) override { ScheduleRequest(); }
 
   net::EventLoop& loop_;
   const sockaddr_in relay_;
   const std::string name_;
   net::HttpClient client_;
-  bool out_ = false;
-  int asked_ = 0, taken_ = 0;
+  bool in_flight_ = false;
+  int sent_ = 0, accepted_ = 0;
   net::EventLoop::TimerId timer_ = 0;
 };
 
--- a/tests/support/hand_clock.h
+++ b/tests/support/hand_clock.h
@@ -1,4 +1,4 @@
-// A clock that stands still until the test moves it.
+// A clock whose time only the test changes.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 
 namespace opalroute::net {
 
-class HandClock : public Clock {
+class ManualClock : public Clock {
  public:
   Seconds Now() const override { return now; }
   std::int64_t WallMicros() const override { return static_cast<std::int64_t>(now * 1e6); }
--- a/tests/support/somebody_listens.h
+++ b/tests/support/somebody_listens.h
@@ -1,4 +1,4 @@
-// Whether a connection to an address comes up.
+// Returns whether a TCP connection to an address can be established.
 #pragma once
 
 #include <unistd.h>
@@ -11,7 +11,7 @@
 
 namespace opalroute::lab {
 
-inline bool SomebodyListens(const std::string& address) {
+inline bool AcceptsConnections(const std::string& address) {
   try {
     close(raw::Connect(*net::ParseAddress(address)));
     return true;
