--- a/tests/compatibility/codec_bytes_test.cpp
+++ b/tests/compatibility/codec_bytes_test.cpp
@@ -1,7 +1,7 @@
-// The bytes that relays exchange, against those that an earlier build wrote: codec_bytes.txt holds on each
-// line a name, what the bytes mean, and the bytes in hexadecimal. The writers have to give these bytes for
-// these values, and the readers this meaning for these bytes.
-//   opalroute_codec_bytes FILE compares; without FILE it prints what this build writes.
+// Checks that the encodings of messages between relays are those of an earlier build. Each line of
+// codec_bytes.txt has the name of a case, the decoded message as text, and the bytes in hexadecimal. The
+// encoders must produce these bytes, and the decoders must read this message from them.
+//   opalroute_codec_bytes FILE compares; without FILE it prints the lines of this build.
 #include <cstdio>
 #include <fstream>
 #include <iostream>
@@ -19,11 +19,11 @@
 namespace {
 
 using namespace opalroute;
-using Meaning = std::string (*)(std::string_view bytes);
+using Describe = std::string (*)(std::string_view bytes);
 
 struct Case {
   std::string name, bytes;
-  Meaning meaning;
+  Describe describe;  // decodes the bytes and returns the message as text
 };
 
 std::string Hex(std::string_view bytes) {
@@ -47,7 +47,7 @@
 
 // ---- membership messages ----
 
-std::string MembershipMeaning(std::string_view bytes) {
+std::string DescribeMembership(std::string_view bytes) {
   const auto message = membership::DecodeMessage(bytes);
   if (!message) return kUnreadable;
   std::ostringstream text;
@@ -64,7 +64,7 @@
   using Kind = membership::PeerReport::Kind;
   membership::Message message{membership::MessageKind::kPing, 1'700'000'000'123'456, 1, 0, 0, {}, ""};
   std::vector<Case> cases = {
-      {"membership ping, empty", membership::EncodeMessage(message, 256), MembershipMeaning}};
+      {"membership ping, empty", membership::EncodeMessage(message, 256), DescribeMembership}};
   message.first_peer = 299;
   message.sequence = 128;
   message.acked_sequence = 77;
@@ -82,22 +82,22 @@
   for (const auto& [kind, name] : kinds) {
     message.kind = kind;
     cases.push_back(
-        {std::string("membership ") + name, membership::EncodeMessage(message, 256), MembershipMeaning});
+        {std::string("membership ") + name, membership::EncodeMessage(message, 256), DescribeMembership});
   }
   message.peer_reports.assign(500, {Kind::kAlive, 2});
   cases.push_back(
-      {"membership, truncated window", membership::EncodeMessage(message, 40), MembershipMeaning});
+      {"membership, truncated window", membership::EncodeMessage(message, 40), DescribeMembership});
   cases.push_back(
-      {"membership, trailing byte", membership::EncodeMessage(message, 40) + "x", MembershipMeaning});
-  std::string later = membership::EncodeMessage(message, 40);
-  later[1] = 2;
-  cases.push_back({"membership, unknown version", later, MembershipMeaning});
+      {"membership, trailing byte", membership::EncodeMessage(message, 40) + "x", DescribeMembership});
+  std::string other_version = membership::EncodeMessage(message, 40);
+  other_version[1] = 2;
+  cases.push_back({"membership, unknown version", other_version, DescribeMembership});
   return cases;
 }
 
 // ---- zone gossip ----
 
-std::string ZoneGossipMeaning(std::string_view bytes) {
+std::string DescribeZoneGossip(std::string_view bytes) {
   const auto gossip = zone_failover::DecodeZoneGossip(bytes);
   if (!gossip) return kUnreadable;
   std::ostringstream text;
@@ -121,13 +121,13 @@
 std::vector<Case> ZoneGossipCases() {
   zone_failover::ZoneGossip gossip;
   std::vector<Case> cases = {
-      {"zone gossip, empty", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning}};
+      {"zone gossip, empty", zone_failover::EncodeZoneGossip(gossip), DescribeZoneGossip}};
   gossip.states = {{0, zone_failover::EvacuationPhase::kInService, 0, 0},
                    {1, zone_failover::EvacuationPhase::kEvacuating, 0, 0.25},
                    {200, zone_failover::EvacuationPhase::kEvacuated, 3, 12.34},
                    {1ULL << 40, zone_failover::EvacuationPhase::kRecovering, 40, 1e7}};
   cases.push_back(
-      {"zone gossip, evacuation states", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning});
+      {"zone gossip, evacuation states", zone_failover::EncodeZoneGossip(gossip), DescribeZoneGossip});
   zone_failover::ZoneGossip reported = gossip;
   reported.report = zone_failover::Report{};
   for (std::uint32_t i = 0; i < 4; ++i) {
@@ -140,26 +140,26 @@
     r.fault = static_cast<decltype(r.fault)>(i + 2);
     reported.report->push_back(r);
   }
-  cases.push_back({"zone gossip, report", zone_failover::EncodeZoneGossip(reported), ZoneGossipMeaning});
+  cases.push_back({"zone gossip, report", zone_failover::EncodeZoneGossip(reported), DescribeZoneGossip});
   gossip.overrides = {
       {0, 0, zone_failover::OverrideKind::kNone, 0},
       {1, 0, zone_failover::OverrideKind::kEvacuate, 3600},
       {300, 299, zone_failover::OverrideKind::kKeepInService, 0.01},
       {zone_failover::OperatorOverrides::kMaxSequence, 4096, zone_failover::OverrideKind::kNone, 1e9}};
   cases.push_back(
-      {"zone gossip, operator overrides", zone_failover::EncodeZoneGossip(gossip), ZoneGossipMeaning});
+      {"zone gossip, operator overrides", zone_failover::EncodeZoneGossip(gossip), DescribeZoneGossip});
   reported.overrides = gossip.overrides;
-  cases.push_back({"zone gossip, all parts", zone_failover::EncodeZoneGossip(reported), ZoneGossipMeaning});
+  cases.push_back({"zone gossip, all parts", zone_failover::EncodeZoneGossip(reported), DescribeZoneGossip});
   cases.push_back(
-      {"zone gossip, unknown parts", std::string("\x01\x00\x03\x00\x14\x02zz\x01y", 10), ZoneGossipMeaning});
+      {"zone gossip, unknown parts", std::string("\x01\x00\x03\x00\x14\x02zz\x01y", 10), DescribeZoneGossip});
   cases.push_back(
-      {"zone gossip, truncated", zone_failover::EncodeZoneGossip(gossip).substr(0, 20), ZoneGossipMeaning});
+      {"zone gossip, truncated", zone_failover::EncodeZoneGossip(gossip).substr(0, 20), DescribeZoneGossip});
   return cases;
 }
 
 // ---- route gossip ----
 
-std::string RouteGossipMeaning(std::string_view bytes) {
+std::string DescribeRouteGossip(std::string_view bytes) {
   const auto message = decision::DecodeRouteGossip(bytes);
   if (!message) return kUnreadable;
   std::ostringstream text;
@@ -171,23 +171,23 @@
 std::vector<Case> RouteGossipCases() {
   using Kind = decision::RouteGossip::Kind;
   return {
-      {"route gossip, rejected", decision::EncodeRouteGossip({Kind::kRejected, 7, 0}), RouteGossipMeaning},
+      {"route gossip, rejected", decision::EncodeRouteGossip({Kind::kRejected, 7, 0}), DescribeRouteGossip},
       {"route gossip, recovered, one endpoint",
        decision::EncodeRouteGossip({Kind::kRecovered, 70'000, decision::HashName("s-5be2a07c")}),
-       RouteGossipMeaning},
+       DescribeRouteGossip},
       {"route gossip, out of connections, negative",
-       decision::EncodeRouteGossip({Kind::kOutOfConnections, -70'000, 0xff}), RouteGossipMeaning},
+       decision::EncodeRouteGossip({Kind::kOutOfConnections, -70'000, 0xff}), DescribeRouteGossip},
       {"route gossip, greatest values",
-       decision::EncodeRouteGossip({Kind::kRecovered, INT64_MAX, 0xffffffffU}), RouteGossipMeaning},
+       decision::EncodeRouteGossip({Kind::kRecovered, INT64_MAX, 0xffffffffU}), DescribeRouteGossip},
       {"route gossip, least destination", decision::EncodeRouteGossip({Kind::kRecovered, INT64_MIN, 0}),
-       RouteGossipMeaning},
-      {"route gossip, unknown kind", "Lx\x02", RouteGossipMeaning},
-      {"route gossip, truncated", "Lr\x02zz", RouteGossipMeaning}};
+       DescribeRouteGossip},
+      {"route gossip, unknown kind", "Lx\x02", DescribeRouteGossip},
+      {"route gossip, truncated", "Lr\x02zz", DescribeRouteGossip}};
 }
 
 // ---- state transfer ----
 
-std::string RoutesMeaning(const std::vector<state_transfer::NamedRouteState>& routes) {
+std::string DescribeRoutes(const std::vector<state_transfer::NamedRouteState>& routes) {
   std::ostringstream text;
   text.precision(15);
   for (const state_transfer::NamedRouteState& route : routes) {
@@ -208,7 +208,7 @@
   return text.str();
 }
 
-std::string FrameMeaning(std::string_view bytes) {
+std::string DescribeFrame(std::string_view bytes) {
   const net::FrameRead read = net::ReadFrame(bytes, state_transfer::kMaxFrameBytes);
   const auto message = state_transfer::DecodeFrame(read.record);
   if (read.state != net::FrameState::kComplete || read.size != bytes.size() || !message) return kUnreadable;
@@ -221,19 +221,19 @@
          << " written " << header->written_at;
   } else if (const auto* chunk = std::get_if<state_transfer::SnapshotChunk>(&*message)) {
     text << "chunk since " << chunk->since_header << " out of range " << chunk->out_of_range
-         << RoutesMeaning(chunk->routes);
+         << DescribeRoutes(chunk->routes);
   } else {
     text << "end routes " << std::get<state_transfer::SnapshotEnd>(*message).route_count;
   }
   return text.str();
 }
 
-std::string DatagramMeaning(std::string_view bytes) {
+std::string DescribeDatagram(std::string_view bytes) {
   const auto message = state_transfer::DecodeDatagram(bytes);
   if (!message) return kUnreadable;
   std::ostringstream text;
   text << "version " << message->version << " nonce " << message->nonce << " is_request "
-       << message->is_request << " out of range " << message->out_of_range << RoutesMeaning(message->routes);
+       << message->is_request << " out of range " << message->out_of_range << DescribeRoutes(message->routes);
   return text.str();
 }
 
@@ -245,7 +245,7 @@
   shared.state.retry_after = 28.5;
   own.endpoint = "s-5be2a07c";
   own.state.destination = -70'000;
-  own.state.endpoint = 12;  // a number of this process: it does not travel
+  own.state.endpoint = 12;  // local to this process; not encoded
   own.state.failure_age = 0;
   own.state.recovery_age = 1.25;
   own.state.success_age = 0.000001;
@@ -255,8 +255,8 @@
   own.state.latency = 0.0421;
   own.state.hedging_disabled_age = 12;
   invalid.state.destination = 1'000'000'007;
-  invalid.state.failure_age = 1e6;  // clamped to the longest age
-  invalid.state.rejection_age = 2;  // with a send rate that no reader accepts
+  invalid.state.failure_age = 1e6;  // above the maximum age, to which it is clamped
+  invalid.state.rejection_age = 2;  // with an invalid send rate, which decoders reject
   invalid.state.send_rate = -1;
   invalid.state.latency = 99;  // not measured
   return {shared, own, invalid};
@@ -265,7 +265,7 @@
 std::vector<Case> StateTransferCases() {
   using state_transfer::EncodeFrame;
   const auto frame = [](const char* name, const state_transfer::Message& message) {
-    return Case{std::string("state transfer ") + name, EncodeFrame(message), FrameMeaning};
+    return Case{std::string("state transfer ") + name, EncodeFrame(message), DescribeFrame};
   };
   std::vector<Case> cases = {
       frame("request", state_transfer::SnapshotRequest{state_transfer::kVersion, "n0"}),
@@ -277,23 +277,23 @@
       frame("end", state_transfer::SnapshotEnd{50'000})};
   std::string damaged = EncodeFrame(state_transfer::SnapshotEnd{1});
   damaged.back() ^= 1;
-  cases.push_back({"state transfer, wrong checksum", damaged, FrameMeaning});
+  cases.push_back({"state transfer, wrong checksum", damaged, DescribeFrame});
   cases.push_back({"state transfer, unknown field",
-                   net::EncodeFrame(std::string("\x22\x04\x08\x05\x10\x01", 6)), FrameMeaning});
+                   net::EncodeFrame(std::string("\x22\x04\x08\x05\x10\x01", 6)), DescribeFrame});
   state_transfer::Datagram message;
   message.nonce = 0xfedcba98;
   message.is_request = true;
   cases.push_back(
-      {"state transfer datagram, request", state_transfer::EncodeDatagram(message).bytes, DatagramMeaning});
+      {"state transfer datagram, request", state_transfer::EncodeDatagram(message).bytes, DescribeDatagram});
   message.is_request = false;
   message.routes = Routes();
   cases.push_back(
-      {"state transfer datagram, response", state_transfer::EncodeDatagram(message).bytes, DatagramMeaning});
+      {"state transfer datagram, response", state_transfer::EncodeDatagram(message).bytes, DescribeDatagram});
   for (int i = 0; i < 5; ++i) message.routes.push_back(message.routes[1]);
   const state_transfer::EncodedDatagram full = state_transfer::EncodeDatagram(message);
   cases.push_back({"state transfer datagram, full with " + std::to_string(full.route_count), full.bytes,
-                   DatagramMeaning});
-  cases.push_back({"state transfer datagram, unknown magic", "OLN2\x08\x01", DatagramMeaning});
+                   DescribeDatagram});
+  cases.push_back({"state transfer datagram, unknown magic", "OLN2\x08\x01", DescribeDatagram});
   return cases;
 }
 
@@ -313,11 +313,11 @@
       continue;
     }
     const std::string written = Hex(it->second->bytes);
-    const std::string meaning = it->second->meaning(Unhex(hex));
+    const std::string description = it->second->describe(Unhex(hex));
     if (written != hex)
       std::cout << name << ": writes  " << written << "\n  recorded " << hex << '\n', ++mismatches;
-    if (first + 3 > second || meaning != line.substr(first + 3, second - first - 3))
-      std::cout << name << ": reads " << meaning << "\n  recorded " << line << '\n', ++mismatches;
+    if (first + 3 > second || description != line.substr(first + 3, second - first - 3))
+      std::cout << name << ": reads " << description << "\n  recorded " << line << '\n', ++mismatches;
     unseen.erase(it);
   }
   for (const auto& [name, c] : unseen) std::cout << "not recorded: " << name << '\n', ++mismatches;
@@ -328,13 +328,13 @@
 
 int main(int argc, char** argv) {
   std::vector<Case> cases;
-  for (const auto& some : {MembershipCases(), ZoneGossipCases(), RouteGossipCases(), StateTransferCases()})
-    cases.insert(cases.end(), some.begin(), some.end());
+  for (const auto& group : {MembershipCases(), ZoneGossipCases(), RouteGossipCases(), StateTransferCases()})
+    cases.insert(cases.end(), group.begin(), group.end());
   if (argc > 1) {
     std::ifstream recorded(argv[1]);
     return Compare(cases, recorded);
   }
   for (const Case& c : cases)
-    std::cout << c.name << " | " << c.meaning(c.bytes) << " | " << Hex(c.bytes) << '\n';
+    std::cout << c.name << " | " << c.describe(c.bytes) << " | " << Hex(c.bytes) << '\n';
   return 0;
 }
--- a/tests/compatibility/compare_drill.sh
+++ b/tests/compatibility/compare_drill.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# compare_drill.sh PROGRAM INPUT.gz OUTPUT.gz: plays recorded batches to the adapter program and compares its replies
-# with the recorded ones, line by line. The text of TRACE actions is free and left out on both sides.
+# compare_drill.sh PROGRAM INPUT.gz OUTPUT.gz: feeds recorded batches to the adapter program and compares its replies
+# with the recorded ones, line by line. The text of TRACE actions may change and is ignored.
 set -uo pipefail
 program=$1 input=$2 output=$3
 folder=$(mktemp -d)
@@ -10,14 +10,14 @@
 zcat "$input" >"$folder/input" || exit 2
 "$program" <"$folder/input" | without_trace_text >"$folder/got"
 status=$?
-if [ "$status" -ne 0 ]; then echo "$program ended with status $status"; fi
+if [ "$status" -ne 0 ]; then echo "$program exited with status $status"; fi
 if ! cmp -s "$folder/expected" "$folder/got"; then
   message=$(cmp "$folder/expected" "$folder/got" 2>&1)
   line=$(sed -nE 's/.* line ([0-9]+)$/\1/p' <<<"$message")
-  case $message in *EOF*) line=$((${line:-0} + 1)) ;; esac  # the shorter one's last line is the same
+  case $message in *EOF*) line=$((${line:-0} + 1)) ;; esac  # cmp names the last line of the shorter file, which matches
   echo "first difference in line $line of $(wc -l <"$folder/expected"):"
   for part in input expected got; do echo "$part: $(sed -n "${line}p" "$folder/$part")"; done
   exit 1
 fi
-[ -s "$folder/expected" ] || { echo "nothing recorded"; exit 2; }
+[ -s "$folder/expected" ] || { echo "the recorded output is empty"; exit 2; }
 exit "$status"
--- a/tests/compatibility/state_player.cpp
+++ b/tests/compatibility/state_player.cpp
@@ -1,10 +1,11 @@
 // state_player PROGRAM FIXTURE SHIFT_S [EXPECTED]: starts the relay program on a copy of a recorded state
-// folder and prints what becomes of it: which messages come to which endpoint, the notices, counters, and
-// what is kept. With EXPECTED, compares instead: exit status 1 if a line is missing or too many.
+// folder and prints what it recovers: the calls that each endpoint gets, the notifications, counters, and
+// what is kept in the folder. With EXPECTED, compares these lines with the file instead; the exit status is 1
+// if a line is missing or unexpected.
 //
-// The recorded deadlines are long over. So the file `clock` of the copy is written anew, in its own format,
-// as a process of this boot would have left it, with the offset that makes the folder's time go on SHIFT_S
-// seconds after the kill. Uses no part of the program but its sockets and files.
+// The recorded deadlines passed long ago. So the copy's file `clock` is rewritten, in its own format, as a
+// process of this boot would have left it: with the offset at which the folder's time continues SHIFT_S
+// seconds after the kill. Uses none of the relay's code, only its sockets and files.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <poll.h>
@@ -34,9 +35,9 @@
 namespace fs = std::filesystem;
 using nlohmann::json;
 
-constexpr int kTimeoutMs = 30'000;  // for all that is expected to arrive
-constexpr int kAfterMs = 400;       // for what is not expected
-constexpr int kRecordMs = 8'000;    // where nothing is compared
+constexpr int kTimeoutMs = 30'000;      // until all expected calls and notifications have arrived
+constexpr int kUnexpectedWaitMs = 400;  // after that, for unexpected ones
+constexpr int kRecordingMs = 8'000;     // without EXPECTED
 
 std::int64_t MonotonicMicros() {
   timespec now{};
@@ -49,7 +50,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// A frame is its record's length and CRC-32, each in four bytes with the lowest first, and the record.
+// A frame is the record's length and its CRC-32, both 32-bit little-endian, followed by the record.
 json ReadFramed(const fs::path& path) { return json::parse(ReadFile(path).substr(8)); }
 
 void WriteFramed(const fs::path& path, const std::string& record) {
@@ -111,19 +112,19 @@
   return bytes;
 }
 
-std::string WithoutNumber(const std::string& text, const std::string& key) {
+std::string MaskNumber(const std::string& text, const std::string& key) {
   return std::regex_replace(text, std::regex("\"" + key + "\":[-+.e0-9]+"), "\"" + key + "\":*");
 }
 
-std::string Answer(int status, const std::string& body = {}) {
+std::string Response(int status, const std::string& body = {}) {
   return "HTTP/1.1 " + std::to_string(status) + " -\r\nContent-Length: " + std::to_string(body.size()) +
          "\r\n\r\n" + body;
 }
 
-// The endpoints and discovery, on one thread.
-class StandIns {
+// Fake endpoints and a fake discovery service; Poll serves them all.
+class FakeServers {
  public:
-  explicit StandIns(std::set<std::string>& facts) : facts_(facts) {
+  explicit FakeServers(std::set<std::string>& observed) : observed_(observed) {
     for (const char* name : {"e1", "e2", "s1", "s2", "discovery"}) listeners_[name] = Listen();
   }
   std::map<std::string, std::string> Addresses() const {
@@ -131,24 +132,24 @@
     for (const auto& [name, fd] : listeners_) addresses[name] = AddressOf(fd);
     return addresses;
   }
-  void Pump() {
-    std::vector<pollfd> all;
-    for (const auto& [name, fd] : listeners_) all.push_back({fd, POLLIN, 0});
-    for (const auto& [fd, connection] : connections_) all.push_back({fd, POLLIN, 0});
-    poll(all.data(), all.size(), 20);
+  void Poll() {
+    std::vector<pollfd> polled;
+    for (const auto& [name, fd] : listeners_) polled.push_back({fd, POLLIN, 0});
+    for (const auto& [fd, connection] : connections_) polled.push_back({fd, POLLIN, 0});
+    poll(polled.data(), polled.size(), 20);
     for (const auto& [name, fd] : listeners_) {
-      for (const pollfd& p : all) {
+      for (const pollfd& p : polled) {
         if (p.fd == fd && p.revents != 0)
           connections_[accept4(fd, nullptr, nullptr, SOCK_CLOEXEC)] = {name, {}};
       }
     }
-    for (const pollfd& p : all)
+    for (const pollfd& p : polled)
       if (p.revents != 0 && connections_.count(p.fd) > 0) Receive(p.fd);
   }
 
  private:
   struct Connection {
-    std::string place, in;
+    std::string server, received;
   };
   void Receive(int fd) {
     Connection& connection = connections_[fd];
@@ -159,21 +160,21 @@
       connections_.erase(fd);
       return;
     }
-    connection.in.append(bytes, static_cast<std::size_t>(count));
+    connection.received.append(bytes, static_cast<std::size_t>(count));
     for (;;) {
-      const std::size_t end = connection.in.find("\r\n\r\n");
+      const std::size_t end = connection.received.find("\r\n\r\n");
       if (end == std::string::npos) return;
-      const std::string head = connection.in.substr(0, end + 2);
+      const std::string head = connection.received.substr(0, end + 2);
       const std::string length = Header(head, "Content-Length");
       const std::size_t size = length.empty() ? 0 : std::stoul(length);
-      if (connection.in.size() < end + 4 + size) return;
-      const std::string answer = Serve(connection.place, head, connection.in.substr(end + 4, size));
+      if (connection.received.size() < end + 4 + size) return;
+      const std::string answer = Serve(connection.server, head, connection.received.substr(end + 4, size));
       send(fd, answer.data(), answer.size(), MSG_NOSIGNAL);
-      connection.in.erase(0, end + 4 + size);
+      connection.received.erase(0, end + 4 + size);
     }
   }
-  std::string Serve(const std::string& place, const std::string& head, const std::string& body) {
-    if (place == "discovery" && head.rfind("GET", 0) == 0) {
+  std::string Serve(const std::string& server, const std::string& head, const std::string& body) {
+    if (server == "discovery" && head.rfind("GET", 0) == 0) {
       const std::string line = "{\"generation\":41,\"reset\":false,\"instances\":[]}\n";
       std::ostringstream chunk;
       chunk << "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -181,31 +182,32 @@
             << line;
       return chunk.str() + "\r\n";
     }
-    if (place == "discovery") {
+    if (server == "discovery") {
       std::istringstream lines(body);
       for (std::string line; std::getline(lines, line);)
-        facts_.insert("notice " + WithoutNumber(line, "retry_in_ms"));
-      return Answer(204);
+        observed_.insert("notice " + MaskNumber(line, "retry_in_ms"));
+      return Response(204);
     }
-    if (head.rfind("GET", 0) == 0) return Answer(200);  // a probe
+    if (head.rfind("GET", 0) == 0) return Response(200);  // a health check
     if (head.rfind("POST /hook/batch ", 0) != 0) {
-      RecordCall(place, Header(head, "X-Txn"), Header(head, "Idempotency-Key"), body);
-      return Answer(200);
+      RecordCall(server, Header(head, "X-Txn"), Header(head, "Idempotency-Key"), body);
+      return Response(200);
     }
     json done = json::array();
     for (const json& one : json::parse(body)) {
-      RecordCall(place, one.at("id"), one.value("key", ""), DecodeBase64(one.at("body")));
+      RecordCall(server, one.at("id"), one.value("key", ""), DecodeBase64(one.at("body")));
       done.push_back({{"id", one.at("id")}, {"state", "done"}});
     }
-    return Answer(200, done.dump());
+    return Response(200, done.dump());
   }
-  void RecordCall(const std::string& place, const std::string& id, const std::string& key,
+  void RecordCall(const std::string& server, const std::string& id, const std::string& key,
                   const std::string& body) {
-    const bool sound = body == "body of " + id + std::string("\0\r\n\xff", 4);
-    facts_.insert("call " + place + " " + id + " key '" + key + "' body " + (sound ? "as taken" : "changed"));
+    const bool is_intact = body == "body of " + id + std::string("\0\r\n\xff", 4);
+    observed_.insert("call " + server + " " + id + " key '" + key + "' body " +
+                     (is_intact ? "as taken" : "changed"));
   }
 
-  std::set<std::string>& facts_;
+  std::set<std::string>& observed_;
   std::map<std::string, int> listeners_;
   std::map<int, Connection> connections_;
 };
@@ -234,8 +236,8 @@
       : program_(std::move(program)),
         expected_(std::move(expected)),
         state_(fs::temp_directory_path() / ("opalroute-state-" + std::to_string(getpid()))),
-        pair_(fs::exists(fixture / "waits.0")),
-        stand_ins_(facts_) {
+        is_pair_(fs::exists(fixture / "waits.0")),
+        servers_(observed_) {
     fs::copy(fixture, state_);
     std::int64_t killed_at = 0;
     std::ifstream(fixture / "killed_at_us") >> killed_at;
@@ -252,24 +254,25 @@
   ~StatePlayer() { fs::remove_all(state_); }
 
   const std::set<std::string>& Run() {
-    TakeSnapshot();
-    const std::uint64_t incarnation = pair_ ? 0 : ReadFramed(state_ / "tier").at("life").get<std::uint64_t>();
+    ReadSnapshot();
+    const std::uint64_t incarnation =
+        is_pair_ ? 0 : ReadFramed(state_ / "tier").at("life").get<std::uint64_t>();
     const pid_t process = Start();
-    Serve();
+    ServeUntilDone();
     ReadMetrics();
     kill(process, SIGKILL);
     waitpid(process, nullptr, 0);
-    if (!pair_) ReadMembershipFile(incarnation);
+    if (!is_pair_) ReadMembershipFile(incarnation);
     std::istringstream bans(ReadFile(state_ / "bans"));
-    for (std::string id; std::getline(bans, id);) facts_.insert("suspended " + id);
-    return facts_;
+    for (std::string id; std::getline(bans, id);) observed_.insert("suspended " + id);
+    return observed_;
   }
 
  private:
   void WriteConfig(const fs::path& from) {
-    addresses_ = stand_ins_.Addresses();
+    addresses_ = servers_.Addresses();
     listener_ = Listen();
-    addresses_["listen"] = pair_ ? AddressOf(listener_) : FreeAddress(SOCK_STREAM);
+    addresses_["listen"] = is_pair_ ? AddressOf(listener_) : FreeAddress(SOCK_STREAM);
     for (const char* name : {"d1", "ops"}) addresses_[name] = FreeAddress(SOCK_STREAM);
     for (const char* name : {"p0", "p1"}) addresses_[name] = FreeAddress(SOCK_DGRAM);
     std::string text = ReadFile(from);
@@ -281,73 +284,73 @@
     fill("state", state_.string());
     std::ofstream(state_ / "config.json") << text;
   }
-  void TakeSnapshot() {
+  void ReadSnapshot() {
     FILE* pipe = popen((program_ + " snapshot " + state_.string() + " --json 2>/dev/null").c_str(), "r");
     std::string text;
     for (int c = 0; (c = fgetc(pipe)) != EOF && c != '\n';) text += static_cast<char>(c);
     pclose(pipe);
-    facts_.insert("snapshot " + WithoutNumber(text, "saved_before_s"));
+    observed_.insert("snapshot " + MaskNumber(text, "saved_before_s"));
   }
   pid_t Start() {
     const pid_t process = fork();
     if (process != 0) return process;
     setenv("EDGE_CONFIG", (state_ / "config.json").c_str(), 1);
-    if (pair_) setenv("EDGE_INHERITED_FD", std::to_string(dup(listener_)).c_str(), 1);
+    if (is_pair_) setenv("EDGE_INHERITED_FD", std::to_string(dup(listener_)).c_str(), 1);
     const int log = open((state_ / "log").c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
     dup2(log, STDOUT_FILENO);
-    if (pair_) execl(program_.c_str(), program_.c_str(), nullptr);
+    if (is_pair_) execl(program_.c_str(), program_.c_str(), nullptr);
     execl(program_.c_str(), program_.c_str(), "--learn-state", "--tier-shares", "--tier-zones", nullptr);
     _exit(127);
   }
-  bool AllArrived() const {
+  bool AllExpectedArrived() const {
     for (const std::string& line : expected_) {
-      if ((line.rfind("call ", 0) == 0 || line.rfind("notice ", 0) == 0) && facts_.count(line) == 0)
+      if ((line.rfind("call ", 0) == 0 || line.rfind("notice ", 0) == 0) && observed_.count(line) == 0)
         return false;
     }
     return !expected_.empty();
   }
-  void Serve() {
+  void ServeUntilDone() {
     const std::int64_t began = MonotonicMicros();
-    std::int64_t until = began + (expected_.empty() ? kRecordMs : kTimeoutMs) * 1000LL;
-    for (bool all = false; MonotonicMicros() < until;) {
-      stand_ins_.Pump();
-      if (all || !AllArrived()) continue;
-      all = true;
-      until = MonotonicMicros() + kAfterMs * 1000LL;
+    std::int64_t until = began + (expected_.empty() ? kRecordingMs : kTimeoutMs) * 1000LL;
+    for (bool all_arrived = false; MonotonicMicros() < until;) {
+      servers_.Poll();
+      if (all_arrived || !AllExpectedArrived()) continue;
+      all_arrived = true;
+      until = MonotonicMicros() + kUnexpectedWaitMs * 1000LL;
     }
   }
   void ReadMetrics() {
     std::smatch found;
     const std::string counters = HttpGet(addresses_["listen"], "/counters");
     if (std::regex_search(counters, found, std::regex("\"restored\":[0-9]+")))
-      facts_.insert("counters " + found.str());
+      observed_.insert("counters " + found.str());
     std::istringstream lines(HttpGet(addresses_["ops"], "/v1/metrics"));
     for (std::string line; std::getline(lines, line);) {
       if (line.rfind("edge.known", 0) == 0 || line.rfind("edge.skipped", 0) == 0 ||
           line.rfind("edge.in_p", 0) == 0)
-        facts_.insert("figure " + line);
+        observed_.insert("figure " + line);
     }
   }
-  void ReadMembershipFile(std::uint64_t before) {
+  void ReadMembershipFile(std::uint64_t previous) {
     const json tier = ReadFramed(state_ / "tier");
     const auto incarnation = tier.at("life").get<std::uint64_t>();
-    facts_.insert(incarnation == before + 1 ? "tier life is the next"
-                  : incarnation > before    ? "tier life is later"
-                                            : "tier life is old");
+    observed_.insert(incarnation == previous + 1 ? "tier life is the next"
+                     : incarnation > previous    ? "tier life is later"
+                                                 : "tier life is old");
     for (const auto& [zone, row] : tier.at("zones").items()) {
       if (row.contains("order")) {
-        facts_.insert("tier order " + zone + " " + row["order"]["what"].get<std::string>() + " " +
-                      row["order"]["number"].dump());
+        observed_.insert("tier order " + zone + " " + row["order"]["what"].get<std::string>() + " " +
+                         row["order"]["number"].dump());
       }
     }
   }
 
   const std::string program_;
   const std::set<std::string> expected_;
-  std::set<std::string> facts_;
+  std::set<std::string> observed_;
   const fs::path state_;
-  const bool pair_;
-  StandIns stand_ins_;
+  const bool is_pair_;  // recorded from two processes that share a listening socket
+  FakeServers servers_;
   std::map<std::string, std::string> addresses_;
   int listener_ = -1;
 };
@@ -363,15 +366,15 @@
     if (expected.empty()) return 2;
   }
   StatePlayer player(argv[1], argv[2], std::stod(argv[3]), expected);
-  const std::set<std::string> facts = player.Run();
+  const std::set<std::string> observed = player.Run();
   if (expected.empty()) {
-    for (const std::string& line : facts) std::cout << line << '\n';
+    for (const std::string& line : observed) std::cout << line << '\n';
     return 0;
   }
   int mismatches = 0;
   for (const std::string& line : expected)
-    if (facts.count(line) == 0) std::cout << "missing: " << line << '\n', ++mismatches;
-  for (const std::string& line : facts)
+    if (observed.count(line) == 0) std::cout << "missing: " << line << '\n', ++mismatches;
+  for (const std::string& line : observed)
     if (expected.count(line) == 0) std::cout << "unexpected: " << line << '\n', ++mismatches;
   return mismatches == 0 ? 0 : 1;
 }
--- a/tests/example/main.cpp
+++ b/tests/example/main.cpp
@@ -1,4 +1,5 @@
-// A router with one destination of two endpoints is given one request and says where it goes.
+// Passes one request to a request router with one destination of two endpoints, and prints the endpoint that
+// the router sends it to.
 #include <cstdio>
 #include <variant>
 #include <vector>
--- a/tests/installed_example.cmake
+++ b/tests/installed_example.cmake
@@ -1,4 +1,4 @@
-# Installs the build into a scratch prefix, then configures, builds and runs the example against it.
+# Installs the build into a temporary prefix, then configures, builds and runs the example against it.
 function(run)
   execute_process(COMMAND ${ARGV} RESULT_VARIABLE result)
   if(NOT result EQUAL 0)
