--- a/lab/capacity/capacity.cpp
+++ b/lab/capacity/capacity.cpp
@@ -50,7 +50,7 @@
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ == 0) {
-      EndWithParent(parent);
+      DieWithParent(parent);
       PinTo(core);
       play();
       _exit(1);
@@ -63,7 +63,7 @@
   }
   Player(const Player&) = delete;
   Player& operator=(const Player&) = delete;
-  double Cpu() const { return SampleOf(pid_).value().cpu; }
+  double Cpu() const { return ReadProcessSample(pid_).value().cpu; }
 
  private:
   pid_t pid_;
@@ -104,7 +104,7 @@
 }
 
 // The platform in a thread, the relay as a process on its core.
-class RelayUnderTest : private Registry::Owner, private RelayProcess::Owner {
+class RelayUnderTest : private PlatformServer::Owner, private RelayProcess::Owner {
  public:
   RelayUnderTest(const CapacityOptions& options, int destinations, std::uint16_t endpoint_port)
       : scenario_(ScenarioWith(destinations)),
@@ -113,12 +113,12 @@
         registry_(
             loop_, world_, 1,
             [endpoint_port](EndpointId id, int) {
-              sockaddr_in address = LoopbackOf(id);
+              sockaddr_in address = LoopbackAddress(id);
               address.sin_port = endpoint_port;
               return net::FormatAddress(address);
             },
             *this) {
-    RelayProcess::Plan plan;
+    RelayProcess::Options plan;
     plan.program = options.program;
     plan.arguments = {"--log-level", "warn"};
     plan.folder = options.folder + "/relay";
@@ -129,7 +129,7 @@
               {"discovery", net::FormatAddress(registry_.address(0))},
               {"seed", "1"},
               {"limits", {{"sockets", 4096}, {"disk_mb", 200}}},
-              {"known", nlohmann::json::parse(registry_.WholeList(0))},
+              {"known", nlohmann::json::parse(registry_.FullList(0))},
               {"settings", SettingsJson(scenario_, 0)}};
     };
     relay_ =
@@ -155,18 +155,18 @@
   ProcessSample Sample() const { return relay_->Sample().value_or(ProcessSample{}); }
 
  private:
-  void OnTold(int, EndpointId, EndpointStatus) override {}
-  void OnNotice(const std::string&, bool, Seconds) override {}
+  void OnListingSent(int, EndpointId, EndpointStatus) override {}
+  void OnNotification(const std::string&, bool, Seconds) override {}
   void OnReady(int) override {}
   void OnCrash(int, const std::string& how) override {
-    throw std::runtime_error("the relay did not come up: " + how + "; its log says:\n" + relay_->LastLog());
+    throw std::runtime_error("the relay did not come up: " + how + "; its log says:\n" + relay_->LogTail());
   }
 
   const Scenario scenario_;
   World world_;
   const net::SystemClock clock_;
   net::EventLoop loop_;
-  Registry registry_;
+  PlatformServer registry_;
   std::unique_ptr<RelayProcess> relay_;
   std::atomic<bool> ends_{false};
   std::thread platform_;
@@ -227,7 +227,7 @@
   Throughput OfForwarder() {
     const int listener = raw::Listen(*net::ParseAddress("127.0.0.1:0"));
     const sockaddr_in address = net::BoundAddress(listener);
-    sockaddr_in endpoint = LoopbackOf(1);
+    sockaddr_in endpoint = LoopbackAddress(1);
     endpoint.sin_port = port_;
     const Player forwarder(kMeasuredCore, [&] { RunForwarder(listener, endpoint); });
     close(listener);
@@ -250,7 +250,7 @@
     entry.body = std::string(200, 'x');
     entry.destination = 1;
     constexpr int kMessages = 100'000, kOpen = 64;  // so many are open at a time
-    const double began = SampleOf(getpid()).value().cpu;
+    const double began = ReadProcessSample(getpid()).value().cpu;
     for (int i = 0; i < kMessages + kOpen; ++i) {
       entry.id = "m-" + std::to_string(i);
       if (i < kMessages &&
@@ -258,7 +258,7 @@
         throw std::runtime_error("the journal has no room");
       if (i >= kOpen) journal.RecordEnd("m-" + std::to_string(i - kOpen));
     }
-    return (SampleOf(getpid()).value().cpu - began) / kMessages * 1e6;
+    return (ReadProcessSample(getpid()).value().cpu - began) / kMessages * 1e6;
   }
 
   CapacityResult::Answer AnswersAt(double share, double rate) {
--- a/lab/experiments/compare.cpp
+++ b/lab/experiments/compare.cpp
@@ -79,14 +79,14 @@
   const std::string log = folder + ".log";
   for (int tries = 0; tries < kTriesIfVoid; ++tries) {
     Process run(program, words, {}, log);
-    while (!run.Ended()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
-    const std::string how = *run.Ended();
+    while (!run.PollExit()) std::this_thread::sleep_for(std::chrono::milliseconds(5));
+    const std::string how = *run.PollExit();
     if (how == "exit status " + std::to_string(kVoid)) continue;
     std::ifstream file(folder + "/result.json");
     const bool ended_well = how == "exit status 0" || how == "exit status 1";
-    if (!ended_well || !file) throw std::runtime_error("a run ended with " + how + ":\n" + run.LastLog());
+    if (!ended_well || !file) throw std::runtime_error("a run ended with " + how + ":\n" + run.LogTail());
     const ordered_json result = ordered_json::parse(file);
-    if (!result.at("crashes").empty()) throw std::runtime_error("a relay crashed:\n" + run.LastLog());
+    if (!result.at("crashes").empty()) throw std::runtime_error("a relay crashed:\n" + run.LogTail());
     file.close();
     std::filesystem::remove_all(folder);
     return OutcomeOf(result);
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -127,7 +127,7 @@
     std::signal(SIGINT, [](int) { g_interrupted = 1; });
     std::signal(SIGTERM, [](int) { g_interrupted = 1; });
     std::signal(SIGPIPE, SIG_IGN);
-    result = PlayOnSockets(scenario, seed, options);
+    result = RunOnSockets(scenario, seed, options);
   } else {
     result = Simulation(scenario, seed).Run(progress);
   }
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -27,7 +27,7 @@
 constexpr int kCrowd = 520;          // more connections than a relay keeps
 constexpr int kOneInMany = 10;       // seeds, one has many relays
 constexpr int kOneInFew = 5;         // seeds, one has a crowd; one, a platform that nobody reaches
-constexpr double kKillGrace = RelayProcess::kKilledAfter;
+constexpr double kKillGrace = RelayProcess::kGracePeriod;
 constexpr const char* kRequestsRead = "requests_read";  // file in a relay's folder
 
 class ScenarioDrawer : private Drawer {
@@ -319,11 +319,11 @@
   play.program = options.program;
   play.relay_arguments = {"--log-level", "debug"};
   play.folder = options.folder;
-  play.clients_stay = true;
+  play.clients_use_stopping_relays = true;
   // Bounds of the auditor are wider than that.
-  play.most_lateness_p99 = 0.1;
-  play.most_lateness = 0.3;
-  play.requests_read = kRequestsRead;
+  play.max_lateness_p99 = 0.1;
+  play.max_lateness = 0.3;
+  play.requests_read_file = kRequestsRead;
   auto starts = std::make_shared<std::map<int, int>>();
   if (!options.library.empty())
     play.variables = [seed, starts, library = options.library](int relay, const std::string& state_folder) {
@@ -332,7 +332,7 @@
       return std::map<std::string, std::string>{{"LD_PRELOAD", library},
                                                 {faults::kPlanVariable, plan.Write()}};
     };
-  return PlayOnSockets(ReadScenario(DrawSoakScenario(seed)), seed, play);
+  return RunOnSockets(ReadScenario(DrawSoakScenario(seed)), seed, play);
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -19,159 +19,167 @@
 namespace {
 
 const net::HttpBounds kBounds{16 * 1024, 64, 1 << 20};
-constexpr net::Seconds kLookEvery = 0.02;  // at which a cut may have begun or ended
+constexpr net::Seconds kCutPollInterval = 0.02;  // at which the start and end of cuts is noticed
 
-void Reset(int fd) {
-  const linger at_once{1, 0};
-  setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+void CloseWithReset(int fd) {
+  const linger no_linger{1, 0};
+  setsockopt(fd, SOL_SOCKET, SO_LINGER, &no_linger, sizeof(no_linger));
   close(fd);
 }
 
-// A message's number: ids are "m" and a number. 0: it is none of ours.
-std::uint64_t NumberOf(const std::string& id) {
+// Returns the number of a request id, which is "m" and a number, or 0 if the laboratory didn't create it.
+std::uint64_t ParseRequestId(const std::string& id) {
   return id.size() > 1 && id[0] == 'm' ? std::strtoull(id.c_str() + 1, nullptr, 10) : 0;
 }
 
 }  // namespace
 
-// One connection of a relay; it brings one call after another.
+// A relay's connection to an endpoint. It carries one call at a time.
 class Endpoints::Session : public net::Connection::Owner {
  public:
-  // `crowded`: the endpoint's table is full. Its first request hears so, and the connection ends.
-  Session(Endpoints& all, EndpointId endpoint, int relay, bool crowded)
-      : all_(all),
+  // `over_limit`: the endpoint has as many connections as it accepts. The first request gets a 503, and the
+  // connection is closed.
+  Session(Endpoints& owner, EndpointId endpoint, int relay, bool over_limit)
+      : owner_(owner),
         endpoint_(endpoint),
         relay_(relay),
-        crowded_(crowded),
+        over_limit_(over_limit),
         parser_(net::HttpParser::Kind::kRequest, kBounds) {}
   ~Session() override {
-    all_.loop_.Cancel(timer_);
-    if (!crowded_) all_.Left(endpoint_);
+    owner_.loop_.Cancel(timer_);
+    if (!over_limit_) owner_.OnConnectionEnded(endpoint_);
   }
 
   bool Open(int fd) {
-    connection_ = net::Connection::Adopt(all_.loop_, fd, *this, 2 << 20, 1 << 20);
+    connection_ = net::Connection::Adopt(owner_.loop_, fd, *this, 2 << 20, 1 << 20);
     return connection_ != nullptr;
   }
   EndpointId endpoint() const { return endpoint_; }
   void Shut() {
-    all_.loop_.Cancel(timer_);
+    owner_.loop_.Cancel(timer_);
     connection_->Close();
   }
 
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
-    while (phase_ == Phase::kRests && !in.empty()) {
+    while (phase_ == Phase::kIdle && !in.empty()) {
       in.Consume(parser_.Parse(in.Front()));
       if (parser_.failed()) return End(Outcome::kReset);
       if (!parser_.done()) continue;
-      const net::HttpMessage request = std::move(parser_.message());
+      const net::HttpMessage call = std::move(parser_.message());
       parser_.Reset();
-      Begin(request);
+      StartCall(call);
     }
     if (connection.peer_closed()) End(Outcome::kTimeout);
   }
   void OnClosed(net::Connection&, net::Connection::CloseReason) override { End(Outcome::kTimeout); }
 
-  // It is over: its relay has given up, or its machine goes. A call on its way still arrives.
+  // Ends the session: the relay has closed the connection, or the endpoint does. A call that is still on its
+  // way to the endpoint is executed nevertheless.
   void End(Outcome outcome) {
-    const LaneModel& lane = Lane();
-    if (phase_ != Phase::kRests && lane.OutAt(all_.now())) all_.auditor_.SawOutage(relay_, Machine());
-    for (const Member& member : std::exchange(awaited_, {}))
-      if (member.attempt != Ledger::kVoid) all_.ledger_.Over(all_.now(), member.id, member.attempt, outcome);
-    if (phase_ == Phase::kComing && !std::exchange(left_, true)) return connection_->Close();
-    if (phase_ != Phase::kComing) all_.sessions_.Drop(*this);
+    const LaneModel& model = MachineModel();
+    if (phase_ != Phase::kIdle && model.OutAt(owner_.now()))
+      owner_.auditor_.SawOutage(relay_, MachineNumber());
+    for (const Request& request : std::exchange(unanswered_, {}))
+      if (request.attempt != MessageTracker::kVoid)
+        owner_.tracker_.OnAttemptEnded(owner_.now(), request.id, request.attempt, outcome);
+    if (phase_ == Phase::kArriving && !std::exchange(has_ended_, true)) return connection_->Close();
+    if (phase_ != Phase::kArriving) owner_.sessions_.Drop(*this);
   }
 
  private:
-  enum class Phase { kRests, kComing, kWorks };
-  struct Member {
+  enum class Phase { kIdle, kArriving, kProcessing };
+  struct Request {
     std::uint64_t id = 0;
     std::string name;
-    int attempt = Ledger::kVoid;
+    int attempt = MessageTracker::kVoid;
   };
 
-  std::uint32_t LaneNumber() const { return all_.world_.endpoint(endpoint_).lane; }
-  std::uint32_t Machine() const { return all_.world_.endpoint(endpoint_).machine; }
-  LaneModel& Lane() const { return all_.world_.lane(Machine()); }
+  std::uint32_t RouteNumber() const { return owner_.world_.endpoint(endpoint_).lane; }
+  std::uint32_t MachineNumber() const { return owner_.world_.endpoint(endpoint_).machine; }
+  LaneModel& MachineModel() const { return owner_.world_.lane(MachineNumber()); }
 
-  void Begin(const net::HttpMessage& request) {
-    probe_ = request.method == "GET" && (request.target == "/health/live" || request.target == "/stats");
-    batch_ = request.target == "/hook/batch";
-    if (!probe_ && (request.method != "POST" || (request.target != "/hook" && !batch_)))
+  void StartCall(const net::HttpMessage& call) {
+    is_health_check_ = call.method == "GET" && (call.target == "/health/live" || call.target == "/stats");
+    is_batch_ = call.target == "/hook/batch";
+    if (!is_health_check_ && (call.method != "POST" || (call.target != "/hook" && !is_batch_)))
       return Write(404, 0, {});
-    members_.clear();
-    if (!probe_ && !ReadMembers(request)) return Write(400, 0, {});
-    const Seconds now = all_.now();
-    for (Member& member : members_) member.attempt = all_.ledger_.Arrived(now, relay_, member.id, endpoint_);
-    awaited_ = members_;
-    all_.tally_.Call(now, relay_, endpoint_);
-    if (probe_) ++all_.tally_.result().probes;
-    phase_ = Phase::kComing;
-    const Seconds way = all_.WayOf(endpoint_, relay_);
-    const Seconds first = std::exchange(fresh_, false) ? 2 * way + all_.world_.scenario().handshake : 0;
-    After(way + first, [this] { Take(); });
+    requests_.clear();
+    if (!is_health_check_ && !ReadRequests(call)) return Write(400, 0, {});
+    const Seconds now = owner_.now();
+    for (Request& request : requests_)
+      request.attempt = owner_.tracker_.OnAttemptArrived(now, relay_, request.id, endpoint_);
+    unanswered_ = requests_;
+    owner_.tally_.Call(now, relay_, endpoint_);
+    if (is_health_check_) ++owner_.tally_.result().probes;
+    phase_ = Phase::kArriving;
+    const Seconds delay = owner_.OneWayDelay(endpoint_, relay_);
+    const Seconds handshake =
+        std::exchange(is_first_call_, false) ? 2 * delay + owner_.world_.scenario().handshake : 0;
+    Schedule(delay + handshake, [this] { HandleArrival(); });
   }
 
-  bool ReadMembers(const net::HttpMessage& request) {
+  bool ReadRequests(const net::HttpMessage& call) {
     const auto add = [this](const std::string& name) {
-      members_.push_back({NumberOf(name), name, Ledger::kVoid});
-      return members_.back().id > 0;
+      requests_.push_back({ParseRequestId(name), name, MessageTracker::kVoid});
+      return requests_.back().id > 0;
     };
-    if (!batch_) {
-      const std::string* name = request.Header("X-Txn");
+    if (!is_batch_) {
+      const std::string* name = call.Header("X-Txn");
       return name != nullptr && add(*name);
     }
-    const auto rows = nlohmann::json::parse(request.body, nullptr, false);
+    const auto rows = nlohmann::json::parse(call.body, nullptr, false);
     if (!rows.is_array() || rows.empty()) return false;
     return std::all_of(rows.begin(), rows.end(), [&](const nlohmann::json& row) {
       return row.is_object() && row.contains("id") && row["id"].is_string() && add(row["id"]);
     });
   }
 
-  void After(Seconds delay, std::function<void()> then) {
-    timer_ = all_.loop_.At(all_.loop_.Now() + delay, [this, then = std::move(then)] {
+  void Schedule(Seconds delay, std::function<void()> action) {
+    timer_ = owner_.loop_.At(owner_.loop_.Now() + delay, [this, action = std::move(action)] {
       timer_ = 0;
-      then();
+      action();
     });
   }
 
-  void Take() {
-    phase_ = Phase::kWorks;
-    const Seconds now = all_.now();
-    if (IsCut()) return GoSilent();
-    if (crowded_) {
-      for (const Member& member : std::exchange(awaited_, {}))
-        if (member.attempt != Ledger::kVoid)
-          all_.ledger_.Over(now, member.id, member.attempt, Outcome::kOutOfConnections);
+  void HandleArrival() {
+    phase_ = Phase::kProcessing;
+    const Seconds now = owner_.now();
+    if (IsCut()) return StaySilent();
+    if (over_limit_) {
+      for (const Request& request : std::exchange(unanswered_, {}))
+        if (request.attempt != MessageTracker::kVoid)
+          owner_.tracker_.OnAttemptEnded(now, request.id, request.attempt, Outcome::kOutOfConnections);
       connection_->Write(net::FormatResponse(503, {{"Connection", "close"}}, {}));
-      return all_.sessions_.Drop(*this);
+      return owner_.sessions_.Drop(*this);
     }
-    const bool all_void = !probe_ && std::all_of(members_.begin(), members_.end(), [](const Member& member) {
-      return member.attempt == Ledger::kVoid;
-    });
-    if (all_void) return left_ ? all_.sessions_.Drop(*this) : Answer({});
-    const LaneModel::Verdict verdict =
-        TakeCall(all_.world_, all_.auditor_, all_.tally_, now, relay_, all_.world_.endpoint(endpoint_));
+    const bool is_void =
+        !is_health_check_ && std::all_of(requests_.begin(), requests_.end(), [](const Request& request) {
+          return request.attempt == MessageTracker::kVoid;
+        });
+    if (is_void) return has_ended_ ? owner_.sessions_.Drop(*this) : SendResponse({});
+    const LaneModel::Verdict verdict = TakeCall(owner_.world_, owner_.auditor_, owner_.tally_, now, relay_,
+                                                owner_.world_.endpoint(endpoint_));
     if (verdict.ran)
-      for (const Member& member : members_)
-        if (member.attempt != Ledger::kVoid) all_.ledger_.Ran(now, member.id);
-    if (left_) return all_.sessions_.Drop(*this);
-    if (verdict.fate == LaneModel::Fate::kHangs) return;  // until its relay gives up
-    After(verdict.takes + all_.WayOf(endpoint_, relay_), [this, verdict] { Answer(verdict); });
+      for (const Request& request : requests_)
+        if (request.attempt != MessageTracker::kVoid) owner_.tracker_.OnExecuted(now, request.id);
+    if (has_ended_) return owner_.sessions_.Drop(*this);
+    if (verdict.fate == LaneModel::Fate::kHangs) return;  // until the relay closes the connection
+    Schedule(verdict.takes + owner_.OneWayDelay(endpoint_, relay_),
+             [this, verdict] { SendResponse(verdict); });
   }
 
-  bool IsCut() const { return all_.IsCut(endpoint_, relay_); }
-  // What is open stays open, and nothing comes through it any more: its relay gives it up.
-  void GoSilent() {
-    if (left_) all_.sessions_.Drop(*this);
+  bool IsCut() const { return owner_.IsCut(endpoint_, relay_); }
+  // Leaves the connection open without a response, until the relay closes it.
+  void StaySilent() {
+    if (has_ended_) owner_.sessions_.Drop(*this);
   }
 
-  void Answer(const LaneModel::Verdict& verdict) {
-    const Seconds now = all_.now();
-    if (IsCut()) return GoSilent();
-    if (verdict.fate != LaneModel::Fate::kServed && Lane().OutAt(now))
-      all_.auditor_.SawOutage(relay_, Machine());
+  void SendResponse(const LaneModel::Verdict& verdict) {
+    const Seconds now = owner_.now();
+    if (IsCut()) return StaySilent();
+    if (verdict.fate != LaneModel::Fate::kServed && MachineModel().OutAt(now))
+      owner_.auditor_.SawOutage(relay_, MachineNumber());
     if (verdict.fate == LaneModel::Fate::kReset) return End(Outcome::kReset);
     if (verdict.fate == LaneModel::Fate::kSpoilt) {
       connection_->Write("HTTP/1.1 2xx fine\r\nContent-Length: many\r\n\r\n");
@@ -179,25 +187,27 @@
     }
     const bool full = verdict.fate == LaneModel::Fate::kFull;
     const bool error = verdict.fate == LaneModel::Fate::kError;
-    const Seconds wait = full && !probe_ ? verdict.wait : 0;
-    for (const Member& member : std::exchange(awaited_, {}))
-      if (member.attempt != Ledger::kVoid)
-        all_.ledger_.Over(now, member.id, member.attempt,
-                          full    ? Outcome::kRejected
-                          : error ? Outcome::kError
-                                  : Outcome::kServed);
-    if (wait > 0) all_.auditor_.ToldWait(now, relay_, LaneNumber(), wait);
-    const bool one_void = std::any_of(members_.begin(), members_.end(),
-                                      [](const Member& member) { return member.attempt == Ledger::kVoid; });
-    if (!batch_) return Write(one_void ? 410 : full ? (wait > 0 ? 429 : 503) : error ? 500 : 200, wait, {});
-    if ((full || error) && !one_void) return Write(full ? (wait > 0 ? 429 : 503) : 500, wait, {});
+    const Seconds wait = full && !is_health_check_ ? verdict.wait : 0;
+    for (const Request& request : std::exchange(unanswered_, {}))
+      if (request.attempt != MessageTracker::kVoid)
+        owner_.tracker_.OnAttemptEnded(now, request.id, request.attempt,
+                                       full    ? Outcome::kRejected
+                                       : error ? Outcome::kError
+                                               : Outcome::kServed);
+    if (wait > 0) owner_.auditor_.ToldWait(now, relay_, RouteNumber(), wait);
+    const bool has_void = std::any_of(requests_.begin(), requests_.end(), [](const Request& request) {
+      return request.attempt == MessageTracker::kVoid;
+    });
+    if (!is_batch_)
+      return Write(has_void ? 410 : full ? (wait > 0 ? 429 : 503) : error ? 500 : 200, wait, {});
+    if ((full || error) && !has_void) return Write(full ? (wait > 0 ? 429 : 503) : 500, wait, {});
     nlohmann::json rows = nlohmann::json::array();
-    for (const Member& member : members_)
-      rows.push_back({{"id", member.name},
-                      {"state", member.attempt == Ledger::kVoid ? "void"
-                                : full                          ? "busy"
-                                : error                         ? "failed"
-                                                                : "done"}});
+    for (const Request& request : requests_)
+      rows.push_back({{"id", request.name},
+                      {"state", request.attempt == MessageTracker::kVoid ? "void"
+                                : full                                   ? "busy"
+                                : error                                  ? "failed"
+                                                                         : "done"}});
     Write(200, wait, rows.dump());
   }
 
@@ -205,29 +215,32 @@
     net::Headers headers;
     if (wait > 0)
       headers.emplace_back("X-RateLimit-Wait-Ms", std::to_string(static_cast<long>(std::ceil(wait * 1000))));
-    phase_ = Phase::kRests;
+    phase_ = Phase::kIdle;
     connection_->Write(net::FormatResponse(status, headers, body));
     OnData(*connection_);
   }
 
-  Endpoints& all_;
+  Endpoints& owner_;
   const EndpointId endpoint_;
   const int relay_;
-  const bool crowded_;
+  const bool over_limit_;
   std::unique_ptr<net::Connection> connection_;
   net::HttpParser parser_;
-  Phase phase_ = Phase::kRests;
-  bool fresh_ = true, left_ = false, probe_ = false, batch_ = false;
-  std::vector<Member> members_, awaited_;
+  Phase phase_ = Phase::kIdle;
+  bool is_first_call_ = true;
+  bool has_ended_ = false;  // while the call was still arriving
+  bool is_health_check_ = false, is_batch_ = false;
+  std::vector<Request> requests_;    // of the current call
+  std::vector<Request> unanswered_;  // those whose outcome is not reported yet
   net::EventLoop::TimerId timer_ = 0;
 };
 
-Endpoints::Endpoints(net::EventLoop& loop, World& world, Auditor& auditor, Ledger& ledger, Tally& tally,
-                     std::uint64_t seed)
+Endpoints::Endpoints(net::EventLoop& loop, World& world, Auditor& auditor, MessageTracker& tracker,
+                     Tally& tally, std::uint64_t seed)
     : loop_(loop),
       world_(world),
       auditor_(auditor),
-      ledger_(ledger),
+      tracker_(tracker),
       tally_(tally),
       links_(world.scenario().links, seed),
       start_(loop.Now()),
@@ -235,53 +248,56 @@
   pcg32 random(seed, 3);
   const Scenario& s = world.scenario();
   for (int relay = 0; relay < s.relays; ++relay) {
-    one_way_.emplace_back();
+    one_way_delays_.emplace_back();
     for (std::size_t zone = 0; zone < s.zones.size(); ++zone)
-      one_way_.back().push_back(DrawFrom(s.one_way, random));
-    listeners_.push_back(std::make_unique<net::Listener>(loop, ListenOnLoopback(),
-                                                         [this, relay](int fd) { Accept(fd, relay); }));
+      one_way_delays_.back().push_back(DrawFrom(s.one_way, random));
+    shared_listeners_.push_back(std::make_unique<net::Listener>(
+        loop, ListenOnLoopback(), [this, relay](int fd) { Accept(fd, relay); }));
   }
   for (EndpointId id = 1; id <= world.endpoint_count(); ++id) {
     const auto& outages = world.lane(world.endpoint(id).machine).outages();
-    const bool closes = std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
-      return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
-    });
+    const bool is_unreachable_at_times =
+        std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
+          return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
+        });
     for (int relay = 0; relay < s.relays; ++relay) {
-      if (!closes && !MeetsCut(id, relay)) continue;
-      Door& door = doors_[{id, relay}];
-      door.endpoint = id;
-      door.relay = relay;
-      door.address = std::make_unique<ReservedAddress>(LoopbackOf(id).sin_addr);
-      Tend(door);
+      if (!is_unreachable_at_times && !HasScheduledCut(id, relay)) continue;
+      SeparateListener& entry = separate_listeners_[{id, relay}];
+      entry.endpoint = id;
+      entry.relay = relay;
+      entry.address = std::make_unique<ReservedAddress>(LoopbackAddress(id).sin_addr);
+      Update(entry);
     }
   }
 }
 
-Endpoints::~Endpoints() { ending_ = true; }
+Endpoints::~Endpoints() { is_shutting_down_ = true; }
 
-bool Endpoints::Crowded(EndpointId endpoint) const {
-  const int most = world_.endpoint(endpoint).connections;
-  const auto taken = taken_.find(endpoint);
-  return most > 0 && taken != taken_.end() && taken->second >= most;
+bool Endpoints::IsAtConnectionLimit(EndpointId endpoint) const {
+  const int limit = world_.endpoint(endpoint).connections;
+  const auto count = connection_counts_.find(endpoint);
+  return limit > 0 && count != connection_counts_.end() && count->second >= limit;
 }
 
-void Endpoints::Tend(Door& door) {
-  const int relay = door.relay;
-  const bool silent = door.vanished || IsCut(door.endpoint, door.relay);
-  if (!silent) door.hole.reset();  // before anybody listens there again
-  if (door.refuses || silent)
-    door.listener.reset();
-  else if (door.listener == nullptr)
-    door.listener = std::make_unique<net::Listener>(loop_, door.address->address(),
-                                                    [this, relay](int fd) { Accept(fd, relay); });
-  if (silent && door.hole == nullptr) door.hole = std::make_unique<BlackHole>(door.address->address());
+void Endpoints::Update(SeparateListener& entry) {
+  const int relay = entry.relay;
+  const bool silent = entry.vanished || IsCut(entry.endpoint, entry.relay);
+  if (!silent) entry.black_hole.reset();  // before the listener is opened again
+  if (entry.refuses || silent)
+    entry.listener.reset();
+  else if (entry.listener == nullptr)
+    entry.listener = std::make_unique<net::Listener>(loop_, entry.address->address(),
+                                                     [this, relay](int fd) { Accept(fd, relay); });
+  if (silent && entry.black_hole == nullptr)
+    entry.black_hole = std::make_unique<BlackHole>(entry.address->address());
 }
 
 bool Endpoints::IsCut(EndpointId endpoint, int relay) const {
-  return begun_ && loop_.Now() >= start_ && links_.EndpointsCut(now(), relay, world_.endpoint(endpoint).zone);
+  return has_begun_ && loop_.Now() >= start_ &&
+         links_.EndpointsCut(now(), relay, world_.endpoint(endpoint).zone);
 }
 
-bool Endpoints::MeetsCut(EndpointId endpoint, int relay) const {
+bool Endpoints::HasScheduledCut(EndpointId endpoint, int relay) const {
   const auto& cuts = world_.scenario().links.cuts;
   return std::any_of(cuts.begin(), cuts.end(), [&](const Cut& cut) {
     return cut.what == Cut::What::kEndpoints && relay >= cut.first && relay <= cut.last &&
@@ -289,67 +305,67 @@
   });
 }
 
-// Cuts may begin, flap and end at any time.
-void Endpoints::LookForCuts() {
-  for (auto& [key, door] : doors_)
-    if (MeetsCut(key.first, key.second)) Tend(door);
-  loop_.At(loop_.Now() + kLookEvery, [this] { LookForCuts(); });
+void Endpoints::PollCuts() {
+  for (auto& [key, entry] : separate_listeners_)
+    if (HasScheduledCut(key.first, key.second)) Update(entry);
+  loop_.At(loop_.Now() + kCutPollInterval, [this] { PollCuts(); });
 }
 
-void Endpoints::Left(EndpointId endpoint) {
-  if (ending_ || world_.endpoint(endpoint).connections == 0) return;
-  --taken_[endpoint];
+void Endpoints::OnConnectionEnded(EndpointId endpoint) {
+  if (is_shutting_down_ || world_.endpoint(endpoint).connections == 0) return;
+  --connection_counts_[endpoint];
 }
 
 void Endpoints::Begin(net::Seconds start) {
   start_ = start;
-  begun_ = true;
-  for (auto& [key, value] : doors_) {
-    Door& door = value;
-    for (const LaneOutage& outage : world_.lane(world_.endpoint(door.endpoint).machine).outages()) {
+  has_begun_ = true;
+  for (auto& [key, value] : separate_listeners_) {
+    SeparateListener& entry = value;
+    for (const LaneOutage& outage : world_.lane(world_.endpoint(entry.endpoint).machine).outages()) {
       if (outage.kind != TroubleKind::kRefuse && outage.kind != TroubleKind::kVanish) continue;
-      bool& state = outage.kind == TroubleKind::kVanish ? door.vanished : door.refuses;
-      for (const bool holds : {true, false})
-        loop_.At(start + (holds ? outage.from : outage.to), [this, &door, &state, holds] {
-          state = holds;
-          Tend(door);
+      bool& flag = outage.kind == TroubleKind::kVanish ? entry.vanished : entry.refuses;
+      for (const bool is_active : {true, false})
+        loop_.At(start + (is_active ? outage.from : outage.to), [this, &entry, &flag, is_active] {
+          flag = is_active;
+          Update(entry);
         });
     }
   }
-  LookForCuts();
+  PollCuts();
 }
 
 std::string Endpoints::AddressOf(EndpointId endpoint, int relay) const {
-  const auto door = doors_.find({endpoint, relay});
-  if (door != doors_.end()) return net::FormatAddress(door->second.address->address());
-  sockaddr_in address = LoopbackOf(endpoint);
-  address.sin_port = listeners_[static_cast<std::size_t>(relay)]->address().sin_port;
+  const auto entry = separate_listeners_.find({endpoint, relay});
+  if (entry != separate_listeners_.end()) return net::FormatAddress(entry->second.address->address());
+  sockaddr_in address = LoopbackAddress(endpoint);
+  address.sin_port = shared_listeners_[static_cast<std::size_t>(relay)]->address().sin_port;
   return net::FormatAddress(address);
 }
 
-Seconds Endpoints::WayOf(EndpointId endpoint, int relay) const {
-  return one_way_[static_cast<std::size_t>(relay)][static_cast<std::size_t>(world_.endpoint(endpoint).zone)];
+Seconds Endpoints::OneWayDelay(EndpointId endpoint, int relay) const {
+  return one_way_delays_[static_cast<std::size_t>(relay)]
+                        [static_cast<std::size_t>(world_.endpoint(endpoint).zone)];
 }
 
 void Endpoints::Accept(int fd, int relay) {
-  const EndpointId endpoint = EndpointAt(net::BoundAddress(fd));
-  const bool there = endpoint >= 1 && endpoint <= world_.endpoint_count() &&
-                     (endpoint >= gone_.size() || !gone_[endpoint]) &&
-                     !world_.lane(world_.endpoint(endpoint).machine).collapsed();
-  if (!there) return Reset(fd);
-  const bool crowded = Crowded(endpoint);
-  if (!crowded && world_.endpoint(endpoint).connections > 0) ++taken_[endpoint];
-  if (!crowded) tally_.Connected();
-  sessions_.Adopt(std::make_unique<Session>(*this, endpoint, relay, crowded), fd);
+  const EndpointId endpoint = EndpointIdOf(net::BoundAddress(fd));
+  const bool exists = endpoint >= 1 && endpoint <= world_.endpoint_count() &&
+                      (endpoint >= removed_.size() || !removed_[endpoint]) &&
+                      !world_.lane(world_.endpoint(endpoint).machine).collapsed();
+  if (!exists) return CloseWithReset(fd);
+  const bool over_limit = IsAtConnectionLimit(endpoint);
+  if (!over_limit && world_.endpoint(endpoint).connections > 0) ++connection_counts_[endpoint];
+  if (!over_limit) tally_.Connected();
+  sessions_.Adopt(std::make_unique<Session>(*this, endpoint, relay, over_limit), fd);
 }
 
 void Endpoints::Remove(EndpointId endpoint) {
-  if (gone_.size() <= endpoint) gone_.resize(endpoint + 1);
-  gone_[endpoint] = true;
-  std::vector<Session*> ending;
+  if (removed_.size() <= endpoint) removed_.resize(endpoint + 1);
+  removed_[endpoint] = true;
+  std::vector<Session*> sessions;
   for (const auto& [key, session] : sessions_.all())
-    if (session->endpoint() == endpoint) ending.push_back(key);
-  for (Session* session : ending) session->End(Outcome::kReset);
+    if (session->endpoint() == endpoint) sessions.push_back(key);
+  for (Session* session : sessions) session->End(Outcome::kReset);
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/endpoints.h
+++ b/lab/sockets/endpoints.h
@@ -1,5 +1,6 @@
-// The partners' endpoints on sockets. Each has a loopback address of its own and all share one listener a
-// relay, so that 20,000 of them cost one descriptor, and it is known which relay calls. The models decide.
+// Emulates the partners' endpoints on sockets. Each endpoint has its own loopback address. All share one
+// listener for each relay, so that 20,000 endpoints take one descriptor per relay and the calling relay is
+// known. How an endpoint responds is decided by the partners' models.
 #pragma once
 
 #include <cstdint>
@@ -22,54 +23,54 @@
 
 class Endpoints {
  public:
-  // Throws std::system_error if the system lets nobody listen on the loopback device as a whole.
-  Endpoints(net::EventLoop& loop, World& world, Auditor& auditor, Ledger& ledger, Tally& tally,
+  // Throws std::system_error if the loopback device as a whole cannot be listened on.
+  Endpoints(net::EventLoop& loop, World& world, Auditor& auditor, MessageTracker& tracker, Tally& tally,
             std::uint64_t seed);
   ~Endpoints();
 
-  // The run's times count from here. Endpoints that refuse connections at times begin to do so.
+  // Sets when the run began and schedules the times at which endpoints refuse connections or vanish.
   void Begin(net::Seconds start);
   std::string AddressOf(EndpointId endpoint, int relay) const;
-  // Its machine is there no more: its connections end, and new ones are reset.
+  // The endpoint's machine is gone: its connections are closed, and new ones are reset.
   void Remove(EndpointId endpoint);
   std::size_t connections() const { return sessions_.all().size(); }
 
  private:
   class Session;
-  // An endpoint that refuses connections at times, or is cut off, has a listener of its own for each relay
-  // that meets it, which is closed meanwhile.
-  struct Door {
+  // An endpoint that refuses connections, vanishes or is cut off during the run has its own listener for each
+  // affected relay, which is closed while that lasts.
+  struct SeparateListener {
     EndpointId endpoint = 0;
     int relay = 0;
-    std::unique_ptr<ReservedAddress> address;  // nobody else gets it while the listener is closed
+    std::unique_ptr<ReservedAddress> address;  // keeps the address while the listener is closed
     std::unique_ptr<net::Listener> listener;
-    std::unique_ptr<BlackHole> hole;
+    std::unique_ptr<BlackHole> black_hole;  // while new connections must get no reply
     bool refuses = false, vanished = false;
   };
   Seconds now() const { return std::max(0.0, loop_.Now() - start_); }
-  Seconds WayOf(EndpointId endpoint, int relay) const;
+  Seconds OneWayDelay(EndpointId endpoint, int relay) const;
   void Accept(int fd, int relay);
-  void Tend(Door& door);  // open or closed, as it should be now
+  void Update(SeparateListener& entry);  // opens or closes it, as the current time requires
   bool IsCut(EndpointId endpoint, int relay) const;
-  bool MeetsCut(EndpointId endpoint, int relay) const;  // at some time
-  void LookForCuts();
-  bool Crowded(EndpointId endpoint) const;
-  void Left(EndpointId endpoint);  // a connection has ended
+  bool HasScheduledCut(EndpointId endpoint, int relay) const;  // at any time of the run
+  void PollCuts();
+  bool IsAtConnectionLimit(EndpointId endpoint) const;
+  void OnConnectionEnded(EndpointId endpoint);
 
   net::EventLoop& loop_;
   World& world_;
   Auditor& auditor_;
-  Ledger& ledger_;
+  MessageTracker& tracker_;
   Tally& tally_;
   const Links links_;
   net::Seconds start_;
-  bool begun_ = false;
-  std::vector<std::vector<Seconds>> one_way_;  // by relay and zone
-  std::vector<std::unique_ptr<net::Listener>> listeners_;
-  std::map<std::pair<EndpointId, int>, Door> doors_;
-  std::vector<bool> gone_;           // by endpoint
-  std::map<EndpointId, int> taken_;  // connections, where there is a limit
-  bool ending_ = false;
+  bool has_begun_ = false;
+  std::vector<std::vector<Seconds>> one_way_delays_;              // by relay and zone
+  std::vector<std::unique_ptr<net::Listener>> shared_listeners_;  // by relay
+  std::map<std::pair<EndpointId, int>, SeparateListener> separate_listeners_;
+  std::vector<bool> removed_;                    // by endpoint
+  std::map<EndpointId, int> connection_counts_;  // of endpoints with a limit
+  bool is_shutting_down_ = false;
   Sessions<Session> sessions_;
 };
 
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -8,125 +8,140 @@
 
 namespace {
 
-// A copy that left before its relay had read the end is no breach: so long after the end it may arrive.
-constexpr Seconds kOnTheWay = 0.25;
+// An attempt that arrives this long after the request's end is no breach: it may have been sent before the
+// relay knew of the end.
+constexpr Seconds kInFlightTolerance = 0.25;
 
-constexpr double kHalf = 0.5;   // of a message's time: what a restart finds with more left is to be tried
-constexpr double kEarly = 0.7;  // of it: an end before is early (the standing test)
+// Shares of the time to a message's deadline, from the platform's standing test. A request counts as untried
+// only if a restart finds it before the first share has passed; a notification before the second share ends
+// it early.
+constexpr double kUntriedShare = 0.5;
+constexpr double kEarlyShare = 0.7;
 
 }  // namespace
 
-std::size_t Ledger::Ask(const Arrival& arrival) {
-  clients_.push_back({arrival, false});
+std::size_t MessageTracker::AddMessage(const Arrival& arrival) {
+  messages_.push_back({arrival, false});
   tally_.Offered(arrival);
-  return clients_.size() - 1;
+  return messages_.size() - 1;
 }
 
-Seconds Ledger::DeadlineOf(std::size_t client) const {
-  const Arrival& arrival = clients_[client].arrival;
+Seconds MessageTracker::DeadlineOf(std::size_t message) const {
+  const Arrival& arrival = messages_[message].arrival;
   return arrival.due + s_.classes[static_cast<std::size_t>(arrival.message_class)].rules.deadline;
 }
 
-std::uint64_t Ledger::HandIn(Seconds now, int relay, std::size_t client) {
+std::uint64_t MessageTracker::Submit(Seconds now, int relay, std::size_t message) {
   ++tally_.result().handed_in;
   ++open_;
-  handings_.emplace_back();
-  handings_.back().client = client;
-  handings_.back().relay = relay;
-  const std::uint64_t id = handings_.size();
-  const Arrival& arrival = clients_[client].arrival;
-  auditor_.Taken(now, relay, id, client, arrival.message_class, world_.partners()[arrival.partner].id,
-                 DeadlineOf(client));
+  submissions_.emplace_back();
+  submissions_.back().message = message;
+  submissions_.back().relay = relay;
+  const std::uint64_t id = submissions_.size();
+  const Arrival& arrival = messages_[message].arrival;
+  auditor_.Taken(now, relay, id, message, arrival.message_class, world_.partners()[arrival.partner].id,
+                 DeadlineOf(message));
   return id;
 }
 
-void Ledger::End(Seconds now, std::uint64_t id, Handing& handing, Auditor::End end) {
+void MessageTracker::End(Seconds now, std::uint64_t id, Submission& submission, Auditor::End end) {
   auditor_.Ended(now, id, end);
-  if (std::exchange(handing.over, true)) return;
-  handing.ended = now;
+  if (std::exchange(submission.ended, true)) return;
+  submission.ended_at = now;
   --open_;
-  Client& client = clients_[handing.client];
-  if (end == Auditor::End::kDelivered && !std::exchange(client.delivered, true))
-    tally_.Delivered(client.arrival, now);
+  Message& message = messages_[submission.message];
+  if (end == Auditor::End::kDelivered && !std::exchange(message.delivered, true))
+    tally_.Delivered(message.arrival, now);
   if (end == Auditor::End::kRefused) tally_.Refused(now);
   if (end == Auditor::End::kFailed) tally_.Failed(now);
 }
 
-void Ledger::TakenOn(Seconds now, std::uint64_t id) {
-  Handing& handing = *Find(id);
-  handing.taken_on = true;
-  if (handing.served && !handing.over) End(now, id, handing, Auditor::End::kDelivered);
+void MessageTracker::OnAccepted(Seconds now, std::uint64_t id) {
+  Submission& submission = *Find(id);
+  submission.accepted = true;
+  if (submission.served && !submission.ended) End(now, id, submission, Auditor::End::kDelivered);
 }
 
-void Ledger::Refused(Seconds now, std::uint64_t id) { End(now, id, *Find(id), Auditor::End::kRefused); }
-void Ledger::Failed(Seconds now, std::uint64_t id) { End(now, id, *Find(id), Auditor::End::kFailed); }
-void Ledger::Withdrawn(Seconds now, std::uint64_t id) {
+void MessageTracker::OnRejected(Seconds now, std::uint64_t id) {
+  End(now, id, *Find(id), Auditor::End::kRefused);
+}
+void MessageTracker::OnFailed(Seconds now, std::uint64_t id) {
+  End(now, id, *Find(id), Auditor::End::kFailed);
+}
+void MessageTracker::OnWithdrawn(Seconds now, std::uint64_t id) {
   Find(id)->withdrawn = true;
   End(now, id, *Find(id), Auditor::End::kWithdrawn);
 }
 
-void Ledger::Noticed(Seconds now, std::uint64_t id, Notice notice, Seconds advice) {
-  Handing* handing = Find(id);
-  // A relay that was killed repeats what it may not have told: 'does no harm'.
-  if (handing == nullptr || handing->over) return;
-  if (handing->found_untried && handing->attempts == 0 && now < TimeOf(handing->client, kEarly))
+void MessageTracker::OnNotification(Seconds now, std::uint64_t id, Notification notification,
+                                    Seconds retry_after) {
+  Submission* submission = Find(id);
+  // A killed relay repeats notifications that it may not have delivered, which the protocol allows.
+  if (submission == nullptr || submission->ended) return;
+  if (submission->found_untried && submission->attempts == 0 &&
+      now < TimeAtShare(submission->message, kEarlyShare))
     ++untried_ended_;
-  End(now, id, *handing, notice == Notice::kGivenUp ? Auditor::End::kFailed : Auditor::End::kRefused);
-  if (notice == Notice::kHandedBack && on_handed_back) on_handed_back(handing->client, advice);
+  End(now, id, *submission,
+      notification == Notification::kFailed ? Auditor::End::kFailed : Auditor::End::kRefused);
+  if (notification == Notification::kRejected && on_rejected_after_accept)
+    on_rejected_after_accept(submission->message, retry_after);
 }
 
-Seconds Ledger::TimeOf(std::size_t client, double share) const {
-  const Arrival& arrival = clients_[client].arrival;
-  return arrival.due + share * (DeadlineOf(client) - arrival.due);
+Seconds MessageTracker::TimeAtShare(std::size_t message, double share) const {
+  const Arrival& arrival = messages_[message].arrival;
+  return arrival.due + share * (DeadlineOf(message) - arrival.due);
 }
 
-void Ledger::RelayRestarted(Seconds now, int relay) {
-  for (Handing& handing : handings_) {
-    const bool open = handing.relay == relay && handing.taken_on && !handing.over;
-    if (!open || handing.attempts > 0 || handing.found_untried || now > TimeOf(handing.client, kHalf))
+void MessageTracker::OnRelayRestarted(Seconds now, int relay) {
+  for (Submission& submission : submissions_) {
+    const bool is_open = submission.relay == relay && submission.accepted && !submission.ended;
+    if (!is_open || submission.attempts > 0 || submission.found_untried ||
+        now > TimeAtShare(submission.message, kUntriedShare))
       continue;
-    handing.found_untried = true;
+    submission.found_untried = true;
     ++untried_;
   }
 }
 
-// A relay that was killed before it had read the 200 sends a delivered message anew, as its class allows.
-bool Ledger::MayComeAgain(Seconds now, const Handing& handing) const {
-  const RequestClass& c =
-      s_.classes[static_cast<std::size_t>(clients_[handing.client].arrival.message_class)].rules;
-  if (!handing.served || c.idempotency == Idempotency::kNonIdempotent) return false;
-  return c.idempotency == Idempotency::kIdempotent || now <= handing.ended + c.deduplication_window;
+// A relay that was killed before it had read the 200 may send a delivered request again if its class allows
+// it.
+bool MessageTracker::MayBeResent(Seconds now, const Submission& submission) const {
+  const RequestClass& rules =
+      s_.classes[static_cast<std::size_t>(messages_[submission.message].arrival.message_class)].rules;
+  if (!submission.served || rules.idempotency == Idempotency::kNonIdempotent) return false;
+  return rules.idempotency == Idempotency::kIdempotent ||
+         now <= submission.ended_at + rules.deduplication_window;
 }
 
-// Whether what comes after the end is the relay's right.
-bool Ledger::MayArriveLate(Seconds now, int relay, const Handing& handing) const {
-  // Nobody has told the relay that the client withdrew.
-  if (handing.withdrawn || MayComeAgain(now, handing)) return true;
-  const auto deaf = deaf_until_.find(relay);
-  const bool heard_late = deaf != deaf_until_.end() && handing.ended <= deaf->second;
-  return now <= (heard_late ? deaf->second : handing.ended) + kOnTheWay;
+// Whether an attempt that arrives after the request's end breaks no rule.
+bool MessageTracker::MayArriveAfterEnd(Seconds now, int relay, const Submission& submission) const {
+  // The relay doesn't know that the client has withdrawn the request.
+  if (submission.withdrawn || MayBeResent(now, submission)) return true;
+  const auto frozen = frozen_until_.find(relay);
+  const bool was_frozen = frozen != frozen_until_.end() && submission.ended_at <= frozen->second;
+  return now <= (was_frozen ? frozen->second : submission.ended_at) + kInFlightTolerance;
 }
 
-int Ledger::Arrived(Seconds now, int relay, std::uint64_t id, EndpointId endpoint) {
-  Handing* handing = Find(id);
-  const bool over = handing == nullptr || handing->over;
-  if (over && handing != nullptr && MayArriveLate(now, relay, *handing)) return kVoid;
-  auditor_.Sent(now, relay, id, endpoint);  // which reports it where it is over
-  if (over) return kVoid;
+int MessageTracker::OnAttemptArrived(Seconds now, int relay, std::uint64_t id, EndpointId endpoint) {
+  Submission* submission = Find(id);
+  const bool ended = submission == nullptr || submission->ended;
+  if (ended && submission != nullptr && MayArriveAfterEnd(now, relay, *submission)) return kVoid;
+  auditor_.Sent(now, relay, id, endpoint);  // reports a breach if the request has ended
+  if (ended) return kVoid;
   ++tally_.result().attempts;
-  return handing->attempts++;
+  return submission->attempts++;
 }
 
-void Ledger::Ran(Seconds now, std::uint64_t id) { auditor_.Ran(now, id); }
+void MessageTracker::OnExecuted(Seconds now, std::uint64_t id) { auditor_.Ran(now, id); }
 
-void Ledger::Over(Seconds now, std::uint64_t id, int attempt, Outcome outcome) {
-  Handing& handing = *Find(id);
+void MessageTracker::OnAttemptEnded(Seconds now, std::uint64_t id, int attempt, Outcome outcome) {
+  Submission& submission = *Find(id);
   tally_.AttemptEnded(outcome);
   auditor_.Over(id, attempt, !decision::ProvesNeverRan(outcome));
   if (outcome != Outcome::kServed) return;
-  handing.served = true;
-  // It counts once its client has heard, too. An end that came first stands.
-  if (handing.taken_on && !handing.over) End(now, id, handing, Auditor::End::kDelivered);
+  submission.served = true;
+  // The message counts as delivered only once its client has read the 202, too. An earlier end is final.
+  if (submission.accepted && !submission.ended) End(now, id, submission, Auditor::End::kDelivered);
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/ledger.h
+++ b/lab/sockets/ledger.h
@@ -1,5 +1,6 @@
-// What became of each message, seen from both sides on sockets: clients hand in, endpoints get calls, the
-// platform gets notices. Tells the auditor and the tally; knows nothing of sockets.
+// Tracks each message of a run on sockets from both sides: what clients submit, what endpoints receive and
+// what the platform is notified of. Reports it to the auditor and the tally, and does no input or output
+// itself.
 #pragma once
 
 #include <cstdint>
@@ -13,73 +14,78 @@
 
 namespace opalroute::lab {
 
-class Ledger {
+class MessageTracker {
  public:
-  Ledger(const World& world, Auditor& auditor, Tally& tally)
+  MessageTracker(const World& world, Auditor& auditor, Tally& tally)
       : world_(world), s_(world.scenario()), auditor_(auditor), tally_(tally) {}
 
-  // A message of a client, however often it is handed in. Returns its number.
-  std::size_t Ask(const Arrival& arrival);
-  const Arrival& arrival(std::size_t client) const { return clients_[client].arrival; }
-  Seconds DeadlineOf(std::size_t client) const;
-  bool delivered(std::size_t client) const { return clients_[client].delivered; }
+  // Adds a client's message and returns its index. It may be submitted several times.
+  std::size_t AddMessage(const Arrival& arrival);
+  const Arrival& arrival(std::size_t message) const { return messages_[message].arrival; }
+  Seconds DeadlineOf(std::size_t message) const;
+  bool delivered(std::size_t message) const { return messages_[message].delivered; }
 
-  // Handed in to a relay, under an id of its own (counted from 1).
-  std::uint64_t HandIn(Seconds now, int relay, std::size_t client);
-  void TakenOn(Seconds now, std::uint64_t id);  // the client has read 202 or 200
-  void Refused(Seconds now, std::uint64_t id);
-  void Failed(Seconds now, std::uint64_t id);
-  void Withdrawn(Seconds now, std::uint64_t id);  // no answer in time, or no relay there
-  // A notice to the platform. A message that is over is not touched.
-  enum class Notice { kGivenUp, kHandedBack };
-  void Noticed(Seconds now, std::uint64_t id, Notice notice, Seconds advice);
-  // Told when a message that was taken on is handed back, with the wait advised (0: none).
-  std::function<void(std::size_t client, Seconds advice)> on_handed_back;
+  // The message is sent to a relay. Returns the request's id: each submission has its own, counted from 1.
+  std::uint64_t Submit(Seconds now, int relay, std::size_t message);
+  void OnAccepted(Seconds now, std::uint64_t id);  // the client has read 202 or 200
+  void OnRejected(Seconds now, std::uint64_t id);
+  void OnFailed(Seconds now, std::uint64_t id);
+  void OnWithdrawn(Seconds now, std::uint64_t id);  // the client got no response in time, or no connection
+  // The platform was notified by a relay. Ignored if the request has already ended.
+  enum class Notification { kFailed, kRejected };
+  void OnNotification(Seconds now, std::uint64_t id, Notification notification, Seconds retry_after);
+  // Called when an accepted request is rejected, with the wait that the relay advised (0: none).
+  std::function<void(std::size_t message, Seconds retry_after)> on_rejected_after_accept;
 
-  // A call's last byte has come. Void: the message is over, or nobody knows it; then it must not run.
+  // An endpoint has read the last byte of a request's attempt. Returns the attempt's number, or kVoid if the
+  // request has ended or is unknown: the endpoint must not execute it.
   static constexpr int kVoid = -1;
-  int Arrived(Seconds now, int relay, std::uint64_t id, EndpointId endpoint);  // the attempt's number
-  // A relay that stands still hears of no end until then.
-  void Deaf(int relay, Seconds until) { deaf_until_[relay] = until; }
-  void Ran(Seconds now, std::uint64_t id);
-  // An attempt's answer was written, or its connection has ended before.
-  void Over(Seconds now, std::uint64_t id, int attempt, Outcome outcome);
+  int OnAttemptArrived(Seconds now, int relay, std::uint64_t id, EndpointId endpoint);
+  // The relay is frozen and learns of no request's end before `until`.
+  void OnRelayFrozen(int relay, Seconds until) { frozen_until_[relay] = until; }
+  void OnExecuted(Seconds now, std::uint64_t id);
+  // The endpoint has written its response, or the connection ended first.
+  void OnAttemptEnded(Seconds now, std::uint64_t id, int attempt, Outcome outcome);
 
-  std::size_t open() const { return open_; }  // handed in and not over
+  std::size_t open() const { return open_; }  // submissions that have not ended
 
-  // The relay's next process has started: what it was handed in and has not called for counts as found
-  // untried if half of its time is left.
-  void RelayRestarted(Seconds now, int relay);
-  // Of all restarts: what was found untried, and what of it has ended early with no call.
+  // The relay's next process has started. Requests that the relay had accepted and not yet sent to an
+  // endpoint count as found untried if at most half of the time to their deadline has passed.
+  void OnRelayRestarted(Seconds now, int relay);
+  // Over all restarts: requests found untried, and those of them that a notification ended early, before any
+  // attempt.
   int untried() const { return untried_; }
   int untried_ended() const { return untried_ended_; }
 
  private:
-  struct Client {
+  struct Message {
     Arrival arrival;
     bool delivered = false;
   };
-  struct Handing {
-    std::size_t client = 0;
-    Seconds ended = 0;
+  struct Submission {
+    std::size_t message = 0;
+    Seconds ended_at = 0;
     int relay = 0;
     int attempts = 0;
     bool found_untried = false;
-    bool taken_on = false, served = false, over = false, withdrawn = false;
+    bool accepted = false, served = false, ended = false, withdrawn = false;
   };
-  Handing* Find(std::uint64_t id) { return id >= 1 && id <= handings_.size() ? &handings_[id - 1] : nullptr; }
-  Seconds TimeOf(std::size_t client, double share) const;  // when that share of its time is over
-  bool MayArriveLate(Seconds now, int relay, const Handing& handing) const;
-  bool MayComeAgain(Seconds now, const Handing& handing) const;
-  void End(Seconds now, std::uint64_t id, Handing& handing, Auditor::End end);
+  Submission* Find(std::uint64_t id) {
+    return id >= 1 && id <= submissions_.size() ? &submissions_[id - 1] : nullptr;
+  }
+  // When the given share of the time from the message's arrival to its deadline has passed.
+  Seconds TimeAtShare(std::size_t message, double share) const;
+  bool MayArriveAfterEnd(Seconds now, int relay, const Submission& submission) const;
+  bool MayBeResent(Seconds now, const Submission& submission) const;
+  void End(Seconds now, std::uint64_t id, Submission& submission, Auditor::End end);
 
   const World& world_;
   const Scenario& s_;
   Auditor& auditor_;
   Tally& tally_;
-  std::vector<Client> clients_;
-  std::vector<Handing> handings_;
-  std::map<int, Seconds> deaf_until_;  // by relay
+  std::vector<Message> messages_;
+  std::vector<Submission> submissions_;  // by id, which counts from 1
+  std::map<int, Seconds> frozen_until_;  // by relay
   std::size_t open_ = 0;
   int untried_ = 0, untried_ended_ = 0;
 };
--- a/lab/sockets/loopback.h
+++ b/lab/sockets/loopback.h
@@ -1,4 +1,4 @@
-// Many endpoints on the loopback device: an address each, one listening socket for all.
+// Gives many endpoints a loopback address each, with a single listening socket for all of them.
 #pragma once
 
 #include <netinet/in.h>
@@ -7,12 +7,13 @@
 
 namespace opalroute::lab {
 
-// Listens, non-blocking, at all of 127.0.0.0/8 and nowhere else, on a port of its own. Throws
+// Returns a non-blocking socket that listens on all of 127.0.0.0/8, and nowhere else, on a free port. Throws
 // std::system_error.
 int ListenOnLoopback();
 
-// A machine that is cut off, for new connections: its address takes them and never answers, as its queue for
-// them is full (tcp(7)). Throws std::system_error if the address can't be had.
+// Makes an address behave like an unreachable machine towards new connections: connection attempts are
+// neither accepted nor refused, as the listener's accept queue is kept full (tcp(7)). Throws
+// std::system_error if the address is taken.
 class BlackHole {
  public:
   explicit BlackHole(const sockaddr_in& address);
@@ -25,8 +26,8 @@
   int fillers_[2] = {-1, -1};
 };
 
-// Endpoint 1 is 127.32.0.1, and so on; 14 million have room. The port is left at 0.
-sockaddr_in LoopbackOf(EndpointId endpoint);
-EndpointId EndpointAt(const sockaddr_in& address);
+// Endpoint 1 has 127.32.0.1, endpoint 2 has 127.32.0.2, and so on, up to 14 million. The port is left at 0.
+sockaddr_in LoopbackAddress(EndpointId endpoint);
+EndpointId EndpointIdOf(const sockaddr_in& address);
 
 }  // namespace opalroute::lab
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -27,30 +27,30 @@
 
 using net::Seconds;
 
-constexpr Seconds kBeat = 0.01;        // at which the laboratory looks after processes, and at itself
-constexpr Seconds kStartGap = 0.02;    // between one relay's start and the next
-constexpr Seconds kAllReady = 30;      // from the first start, or there is no run
-constexpr Seconds kFrontSees = 1;      // after this the front notices that a relay has died
-constexpr Seconds kFrontDrains = 0.3;  // after SIGTERM new connections come for so long
-constexpr Seconds kAfterReady = 1.5;   // what was overdue at a restart may be answered until then
-constexpr Seconds kAfterCut = 0.5;     // what was overdue in a cut may be answered until then
-constexpr Seconds kToReady = 5;        // a new start may take so long before what it holds is overdue
-constexpr Seconds kReadyWithin = 6;    // of a restart on a short day (the standing test)
-constexpr Seconds kEndSeen = 0.3;      // after its end a process is known to have ended
-constexpr Seconds kToEnd = 5;          // for all relays, once the run is over
+constexpr Seconds kTickInterval = 0.01;     // polls the processes and measures the laboratory's lateness
+constexpr Seconds kStartInterval = 0.02;    // between the starts of two relays
+constexpr Seconds kAllReadyTimeout = 30;    // for the start of all relays
+constexpr Seconds kDeathDetectionTime = 1;  // until clients notice that a relay was killed
+constexpr Seconds kNewConnectionsAfterStop = 0.3;  // clients open connections this long after SIGTERM
+constexpr Seconds kOverdueAfterReady = 1.5;  // after a restart, for answers that became overdue meanwhile
+constexpr Seconds kOverdueAfterCut = 0.5;    // after a cut, for answers that became overdue meanwhile
+constexpr Seconds kRestartAllowance = 5;     // a restart may take this long before requests are overdue
+constexpr Seconds kReadyTimeout = 6;         // for a restart (the platform's standing test)
+constexpr Seconds kExitDetectionTime = 0.3;  // until a process's exit or kill is surely known
+constexpr Seconds kStopTimeout = 5;          // for all relays at the end of the run
 
 Auditor::Rules RulesOf(const Scenario& scenario) {
   Auditor::Rules rules;
-  rules.answer_slack = 0.35;  // the platform's 0.3 s, and 50 ms for sockets
+  rules.answer_slack = 0.35;  // the platform's 0.3 s plus 50 ms for sockets
   rules.drain_grace = 2.05;
   rules.wait_grace = 0.1;
   rules.overload_for = scenario.settings.overload_window;
   return rules;
 }
 
-class SocketPlay : private Registry::Owner, private RelayProcess::Owner {
+class SocketRun : private PlatformServer::Owner, private RelayProcess::Owner {
  public:
-  SocketPlay(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options)
+  SocketRun(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options)
       : s_(scenario),
         options_(options),
         random_(seed, 5),
@@ -59,155 +59,160 @@
         traffic_(world_, seed),
         auditor_(RulesOf(scenario), scenario.settings.classes),
         tally_(world_, seed),
-        ledger_(world_, auditor_, tally_),
-        endpoints_(loop_, world_, auditor_, ledger_, tally_, seed),
-        registry_(
+        tracker_(world_, auditor_, tally_),
+        endpoints_(loop_, world_, auditor_, tracker_, tally_, seed),
+        platform_server_(
             loop_, world_, seed, [this](EndpointId id, int relay) { return endpoints_.AddressOf(id, relay); },
             *this),
-        front_(loop_, scenario, traffic_, ledger_, seed),
-        rude_clients_(loop_, [this](int relay) { auditor_.Stalled(now(), relay); }) {
-    front_.on_closed = [this](int relay, std::uint64_t id, bool crossed) { CheckClosed(relay, id, crossed); };
-    front_.on_accepted = [this](int relay) { KillAfterAccept(relay); };
-    if (s_.notes) post_ = std::make_unique<PostThread>(s_.relays, s_.links, seed);
+        load_generator_(loop_, scenario, traffic_, tracker_, seed),
+        stalling_clients_(loop_, [this](int relay) { auditor_.Stalled(now(), relay); }) {
+    load_generator_.on_closed = [this](int relay, std::uint64_t id, bool may_race_close) {
+      CheckClosed(relay, id, may_race_close);
+    };
+    load_generator_.on_accepted = [this](int relay) { KillAfterAccept(relay); };
+    if (s_.notes) forwarder_ = std::make_unique<DatagramForwarderThread>(s_.relays, s_.links, seed);
     tally_.result().played = "sockets";
     tally_.result().processes.resize(static_cast<std::size_t>(s_.relays));
     for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
       auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
     for (int i = 0; i < s_.relays; ++i) {
-      RelayProcess::Plan plan;
-      plan.program = options.program;
-      plan.arguments = options.relay_arguments;
-      if (s_.tier) plan.arguments.emplace_back("--tier-shares");
-      if (s_.leave) plan.arguments.emplace_back("--tier-zones");
-      plan.has_pages = !s_.zone_orders.empty();
-      plan.folder = options.folder + "/relay" + std::to_string(i);
-      std::filesystem::remove_all(plan.folder);
-      plan.config = [this, i](const std::string& listen) { return ConfigOf(i, listen); };
+      RelayProcess::Options relay_options;
+      relay_options.program = options.program;
+      relay_options.arguments = options.relay_arguments;
+      if (s_.tier) relay_options.arguments.emplace_back("--tier-shares");
+      if (s_.leave) relay_options.arguments.emplace_back("--tier-zones");
+      relay_options.has_admin_address = !s_.zone_orders.empty();
+      relay_options.folder = options.folder + "/relay" + std::to_string(i);
+      std::filesystem::remove_all(relay_options.folder);
+      relay_options.config = [this, i](const std::string& listen) { return ConfigOf(i, listen); };
       if (options.variables)
-        plan.variables = [this, i](const std::string& state_folder) {
+        relay_options.variables = [this, i](const std::string& state_folder) {
           return options_.variables(i, state_folder);
         };
-      relays_.push_back(std::make_unique<RelayProcess>(loop_, i, std::move(plan),
+      relays_.push_back(std::make_unique<RelayProcess>(loop_, i, std::move(relay_options),
                                                        static_cast<RelayProcess::Owner&>(*this)));
     }
   }
 
-  RunResult Play() {
-    BringUp();
+  RunResult Run() {
+    StartRelays();
     start_ = loop_.Now() + 0.05;
-    if (post_) post_->Begin(start_);
+    if (forwarder_) forwarder_->Begin(start_);
     endpoints_.Begin(start_);
-    registry_.Begin(start_);
-    front_.Begin(start_);
+    platform_server_.Begin(start_);
+    load_generator_.Begin(start_);
     for (const PoolChange& change : s_.pool_changes)
       loop_.At(start_ + change.at, [this, change] { ChangeList(change); });
-    for (const RudePlan& rude : s_.rude_clients)
-      loop_.At(start_ + rude.at, [this, rude] {
-        rude_clients_.Connect(rude.relay, Of(rude.relay).address(), rude.kind, rude.count);
+    for (const RudePlan& plan : s_.rude_clients)
+      loop_.At(start_ + plan.at, [this, plan] {
+        stalling_clients_.Connect(plan.relay, RelayAt(plan.relay).address(), plan.kind, plan.count);
       });
     for (const Cut& cut : s_.links.cuts) ExcuseAllAt(cut.from);
     for (const ListFault& fault : s_.list_faults) ExcuseAllAt(fault.from);
     for (const RelayFault& fault : s_.relay_faults)
-      loop_.At(start_ + fault.at, [this, fault] { Strike(fault); });
-    for (const HandGiven& order : s_.zone_orders) loop_.At(start_ + order.at, [this, order] { Give(order); });
-    Beat(loop_.Now());
-    Second(0);
+      loop_.At(start_ + fault.at, [this, fault] { ApplyFault(fault); });
+    for (const HandGiven& order : s_.zone_orders)
+      loop_.At(start_ + order.at, [this, order] { SendOverride(order); });
+    Tick(loop_.Now());
+    SampleSecond(0);
     const Seconds ends = start_ + EndOf(s_);
     while (loop_.Now() < ends && !AllDone()) {
-      loop_.RunOnce(kBeat);
+      loop_.RunOnce(kTickInterval);
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
     }
-    constexpr Seconds kEver = 1e9;  // what is not over by now never will be
-    auditor_.Until(kEver);
-    restarts_.untried = ledger_.untried();
-    restarts_.untried_ended = ledger_.untried_ended();
+    constexpr Seconds kForever = 1e9;  // requests that have not ended by now never will
+    auditor_.Until(kForever);
+    restarts_.untried = tracker_.untried();
+    restarts_.untried_ended = tracker_.untried_ended();
     auditor_.Restarted(now(), restarts_);
-    End();
-    return Result();
+    StopRelays();
+    return TakeResult();
   }
 
  private:
   Seconds now() const { return loop_.Now() - start_; }
-  RelayProcess& Of(int relay) { return *relays_[static_cast<std::size_t>(relay)]; }
+  RelayProcess& RelayAt(int relay) { return *relays_[static_cast<std::size_t>(relay)]; }
 
   nlohmann::json ConfigOf(int relay, const std::string& listen) {
     nlohmann::json file = {{"name", "n" + std::to_string(relay)},
                            {"listen", listen},
-                           {"discovery", net::FormatAddress(registry_.address(relay))},
+                           {"discovery", net::FormatAddress(platform_server_.address(relay))},
                            {"seed", std::to_string(random_())},
                            {"limits", {{"sockets", 1024}, {"disk_mb", 3}}},
-                           {"known", nlohmann::json::parse(registry_.WholeList(relay))},
+                           {"known", nlohmann::json::parse(platform_server_.FullList(relay))},
                            {"settings", SettingsJson(s_, relay)}};
-    if (!post_) return file;
-    file["peer_listen"] = net::FormatAddress(post_->ListenOf(relay));
-    for (const sockaddr_in& peer : post_->Peers()) file["peers"].push_back(net::FormatAddress(peer));
+    if (!forwarder_) return file;
+    file["peer_listen"] = net::FormatAddress(forwarder_->RelayAddress(relay));
+    for (const sockaddr_in& peer : forwarder_->PeerAddresses())
+      file["peers"].push_back(net::FormatAddress(peer));
     return file;
   }
 
-  void BringUp() {
-    const Seconds until = loop_.Now() + kAllReady + kStartGap * s_.relays;
-    for (int i = 0; i < s_.relays; ++i)  // hundreds at once would take this machine's cores from one another
-      loop_.At(loop_.Now() + kStartGap * i, [this, i] { StartRelay(i); });
+  void StartRelays() {
+    const Seconds deadline = loop_.Now() + kAllReadyTimeout + kStartInterval * s_.relays;
+    for (int i = 0; i < s_.relays; ++i)  // hundreds at once would compete for the machine's cores
+      loop_.At(loop_.Now() + kStartInterval * i, [this, i] { StartRelay(i); });
     while (std::any_of(relays_.begin(), relays_.end(), [](const auto& relay) { return !relay->ready(); })) {
       for (const auto& relay : relays_) relay->Poll();
-      loop_.RunOnce(kBeat);
+      loop_.RunOnce(kTickInterval);
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
       if (!tally_.result().crashes.empty()) {
         const Crash& crash = tally_.result().crashes.front();
         throw std::runtime_error("relay " + std::to_string(crash.relay) + " did not come up: " + crash.how +
-                                 "; its log says:\n" + crash.last_log);
+                                 "; the end of its log:\n" + crash.last_log);
       }
-      if (loop_.Now() > until) throw std::runtime_error("the relays were not ready in time");
+      if (loop_.Now() > deadline) throw std::runtime_error("not all relays became ready in time");
     }
   }
 
-  // ---- what the relays do -----------------------------------------------------------------------------
+  // ---- relay processes and requests --------------------------------------------------------------------
 
   void OnReady(int relay) override {
-    front_.SetRelay(relay, Of(relay).address());
-    front_.SetAlive(relay, true);
-    if (options_.clients_stay) front_.CrossFirstRequests(relay);
+    load_generator_.OnRelayStarted(relay, RelayAt(relay).address());
+    load_generator_.SetBelievedAlive(relay, true);
+    if (options_.clients_use_stopping_relays) load_generator_.RaceFirstRequestTimeout(relay);
     if (start_ <= 0) return;
     ++restarts_.ready;
-    if (now() > started_at_[relay] + kReadyWithin) ++restarts_.late;
-    auditor_.RelayReady(relay, now() + kAfterReady);  // what it held is due from now on
+    if (now() > started_at_[relay] + kReadyTimeout) ++restarts_.late;
+    auditor_.RelayReady(relay, now() + kOverdueAfterReady);  // requests that it holds are due again
     ExcuseForCuts(relay);
   }
   void StartRelay(int relay) {
-    Of(relay).Start();
-    OnStart(relay);
+    RelayAt(relay).Start();
+    OnRestart(relay);
   }
-  void OnStart(int relay) override {
+  void OnRestart(int relay) override {
     started_at_[relay] = now();
-    ledger_.RelayRestarted(now(), relay);
-    if (post_) post_->SetThere(relay, true);
+    tracker_.OnRelayRestarted(now(), relay);
+    if (forwarder_) forwarder_->SetRunning(relay, true);
   }
-  void OnEnd(int relay) override {
-    if (options_.clients_stay) front_.SetAlive(relay, false);
-    OnDeath(relay);
+  void OnExit(int relay) override {
+    if (options_.clients_use_stopping_relays) load_generator_.SetBelievedAlive(relay, false);
+    OnProcessGone(relay);
   }
   void OnKilled(int relay) override {
-    const Seconds down = Of(relay).next_start() - loop_.Now();
-    loop_.At(loop_.Now() + std::min(kFrontSees, down), [this, relay] {
-      if (!Of(relay).ready()) front_.SetAlive(relay, false);
+    const Seconds down = RelayAt(relay).next_start() - loop_.Now();
+    loop_.At(loop_.Now() + std::min(kDeathDetectionTime, down), [this, relay] {
+      if (!RelayAt(relay).ready()) load_generator_.SetBelievedAlive(relay, false);
     });
-    OnDeath(relay);
+    OnProcessGone(relay);
   }
-  // What it was told ends with the process; nothing that it held is overdue until the next one is ready.
-  void OnDeath(int relay) {
-    if (post_) post_->SetThere(relay, false);
-    auditor_.RelayDied(relay, ReadyAtLatest(relay));
+  // The relay's knowledge of waits and outages is lost. Requests that it held are not overdue until its next
+  // process is ready.
+  void OnProcessGone(int relay) {
+    if (forwarder_) forwarder_->SetRunning(relay, false);
+    auditor_.RelayDied(relay, LatestReadyTime(relay));
     ExcuseForCuts(relay);
   }
-  Seconds ReadyAtLatest(int relay) { return Of(relay).next_start() - start_ + kToReady; }
+  Seconds LatestReadyTime(int relay) { return RelayAt(relay).next_start() - start_ + kRestartAllowance; }
   void OnCrash(int relay, const std::string& how) override {
-    if (post_) post_->SetThere(relay, false);
+    if (forwarder_) forwarder_->SetRunning(relay, false);
     auditor_.RelayDied(relay, 0);
     ExcuseForCuts(relay);
-    front_.SetAlive(relay, false);
-    tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, how, Of(relay).LastLog()});
+    load_generator_.SetBelievedAlive(relay, false);
+    tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, how, RelayAt(relay).LogTail()});
   }
-  // While the platform is out of a relay's reach no notice can arrive there.
+  // While a relay can't reach the platform, its notifications can't arrive, so its requests are not overdue.
   void ExcuseForCuts(int relay) {
     for (const Cut& cut : s_.links.cuts)
       if (cut.what == Cut::What::kDiscovery) ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.lasts);
@@ -216,52 +221,56 @@
         ExcuseWhile(relay, fault.first, fault.last, fault.from, fault.lasts);
   }
   void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds lasts) {
-    const bool holds = start_ > 0 && now() >= from && now() < from + lasts;
-    if (holds && relay >= first && relay <= last) auditor_.Excuse(relay, from + lasts + kAfterCut);
+    const bool is_active = start_ > 0 && now() >= from && now() < from + lasts;
+    if (is_active && relay >= first && relay <= last) auditor_.Excuse(relay, from + lasts + kOverdueAfterCut);
   }
   void ExcuseAllAt(Seconds from) {
     loop_.At(start_ + from, [this] {
       for (int relay = 0; relay < s_.relays; ++relay) ExcuseForCuts(relay);
     });
   }
-  // A client's connection has ended with its request written and no whole answer. That is the relay's doing
-  // wherever the request had been read, and if it was serving, also where it had not been, unless the request
-  // crossed the end of a resting connection; a process that is killed resets all it has.
-  void CheckClosed(int relay, std::uint64_t id, bool crossed) {
-    if (!options_.clients_stay) return;
-    const Seconds closed = loop_.Now();
-    const int starts = Of(relay).starts();
-    const bool owes_all = Of(relay).serves() && !crossed;
-    loop_.At(closed + kEndSeen, [this, relay, id, closed, starts, owes_all] {
-      if (Of(relay).WasKilled(starts, closed)) return;
-      if (owes_all || HasRead(relay, id)) return auditor_.ClosedUnanswered(closed - start_, relay, id);
+  // A client's connection has ended after a request was written and without a complete response. The relay is
+  // at fault if it had read the request. While it is not stopping it is also at fault if it had not, unless
+  // the relay may have closed the connection while it was idle. A killed process resets all connections and
+  // is not at fault.
+  void CheckClosed(int relay, std::uint64_t id, bool may_race_close) {
+    if (!options_.clients_use_stopping_relays) return;
+    const Seconds closed_at = loop_.Now();
+    const int starts = RelayAt(relay).starts();
+    const bool must_answer = RelayAt(relay).serving() && !may_race_close;
+    loop_.At(closed_at + kExitDetectionTime, [this, relay, id, closed_at, starts, must_answer] {
+      if (RelayAt(relay).WasKilled(starts, closed_at)) return;
+      if (must_answer || HasRead(relay, id)) return auditor_.ClosedUnanswered(closed_at - start_, relay, id);
       ++tally_.result().closed_unread;
     });
   }
   bool HasRead(int relay, std::uint64_t id) const {
-    if (options_.requests_read.empty()) return false;
-    std::ifstream file(options_.folder + "/relay" + std::to_string(relay) + "/" + options_.requests_read);
-    const std::string wanted = "m" + std::to_string(id);
+    if (options_.requests_read_file.empty()) return false;
+    std::ifstream file(options_.folder + "/relay" + std::to_string(relay) + "/" +
+                       options_.requests_read_file);
+    const std::string request_id = "m" + std::to_string(id);
     for (std::string line; std::getline(file, line);)
-      if (line == wanted) return true;
+      if (line == request_id) return true;
     return false;
   }
-  void OnTold(int relay, EndpointId endpoint, EndpointStatus listing) override {
-    if (listing != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
+  void OnListingSent(int relay, EndpointId endpoint, EndpointStatus status) override {
+    if (status != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
   }
-  void OnNotice(const std::string& message, bool handed_back, Seconds advice) override {
-    ledger_.Noticed(now(), std::strtoull(message.c_str() + 1, nullptr, 10),
-                    handed_back ? Ledger::Notice::kHandedBack : Ledger::Notice::kGivenUp, advice);
+  void OnNotification(const std::string& message, bool rejected, Seconds retry_after) override {
+    tracker_.OnNotification(
+        now(), std::strtoull(message.c_str() + 1, nullptr, 10),
+        rejected ? MessageTracker::Notification::kRejected : MessageTracker::Notification::kFailed,
+        retry_after);
   }
 
-  // ---- troubles ---------------------------------------------------------------------------------------
+  // ---- faults -----------------------------------------------------------------------------------------
 
-  // Faults may overlap on one relay: RestartSchedule says what each signal means then.
-  void Strike(const RelayFault& fault) {
-    if (!Of(fault.relay).running()) return;
+  // Faults on one relay may overlap; RestartSchedule defines the effect of each signal then.
+  void ApplyFault(const RelayFault& fault) {
+    if (!RelayAt(fault.relay).running()) return;
     switch (fault.kind) {
       case RelayFault::Kind::kReload:
-        return Of(fault.relay).Reload();
+        return RelayAt(fault.relay).Reload();
       case RelayFault::Kind::kFreeze:
         return Freeze(fault.relay, fault.down);
       case RelayFault::Kind::kStop:
@@ -274,51 +283,53 @@
     }
   }
   void Freeze(int relay, Seconds lasts) {
-    Of(relay).Freeze();
-    ledger_.Deaf(relay, now() + lasts);
-    auditor_.Excuse(relay, now() + lasts + kAfterReady);
-    loop_.At(loop_.Now() + lasts, [this, relay] { Of(relay).Thaw(); });
+    RelayAt(relay).Freeze();
+    tracker_.OnRelayFrozen(relay, now() + lasts);
+    auditor_.Excuse(relay, now() + lasts + kOverdueAfterReady);
+    loop_.At(loop_.Now() + lasts, [this, relay] { RelayAt(relay).Thaw(); });
   }
-  // From the signal until it is ready again nothing is overdue; OnReady says until when.
+  // No request is overdue from the signal until some time after the next process is ready, which OnReady()
+  // sets.
   void Stop(int relay, Seconds down) {
-    const bool is_first = !Of(relay).stopping();
-    Of(relay).Terminate(down);
-    auditor_.Excuse(relay, ReadyAtLatest(relay));
+    const bool is_first = !RelayAt(relay).stopping();
+    RelayAt(relay).Terminate(down);
+    auditor_.Excuse(relay, LatestReadyTime(relay));
     if (!is_first) return;
-    if (options_.clients_stay) return front_.RelayStops(relay);
-    loop_.At(loop_.Now() + kFrontDrains, [this, relay] { front_.SetAlive(relay, false); });
+    if (options_.clients_use_stopping_relays) return load_generator_.OnRelayStopping(relay);
+    loop_.At(loop_.Now() + kNewConnectionsAfterStop,
+             [this, relay] { load_generator_.SetBelievedAlive(relay, false); });
   }
   void Kill(int relay, Seconds down, bool forgets) {
-    Of(relay).Kill(down);
+    RelayAt(relay).Kill(down);
     if (forgets) std::filesystem::remove(options_.folder + "/relay" + std::to_string(relay) + "/state/tier");
   }
-  // Right behind a 202, in the loop's next turn.
+  // Right after a 202, in the loop's next turn.
   void KillAfterAccept(int relay) {
     const auto planned = killed_after_accept_.find(relay);
     if (planned == killed_after_accept_.end()) return;
-    loop_.At(loop_.Now(), [this, relay, down = planned->second] { Of(relay).Kill(down); });
+    loop_.At(loop_.Now(), [this, relay, down = planned->second] { RelayAt(relay).Kill(down); });
     killed_after_accept_.erase(planned);
   }
 
-  void Give(const HandGiven& order) {
+  void SendOverride(const HandGiven& order) {
     nlohmann::json body = {{"zone", s_.zones[static_cast<std::size_t>(order.zone)]},
                            {"order", zone_failover::NameOf(order.what)}};
     if (order.what != zone_failover::OverrideKind::kNone) body["for_s"] = order.lasts;
-    Of(order.relay).Order("/zones", body.dump());
+    RelayAt(order.relay).PostToAdmin("/zones", body.dump());
   }
 
   void ChangeList(const PoolChange& change) {
     const auto changes = world_.Change(
-        change, [this](EndpointId id) { return registry_.ListingOf(id); },
+        change, [this](EndpointId id) { return platform_server_.StatusOf(id); },
         [this] { return DrawUnit(random_); });
     for (const World::ListChange& c : changes) {
       if (c.listing == EndpointStatus::kInService)
         auditor_.Listed(c.endpoint, world_.endpoint(c.endpoint).destination,
                         world_.endpoint(c.endpoint).lane);
-      registry_.Publish(c.endpoint, c.listing);
+      platform_server_.Publish(c.endpoint, c.listing);
       if (c.listing != EndpointStatus::kDraining) continue;
       loop_.At(loop_.Now() + World::kDrainLasts, [this, id = c.endpoint] {
-        registry_.Publish(id, EndpointStatus::kRemoved);
+        platform_server_.Publish(id, EndpointStatus::kRemoved);
         endpoints_.Remove(id);
       });
     }
@@ -326,16 +337,16 @@
 
   // ---- the run ----------------------------------------------------------------------------------------
 
-  void Beat(Seconds due) {
-    const Seconds late = std::max(0.0, loop_.Now() - due);
-    lateness_.Add(late);
-    most_late_ = std::max(most_late_, late);
+  void Tick(Seconds due) {
+    const Seconds lateness = std::max(0.0, loop_.Now() - due);
+    lateness_.Add(lateness);
+    max_lateness_ = std::max(max_lateness_, lateness);
     for (const auto& relay : relays_) relay->Poll();
-    const Seconds next = loop_.Now() + kBeat;
-    loop_.At(next, [this, next] { Beat(next); });
+    const Seconds next = loop_.Now() + kTickInterval;
+    loop_.At(next, [this, next] { Tick(next); });
   }
 
-  void Second(int number) {
+  void SampleSecond(int number) {
     auditor_.Until(now());
     tally_.Sample(now());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
@@ -345,51 +356,51 @@
       tally_.result().processes[i].push_back(*sample);
     }
     if (options_.progress) options_.progress(now());
-    loop_.At(start_ + number + 1, [this, number] { Second(number + 1); });
+    loop_.At(start_ + number + 1, [this, number] { SampleSecond(number + 1); });
   }
 
-  bool AllDone() const { return now() > s_.lasts && front_.done() && ledger_.open() == 0; }
+  bool AllDone() const { return now() > s_.lasts && load_generator_.done() && tracker_.open() == 0; }
 
-  void End() {
+  void StopRelays() {
     for (const auto& relay : relays_) relay->Terminate();
-    const Seconds until = loop_.Now() + kToEnd;
-    const auto runs = [](const auto& relay) { return relay->running(); };
-    while (std::any_of(relays_.begin(), relays_.end(), runs) && loop_.Now() < until) {
+    const Seconds deadline = loop_.Now() + kStopTimeout;
+    const auto is_running = [](const auto& relay) { return relay->running(); };
+    while (std::any_of(relays_.begin(), relays_.end(), is_running) && loop_.Now() < deadline) {
       for (const auto& relay : relays_) relay->Poll();
-      loop_.RunOnce(kBeat);
+      loop_.RunOnce(kTickInterval);
     }
   }
 
-  RunResult Result() {
+  RunResult TakeResult() {
     RunResult& r = tally_.result();
     r.breaches = auditor_.breaches();
     r.client_doubles = auditor_.client_doubles();
     r.restarts = restarts_;
     r.lateness_p99 = lateness_.At(0.99);
-    r.lateness_most = most_late_;
-    r.answer_time = front_.answer_times();
-    if (post_) {
-      post_->Stop();
-      r.lateness_p99 = std::max(r.lateness_p99, post_->lateness_p99());
-      r.lateness_most = std::max(r.lateness_most, post_->lateness_most());
-      r.notes = post_->passed();
-      r.note_bytes = post_->bytes();
+    r.lateness_most = max_lateness_;
+    r.answer_time = load_generator_.response_times();
+    if (forwarder_) {
+      forwarder_->Stop();
+      r.lateness_p99 = std::max(r.lateness_p99, forwarder_->lateness_p99());
+      r.lateness_most = std::max(r.lateness_most, forwarder_->max_lateness());
+      r.notes = forwarder_->forwarded();
+      r.note_bytes = forwarder_->bytes();
     }
-    for (int relay = 0; relay < s_.relays; ++relay) ReadStages(relay);
-    if (r.lateness_p99 > options_.most_lateness_p99 || r.lateness_most > options_.most_lateness)
-      r.void_because = "the laboratory itself was late: 1% of its beats by " +
-                       std::to_string(r.lateness_p99) + " s and more, one by " +
+    for (int relay = 0; relay < s_.relays; ++relay) ReadZonePhases(relay);
+    if (r.lateness_p99 > options_.max_lateness_p99 || r.lateness_most > options_.max_lateness)
+      r.void_because = "the laboratory itself was late: 1% of its timers by " +
+                       std::to_string(r.lateness_p99) + " s or more, one by " +
                        std::to_string(r.lateness_most) + " s";
     return std::move(r);
   }
 
-  // From its log: which stage it was in, one after another. Times are not told.
-  void ReadStages(int relay) {
+  // Reads the changes of zone phases from the relay's log, in order. Their times are not known.
+  void ReadZonePhases(int relay) {
     std::ifstream log(options_.folder + "/relay" + std::to_string(relay) + "/log");
     const auto field = [](const std::string& line, const std::string& name) {
-      const std::size_t at = line.find(" " + name + "=");
-      if (at == std::string::npos) return std::string();
-      const std::size_t from = at + name.size() + 2, to = line.find(' ', from);
+      const std::size_t field_start = line.find(" " + name + "=");
+      if (field_start == std::string::npos) return std::string();
+      const std::size_t from = field_start + name.size() + 2, to = line.find(' ', from);
       std::string value = line.substr(from, to == std::string::npos ? to : to - from);
       value.erase(std::remove(value.begin(), value.end(), '"'), value.end());
       return value;
@@ -413,30 +424,31 @@
   Traffic traffic_;
   Auditor auditor_;
   Tally tally_;
-  Ledger ledger_;
+  MessageTracker tracker_;
   Endpoints endpoints_;
-  Registry registry_;
-  Front front_;
-  RudeClients rude_clients_;
-  std::unique_ptr<PostThread> post_;  // where relays may send one another datagrams
+  PlatformServer platform_server_;
+  LoadGenerator load_generator_;
+  StallingClients stalling_clients_;
+  std::unique_ptr<DatagramForwarderThread>
+      forwarder_;  // null unless the relays may send datagrams to each other
   std::vector<std::unique_ptr<RelayProcess>> relays_;
-  std::map<int, Seconds> started_at_;  // by relay: its latest process
+  std::map<int, Seconds> started_at_;  // by relay: start of its latest process
   Auditor::Restarts restarts_;
-  std::map<int, Seconds> killed_after_accept_;  // by relay: its next process starts so long after
+  std::map<int, Seconds> killed_after_accept_;  // by relay: seconds until its next process starts
   LatencyHistogram lateness_;
-  Seconds most_late_ = 0;
-  Seconds start_ = 0;  // 0: the relays are still coming up
+  Seconds max_lateness_ = 0;
+  Seconds start_ = 0;  // 0: the relays are not all ready yet
 };
 
 }  // namespace
 
-RunResult PlayOnSockets(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options) {
+RunResult RunOnSockets(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options) {
   if (scenario.load.order_keys > 0)
     throw config::FieldError(
-        "'load.order_keys' can be played in simulated time only: the platform's protocol has no header for "
+        "'load.order_keys' is only supported in simulated time: the platform's protocol has no header for "
         "it");
   std::filesystem::create_directories(options.folder);
-  return SocketPlay(scenario, seed, options).Play();
+  return SocketRun(scenario, seed, options).Run();
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/post.h
+++ b/lab/sockets/post.h
@@ -1,7 +1,7 @@
-// Datagrams between real relays, over links that fail. Each relay sends to an address of this forwarder's for
-// each other one; it passes them on, from the sender's address among them, late, twice or never, as the links
-// say. Where a relay's process is not there its address refuses datagrams as its machine would, unless a cut
-// lies between.
+// Forwards datagrams between relay processes over simulated links. The forwarder has one address for each
+// relay, which the other relays are configured with as a peer. It forwards each datagram from the sender's
+// forwarder address, delayed, duplicated or dropped as the links decide. While a relay's process is not
+// running its address refuses datagrams, as its machine would, unless a cut affects the relay.
 #pragma once
 
 #include <cstdint>
@@ -16,35 +16,36 @@
 
 namespace opalroute::lab {
 
-class Post {
+class DatagramForwarder {
  public:
-  // `now`: the run's time, by which cuts hold.
-  Post(net::EventLoop& loop, int relays, const LinkPlan& links, std::uint64_t seed,
-       std::function<Seconds()> now);
-
-  sockaddr_in ListenOf(int relay) const { return real_[static_cast<std::size_t>(relay)]; }  // its peer_listen
-  std::vector<sockaddr_in> Peers() const;  // for the configuration of each
-  // Whether its process is there. At first none is.
-  void SetThere(int relay, bool there);
+  // `now`: the run's time, which cuts refer to.
+  DatagramForwarder(net::EventLoop& loop, int relays, const LinkPlan& links, std::uint64_t seed,
+                    std::function<Seconds()> now);
+
+  // The relay's own address, for its peer_listen.
+  sockaddr_in RelayAddress(int relay) const { return relay_addresses_[static_cast<std::size_t>(relay)]; }
+  std::vector<sockaddr_in> PeerAddresses() const;  // by relay, for the peers of every relay
+  // Whether the relay's process is running; initially none is.
+  void SetRunning(int relay, bool running);
   const Links& links() const { return links_; }
-  long passed() const { return passed_; }
+  long forwarded() const { return forwarded_; }
   long bytes() const { return bytes_; }
 
  private:
   void Open(int relay);
-  void Tend(int relay);
-  bool AnyCut(int relay) const;
-  void Pass(const sockaddr_in& from, int to, const std::string& bytes);
+  void UpdateSocket(int relay);
+  bool HasCut(int relay) const;
+  void Forward(const sockaddr_in& from, int to, const std::string& bytes);
 
   net::EventLoop& loop_;
   Links links_;
   const std::function<Seconds()> now_;
-  std::vector<sockaddr_in> real_;                              // where relays listen
-  std::unordered_map<std::uint64_t, int> sender_by_address_;   // by net::KeyOf of `real_`
-  std::vector<sockaddr_in> stand_;                             // where others reach them
-  std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // at `stand_`; none: it refuses
-  std::vector<bool> there_;
-  long passed_ = 0, bytes_ = 0;
+  std::vector<sockaddr_in> relay_addresses_;                   // where the relays listen
+  std::unordered_map<std::uint64_t, int> sender_by_address_;   // key: net::KeyOf the relay's address
+  std::vector<sockaddr_in> forwarder_addresses_;               // where relays send to reach a relay
+  std::vector<std::unique_ptr<net::DatagramSocket>> sockets_;  // null: the address refuses datagrams
+  std::vector<bool> running_;
+  long forwarded_ = 0, bytes_ = 0;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/lab/sockets/post_thread.cpp
+++ b/lab/sockets/post_thread.cpp
@@ -4,46 +4,46 @@
 
 namespace opalroute::lab {
 
-PostThread::PostThread(int relays, const LinkPlan& links, std::uint64_t seed)
+DatagramForwarderThread::DatagramForwarderThread(int relays, const LinkPlan& links, std::uint64_t seed)
     : loop_(clock_),
-      post_(loop_, relays, links, seed,
-            [this] {
-              const Seconds start = start_;
-              return start > 0 ? loop_.Now() - start : 0;
-            }),
+      forwarder_(loop_, relays, links, seed,
+                 [this] {
+                   const Seconds start = start_;
+                   return start > 0 ? loop_.Now() - start : 0;
+                 }),
       thread_([this] { Run(); }) {}
 
-PostThread::~PostThread() { Stop(); }
+DatagramForwarderThread::~DatagramForwarderThread() { Stop(); }
 
-void PostThread::Stop() {
-  ends_ = true;
+void DatagramForwarderThread::Stop() {
+  stopping_ = true;
   if (thread_.joinable()) thread_.join();
 }
 
-void PostThread::SetThere(int relay, bool there) {
-  const std::lock_guard<std::mutex> hold(lock_);
-  changes_.emplace_back(relay, there);
+void DatagramForwarderThread::SetRunning(int relay, bool running) {
+  const std::lock_guard<std::mutex> lock(mutex_);
+  changes_.emplace_back(relay, running);
 }
 
-void PostThread::Run() {
-  Beat(loop_.Now());
-  while (!ends_) loop_.RunOnce(kLook);
+void DatagramForwarderThread::Run() {
+  Tick(loop_.Now());
+  while (!stopping_) loop_.RunOnce(kTickInterval);
 }
 
-void PostThread::Beat(Seconds due) {
-  if (start_ > 0) {  // relays that start take this machine's cores; nothing is judged by then
-    const Seconds late = std::max(0.0, loop_.Now() - due);
-    lateness_.Add(late);
-    most_late_ = std::max(most_late_, late);
+void DatagramForwarderThread::Tick(Seconds due) {
+  if (start_ > 0) {  // starting relays use up the machine's cores, and the run is not measured yet
+    const Seconds lateness = std::max(0.0, loop_.Now() - due);
+    lateness_.Add(lateness);
+    max_lateness_ = std::max(max_lateness_, lateness);
   }
   std::vector<std::pair<int, bool>> changes;
   {
-    const std::lock_guard<std::mutex> hold(lock_);
+    const std::lock_guard<std::mutex> lock(mutex_);
     changes.swap(changes_);
   }
-  for (const auto& [relay, there] : changes) post_.SetThere(relay, there);
-  const Seconds next = loop_.Now() + kLook;
-  loop_.At(next, [this, next] { Beat(next); });
+  for (const auto& [relay, running] : changes) forwarder_.SetRunning(relay, running);
+  const Seconds next = loop_.Now() + kTickInterval;
+  loop_.At(next, [this, next] { Tick(next); });
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/post_thread.h
+++ b/lab/sockets/post_thread.h
@@ -1,6 +1,6 @@
-// The forwarder of datagrams in a thread of its own: with hundreds of relays it passes on tens of thousands a
-// second, which would make everything else in the laboratory late. It owns its event loop; what crosses over
-// is who is there, when the run began, and at the end its counts.
+// Runs the datagram forwarder in its own thread: with hundreds of relays it forwards tens of thousands of
+// datagrams a second, which would delay everything else in the laboratory. The thread has its own event loop;
+// it shares only which relays are running, when the run began and, after Stop(), its counts.
 #pragma once
 
 #include <atomic>
@@ -17,42 +17,43 @@
 
 namespace opalroute::lab {
 
-class PostThread {
+class DatagramForwarderThread {
  public:
-  // Throws std::system_error if there is no room for its sockets.
-  PostThread(int relays, const LinkPlan& links, std::uint64_t seed);
-  ~PostThread();
-  PostThread(const PostThread&) = delete;
-  PostThread& operator=(const PostThread&) = delete;
-
-  sockaddr_in ListenOf(int relay) const { return post_.ListenOf(relay); }
-  std::vector<sockaddr_in> Peers() const { return post_.Peers(); }
-  // The run's time is counted from here, by this machine's clock; before, no cut holds.
+  // Throws std::system_error if the sockets cannot be opened.
+  DatagramForwarderThread(int relays, const LinkPlan& links, std::uint64_t seed);
+  ~DatagramForwarderThread();
+  DatagramForwarderThread(const DatagramForwarderThread&) = delete;
+  DatagramForwarderThread& operator=(const DatagramForwarderThread&) = delete;
+
+  sockaddr_in RelayAddress(int relay) const { return forwarder_.RelayAddress(relay); }
+  std::vector<sockaddr_in> PeerAddresses() const { return forwarder_.PeerAddresses(); }
+  // Sets when the run began, by net::SystemClock. Until then the run's time is 0.
   void Begin(Seconds start) { start_ = start; }
-  void SetThere(int relay, bool there);  // known to the thread within `kLook`
+  void SetRunning(int relay, bool running);  // takes effect within kTickInterval
 
-  // Ends the thread. After that:
-  void Stop();
-  long passed() const { return post_.passed(); }
-  long bytes() const { return post_.bytes(); }
+  void Stop();  // ends the thread
+  // The following are valid after Stop().
+  long forwarded() const { return forwarder_.forwarded(); }
+  long bytes() const { return forwarder_.bytes(); }
   Seconds lateness_p99() const { return lateness_.At(0.99); }
-  Seconds lateness_most() const { return most_late_; }
+  Seconds max_lateness() const { return max_lateness_; }
 
  private:
-  static constexpr Seconds kLook = 0.005;  // it looks at who is there, and at itself, so often
+  // At this interval the thread applies SetRunning() and measures its own lateness.
+  static constexpr Seconds kTickInterval = 0.005;
   void Run();
-  void Beat(Seconds due);
+  void Tick(Seconds due);
 
   const net::SystemClock clock_;
   net::EventLoop loop_;
   std::atomic<Seconds> start_{0};
-  Post post_;
-  std::mutex lock_;
-  std::vector<std::pair<int, bool>> changes_;  // of who is there; under `lock_`
+  DatagramForwarder forwarder_;
+  std::mutex mutex_;
+  std::vector<std::pair<int, bool>> changes_;  // pending SetRunning() calls; guarded by mutex_
   LatencyHistogram lateness_;
-  Seconds most_late_ = 0;
-  std::atomic<bool> ends_{false};
-  std::thread thread_;  // the last one: it uses all others
+  Seconds max_lateness_ = 0;
+  std::atomic<bool> stopping_{false};
+  std::thread thread_;  // last: it uses all other members
 };
 
 }  // namespace opalroute::lab
--- a/lab/sockets/process.h
+++ b/lab/sockets/process.h
@@ -1,4 +1,4 @@
-// A child process with its log in a file. It ends with its parent, however that ends.
+// A child process whose output goes to a file and which is killed when the parent process ends.
 #pragma once
 
 #include <sys/types.h>
@@ -12,34 +12,36 @@
 
 namespace opalroute::lab {
 
-// For a child, right after the fork: it ends with its parent, however that ends, or at once if it has
-// already.
-void EndWithParent(pid_t parent);
+// To be called by a child right after fork(): the child is killed when its parent ends for any reason, and
+// exits at once if the parent has already ended.
+void DieWithParent(pid_t parent);
 
-// From /proc; its `at` is left at 0. None of a process that has ended, reaped or not.
-std::optional<ProcessSample> SampleOf(pid_t pid);
+// Reads /proc and leaves ProcessSample::at at 0. Returns nothing for a process that has exited, reaped or
+// not.
+std::optional<ProcessSample> ReadProcessSample(pid_t pid);
 
 class Process {
  public:
-  // Throws std::system_error if there can be no process. Its output is appended to the file `log`. It has the
-  // environment of this one but for the relay's variables (EDGE_..., OPALROUTE_...), and `variables`.
+  // Throws std::system_error if the process cannot be created. Its output is appended to the file `log`. It
+  // inherits this process's environment except for a relay's variables (EDGE_..., OPALROUTE_...), and gets
+  // `variables`.
   Process(const std::string& program, const std::vector<std::string>& arguments,
           const std::map<std::string, std::string>& variables, std::string log);
-  ~Process();  // SIGKILL, and reaped
+  ~Process();  // kills with SIGKILL and reaps
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
   void Signal(int number);
-  // How it ended: "exit status 1", "signal 9"; none while it runs.
-  const std::optional<std::string>& Ended();
-  static std::string LastLogOf(const std::string& log);  // a log's last lines
-  std::string LastLog() const { return LastLogOf(log_); }
-  std::optional<ProcessSample> Sample() const { return SampleOf(pid_); }
+  // "exit status 1" or "signal 9", for example; nothing while the process runs.
+  const std::optional<std::string>& PollExit();
+  static std::string ReadLogTail(const std::string& log);
+  std::string LogTail() const { return ReadLogTail(log_); }
+  std::optional<ProcessSample> Sample() const { return ReadProcessSample(pid_); }
 
  private:
   const std::string log_;
   pid_t pid_ = -1;
-  std::optional<std::string> ended_;
+  std::optional<std::string> exit_;
 };
 
 }  // namespace opalroute::lab
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -15,17 +15,18 @@
 
 namespace {
 
-constexpr std::size_t kMostOut = 32 << 20;  // 20,000 endpoints have 4 MB of list
-constexpr net::Seconds kBeat = 2;           // an empty line in a silent watch
-constexpr net::Seconds kLookEvery = 0.1;    // whether a cut is over
-constexpr net::Seconds kBusyFor = 0.5;      // a call to a crowded service waits so long for its 503
-constexpr net::Seconds kToldWithin = 6;     // of a change that can be had: it counts as told, heard of or not
+constexpr std::size_t kMaxOutputBytes = 32 << 20;  // the list of 20,000 endpoints takes 4 MB
+constexpr net::Seconds kKeepAliveInterval = 2;     // a watch without changes gets an empty line this often
+constexpr net::Seconds kCutPollInterval = 0.1;
+constexpr net::Seconds kBusyDelay = 0.5;  // until an overloaded service answers 503
+// A change that the relay could have fetched for this long counts as known to it, even if it was not sent.
+constexpr net::Seconds kReportTimeout = 6;
 const net::HttpBounds kBounds{16 * 1024, 64, 1 << 20};
 
-const char* NameOf(EndpointStatus listing) {
-  return listing == EndpointStatus::kInService  ? "ready"
-         : listing == EndpointStatus::kDraining ? "draining"
-                                                : "gone";
+const char* StatusName(EndpointStatus status) {
+  return status == EndpointStatus::kInService  ? "ready"
+         : status == EndpointStatus::kDraining ? "draining"
+                                               : "gone";
 }
 
 std::string Chunk(const std::string& text) {
@@ -36,172 +37,174 @@
 
 }  // namespace
 
-class Registry::Session : public net::Connection::Owner {
+class PlatformServer::Session : public net::Connection::Owner {
  public:
-  Session(Registry& registry, int relay)
-      : registry_(registry), relay_(relay), parser_(net::HttpParser::Kind::kRequest, kBounds) {}
-  ~Session() override { StopTimers(); }
+  Session(PlatformServer& server, int relay)
+      : server_(server), relay_(relay), parser_(net::HttpParser::Kind::kRequest, kBounds) {}
+  ~Session() override { CancelTimers(); }
 
   bool Open(int fd) {
-    connection_ = net::Connection::Adopt(registry_.loop_, fd, *this, 128 * 1024, kMostOut);
+    connection_ = net::Connection::Adopt(server_.loop_, fd, *this, 128 * 1024, kMaxOutputBytes);
     return connection_ != nullptr;
   }
   int relay() const { return relay_; }
-  bool watches() const { return watches_; }
+  bool is_watch() const { return is_watch_; }
   void Shut() {
-    StopTimers();
+    CancelTimers();
     connection_->Close();
   }
-  // Nothing more comes on this watch.
-  void Mute() { muted_ = true; }
+  // Sends nothing more on this watch, but leaves it open.
+  void Silence() { silenced_ = true; }
   void Reset() { connection_->Close(); }
-  // A line of the watch: the changes after `since`.
-  void Tell(std::size_t since) {
-    if (muted_) return;
-    const std::string line = Chunk(registry_.ChangesSince(relay_, since) + "\n");
-    if (registry_.FaultOf(relay_, ListFault::Kind::kCutLine) != nullptr) {
+  // Sends a line with the changes from index `since` on.
+  void SendChanges(std::size_t since) {
+    if (silenced_) return;
+    const std::string line = Chunk(server_.ChangesSince(relay_, since) + "\n");
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kCutLine) != nullptr) {
       connection_->Write(line.substr(0, line.size() / 2));
       return connection_->CloseWhenWritten();
     }
     connection_->Write(line);
-    Told(since);
-    Beat();
+    ReportSent(since);
+    ScheduleKeepAlive();
   }
 
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
     while (!in.empty()) {
       in.Consume(parser_.Parse(in.Front()));
-      if (parser_.failed()) return registry_.sessions_.Drop(*this);
+      if (parser_.failed()) return server_.sessions_.Drop(*this);
       if (!parser_.done()) continue;
       const net::HttpMessage request = std::move(parser_.message());
       parser_.Reset();
       Answer(request);
       if (!connection.open()) return;
     }
-    if (connection.peer_closed()) registry_.sessions_.Drop(*this);
+    if (connection.peer_closed()) server_.sessions_.Drop(*this);
   }
-  void OnClosed(net::Connection&, net::Connection::CloseReason) override { registry_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Drop(*this); }
 
  private:
-  // In a cut nothing comes through; what was sent arrives once it is over.
+  // During a cut requests are held back; they are answered when it is over.
   void Answer(const net::HttpMessage& request) {
-    if (registry_.IsCut(relay_)) {
-      waiting_.push_back(request);
-      return LookAgain();
+    if (server_.IsCut(relay_)) {
+      held_requests_.push_back(request);
+      return AnswerHeldRequestsLater();
     }
-    if (request.method == "POST" && request.target == "/v1/notices") return TakeNotices(request.body);
+    if (request.method == "POST" && request.target == "/v1/notices") return TakeNotifications(request.body);
     const std::string path = "/registry/instances";
     if (request.method != "GET" || request.target.rfind(path, 0) != 0) return Write(404, {});
-    if (registry_.FaultOf(relay_, ListFault::Kind::kRefuse) != nullptr)
-      return registry_.sessions_.Drop(*this);
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kRefuse) != nullptr)
+      return server_.sessions_.Drop(*this);
     if (request.target.find("follow=1") == std::string::npos) {
-      Write(200, registry_.WholeList(relay_) + "\n");
-      return Told(0);
+      Write(200, server_.FullList(relay_) + "\n");
+      return ReportSent(0);
     }
-    if (registry_.FaultOf(relay_, ListFault::Kind::kBusy) != nullptr) {
-      beat_ = registry_.loop_.At(registry_.loop_.Now() + kBusyFor, [this] {
-        beat_ = 0;
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kBusy) != nullptr) {
+      timer_ = server_.loop_.At(server_.loop_.Now() + kBusyDelay, [this] {
+        timer_ = 0;
         Write(503, {});
       });
       return;
     }
-    watches_ = true;
+    is_watch_ = true;
     connection_->Write(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n");
     const std::size_t since = request.target.find("since=");
     const unsigned long generation =
         since == std::string::npos ? 0 : std::strtoul(request.target.c_str() + since + 6, nullptr, 10);
-    const View& view = registry_.views_[static_cast<std::size_t>(relay_)];
-    if (registry_.FaultOf(relay_, ListFault::Kind::kOld) != nullptr)
-      connection_->Write(Chunk(registry_.ListBefore(relay_) + "\n"));
-    if (generation >= 1 && generation <= view.known + 1) return Tell(generation - 1);
-    connection_->Write(Chunk(registry_.WholeList(relay_) + "\n"));
-    Told(0);
-    Beat();
+    const RelayView& view = server_.views_[static_cast<std::size_t>(relay_)];
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kOld) != nullptr)
+      connection_->Write(Chunk(server_.OutdatedList(relay_) + "\n"));
+    if (generation >= 1 && generation <= view.visible_changes + 1) return SendChanges(generation - 1);
+    connection_->Write(Chunk(server_.FullList(relay_) + "\n"));
+    ReportSent(0);
+    ScheduleKeepAlive();
   }
-  void Told(std::size_t since) {
-    const View& view = registry_.views_[static_cast<std::size_t>(relay_)];
-    for (std::size_t i = since; i < view.known; ++i)
-      registry_.owner_.OnTold(relay_, registry_.changes_[i].endpoint, registry_.changes_[i].listing);
+  void ReportSent(std::size_t since) {
+    const RelayView& view = server_.views_[static_cast<std::size_t>(relay_)];
+    for (std::size_t i = since; i < view.visible_changes; ++i)
+      server_.owner_.OnListingSent(relay_, server_.changes_[i].endpoint, server_.changes_[i].status);
   }
-  void TakeNotices(const std::string& body) {
+  void TakeNotifications(const std::string& body) {
     std::istringstream lines(body);
-    std::vector<nlohmann::json> notices;
+    std::vector<nlohmann::json> notifications;
     for (std::string line; std::getline(lines, line);) {
-      notices.push_back(nlohmann::json::parse(line, nullptr, false));
-      if (!notices.back().is_object() || !notices.back().contains("message")) return Write(400, {});
+      notifications.push_back(nlohmann::json::parse(line, nullptr, false));
+      if (!notifications.back().is_object() || !notifications.back().contains("message"))
+        return Write(400, {});
     }
-    for (const nlohmann::json& notice : notices)
-      registry_.owner_.OnNotice(notice.value("message", ""), notice.value("outcome", "") == "handed_back",
-                                notice.value("retry_in_ms", 0.0) / 1000);
+    for (const nlohmann::json& notification : notifications)
+      server_.owner_.OnNotification(notification.value("message", ""),
+                                    notification.value("outcome", "") == "handed_back",
+                                    notification.value("retry_in_ms", 0.0) / 1000);
     Write(204, {});
   }
   void Write(int status, const std::string& body) {
     connection_->Write(net::FormatResponse(status, {}, body));
   }
-  void LookAgain() {
-    registry_.loop_.Cancel(look_);
-    look_ = registry_.loop_.At(registry_.loop_.Now() + kLookEvery, [this] {
-      look_ = 0;
-      for (const net::HttpMessage& request : std::exchange(waiting_, {})) Answer(request);
+  void AnswerHeldRequestsLater() {
+    server_.loop_.Cancel(held_timer_);
+    held_timer_ = server_.loop_.At(server_.loop_.Now() + kCutPollInterval, [this] {
+      held_timer_ = 0;
+      for (const net::HttpMessage& request : std::exchange(held_requests_, {})) Answer(request);
     });
   }
-  void Beat() {
-    registry_.loop_.Cancel(beat_);
-    beat_ = registry_.loop_.At(registry_.loop_.Now() + kBeat, [this] {
-      beat_ = 0;
-      if (!registry_.IsCut(relay_) && !muted_) connection_->Write(Chunk("\n"));
-      Beat();
+  void ScheduleKeepAlive() {
+    server_.loop_.Cancel(timer_);
+    timer_ = server_.loop_.At(server_.loop_.Now() + kKeepAliveInterval, [this] {
+      timer_ = 0;
+      if (!server_.IsCut(relay_) && !silenced_) connection_->Write(Chunk("\n"));
+      ScheduleKeepAlive();
     });
   }
 
-  void StopTimers() {
-    registry_.loop_.Cancel(beat_);
-    registry_.loop_.Cancel(look_);
+  void CancelTimers() {
+    server_.loop_.Cancel(timer_);
+    server_.loop_.Cancel(held_timer_);
   }
 
-  Registry& registry_;
+  PlatformServer& server_;
   const int relay_;
   std::unique_ptr<net::Connection> connection_;
   net::HttpParser parser_;
-  bool watches_ = false, muted_ = false;
-  std::vector<net::HttpMessage> waiting_;  // for the end of a cut
-  net::EventLoop::TimerId beat_ = 0, look_ = 0;
+  bool is_watch_ = false, silenced_ = false;
+  std::vector<net::HttpMessage> held_requests_;  // until a cut is over
+  net::EventLoop::TimerId timer_ = 0, held_timer_ = 0;
 };
 
-Registry::Registry(net::EventLoop& loop, const World& world, std::uint64_t seed,
-                   std::function<std::string(EndpointId, int)> address_of, Owner& owner)
+PlatformServer::PlatformServer(net::EventLoop& loop, const World& world, std::uint64_t seed,
+                               std::function<std::string(EndpointId, int)> address_of, Owner& owner)
     : loop_(loop),
       world_(world),
       random_(seed, 4),
       address_of_(std::move(address_of)),
       owner_(owner),
       links_(world.scenario().links, seed),
-      listings_(world.endpoint_count(), EndpointStatus::kInService),
+      statuses_(world.endpoint_count(), EndpointStatus::kInService),
       sessions_(loop) {
   for (int relay = 0; relay < world.scenario().relays; ++relay) {
-    views_.push_back({0, 0, listings_});
+    views_.push_back({0, 0, statuses_});
     addresses_.emplace_back();
     listeners_.emplace_back();
     Listen(relay);
   }
 }
 
-void Registry::Listen(int relay) {
-  const auto at = static_cast<std::size_t>(relay);
-  listeners_[at] = std::make_unique<net::Listener>(loop_, addresses_[at].address(), [this, relay](int fd) {
-    sessions_.Adopt(std::make_unique<Session>(*this, relay), fd);
-  });
+void PlatformServer::Listen(int relay) {
+  const auto index = static_cast<std::size_t>(relay);
+  listeners_[index] = std::make_unique<net::Listener>(
+      loop_, addresses_[index].address(),
+      [this, relay](int fd) { sessions_.Adopt(std::make_unique<Session>(*this, relay), fd); });
 }
 
-void Registry::Begin(net::Seconds start) {
+void PlatformServer::Begin(net::Seconds start) {
   start_ = start;
   for (const ListFault& fault : world_.scenario().list_faults)
-    loop_.At(start + fault.from, [this, fault] { Strike(fault); });
+    loop_.At(start + fault.from, [this, fault] { StartFault(fault); });
 }
 
-void Registry::Strike(const ListFault& fault) {
+void PlatformServer::StartFault(const ListFault& fault) {
   for (int relay = fault.first; relay <= fault.last; ++relay) {
     const std::vector<Session*> watches = WatchesOf(relay);
     switch (fault.kind) {
@@ -211,11 +214,11 @@
       case ListFault::Kind::kRefuse:
       case ListFault::Kind::kReset:
       case ListFault::Kind::kOld:
-      case ListFault::Kind::kBusy:  // whose watches are ended, and asked for anew
+      case ListFault::Kind::kBusy:  // the relay has to open its watch again and meets the fault
         for (Session* session : watches) sessions_.Drop(*session);
         break;
       case ListFault::Kind::kSilent:
-        for (Session* session : watches) session->Mute();
+        for (Session* session : watches) session->Silence();
         break;
       case ListFault::Kind::kCutLine:
         break;
@@ -223,7 +226,7 @@
   }
 }
 
-void Registry::StopListening(int relay, net::Seconds lasts) {
+void PlatformServer::StopListening(int relay, net::Seconds lasts) {
   listeners_[static_cast<std::size_t>(relay)].reset();
   for (Session* session : SessionsOf(relay)) sessions_.Drop(*session);
   loop_.At(loop_.Now() + lasts, [this, relay] {
@@ -231,7 +234,7 @@
   });
 }
 
-const ListFault* Registry::FaultOf(int relay, ListFault::Kind kind) const {
+const ListFault* PlatformServer::FindActiveFault(int relay, ListFault::Kind kind) const {
   if (start_ <= 0) return nullptr;
   const Seconds now = loop_.Now() - start_;
   for (const ListFault& fault : world_.scenario().list_faults)
@@ -241,124 +244,125 @@
   return nullptr;
 }
 
-bool Registry::CanBeReached(int relay) const {
+bool PlatformServer::IsReachable(int relay) const {
   return !IsCut(relay) && listeners_[static_cast<std::size_t>(relay)] != nullptr &&
-         FaultOf(relay, ListFault::Kind::kRefuse) == nullptr;
+         FindActiveFault(relay, ListFault::Kind::kRefuse) == nullptr;
 }
 
-std::vector<Registry::Session*> Registry::SessionsOf(int relay) const {
+std::vector<PlatformServer::Session*> PlatformServer::SessionsOf(int relay) const {
   std::vector<Session*> sessions;
   for (const auto& [key, session] : sessions_.all())
     if (session->relay() == relay) sessions.push_back(key);
   return sessions;
 }
 
-std::vector<Registry::Session*> Registry::WatchesOf(int relay) const {
+std::vector<PlatformServer::Session*> PlatformServer::WatchesOf(int relay) const {
   std::vector<Session*> watches;
   for (const auto& [key, session] : sessions_.all())
-    if (session->relay() == relay && session->watches()) watches.push_back(key);
+    if (session->relay() == relay && session->is_watch()) watches.push_back(key);
   return watches;
 }
 
-// A change binds the relay some time after it could be had, whatever became of the calls for it.
-void Registry::TellAtLatest(int relay, std::size_t change, net::Seconds reached_since) {
+// Reports a change as known to the relay once the platform has been reachable for kReportTimeout without a
+// break, whether or not the relay has fetched it.
+void PlatformServer::ReportAfterTimeout(int relay, std::size_t change, net::Seconds reachable_since) {
   const Seconds now = loop_.Now();
-  if (!CanBeReached(relay)) reached_since = now;
-  if (now >= reached_since + kToldWithin)
-    return owner_.OnTold(relay, changes_[change].endpoint, changes_[change].listing);
-  loop_.At(now + kLookEvery,
-           [this, relay, change, reached_since] { TellAtLatest(relay, change, reached_since); });
+  if (!IsReachable(relay)) reachable_since = now;
+  if (now >= reachable_since + kReportTimeout)
+    return owner_.OnListingSent(relay, changes_[change].endpoint, changes_[change].status);
+  loop_.At(now + kCutPollInterval,
+           [this, relay, change, reachable_since] { ReportAfterTimeout(relay, change, reachable_since); });
 }
 
-Registry::~Registry() = default;
+PlatformServer::~PlatformServer() = default;
 
-bool Registry::IsCut(int relay) const {
+bool PlatformServer::IsCut(int relay) const {
   return start_ > 0 && links_.DiscoveryCut(loop_.Now() - start_, relay);
 }
 
-std::string Registry::Row(EndpointId id, EndpointStatus listing, int relay) const {
+std::string PlatformServer::InstanceJson(EndpointId id, EndpointStatus status, int relay) const {
   const PartnerEndpoint& e = world_.endpoint(id);
   const nlohmann::json row = {{"instanceId", "e" + std::to_string(id)},
                               {"hostPort", address_of_(id, relay)},
                               {"zone", world_.scenario().zones[static_cast<std::size_t>(e.zone)]},
                               {"machineType", e.kind == 1 ? "apart" : "plain"},
                               {"cell", e.destination},
-                              {"lifecycle", NameOf(listing)},
+                              {"lifecycle", StatusName(status)},
                               {"weight", e.rating},
                               {"startedAtMs", 0}};
   return row.dump();
 }
 
-std::string Registry::WholeList(int relay) const {
-  const View& view = views_[static_cast<std::size_t>(relay)];
+std::string PlatformServer::FullList(int relay) const {
+  const RelayView& view = views_[static_cast<std::size_t>(relay)];
   std::string rows;
-  for (EndpointId id = 1; id <= view.listings.size(); ++id)
-    if (view.listings[id - 1] != EndpointStatus::kRemoved)
-      rows += (rows.empty() ? "" : ",") + Row(id, view.listings[id - 1], relay);
-  return "{\"generation\":" + std::to_string(view.known + 1) + ",\"reset\":true,\"instances\":[" + rows +
-         "]}";
+  for (EndpointId id = 1; id <= view.statuses.size(); ++id)
+    if (view.statuses[id - 1] != EndpointStatus::kRemoved)
+      rows += (rows.empty() ? "" : ",") + InstanceJson(id, view.statuses[id - 1], relay);
+  return "{\"generation\":" + std::to_string(view.visible_changes + 1) + ",\"reset\":true,\"instances\":[" +
+         rows + "]}";
 }
 
-// As it stood before the latest few changes.
-std::string Registry::ListBefore(int relay) const {
-  constexpr std::size_t kChangesBack = 3;
-  const View& view = views_[static_cast<std::size_t>(relay)];
-  const std::size_t known = view.known - std::min(view.known, kChangesBack);
-  std::vector<EndpointStatus> listings(view.listings.size(), EndpointStatus::kInService);
-  std::vector<bool> listed(view.listings.size(), true);
-  for (std::size_t i = 0; i < view.known; ++i) {
+// The full list as it was before the latest changes.
+std::string PlatformServer::OutdatedList(int relay) const {
+  constexpr std::size_t kOmittedChanges = 3;
+  const RelayView& view = views_[static_cast<std::size_t>(relay)];
+  const std::size_t count = view.visible_changes - std::min(view.visible_changes, kOmittedChanges);
+  std::vector<EndpointStatus> statuses(view.statuses.size(), EndpointStatus::kInService);
+  std::vector<bool> listed(view.statuses.size(), true);
+  for (std::size_t i = 0; i < view.visible_changes; ++i) {
     const Change& change = changes_[i];
-    const std::size_t at = change.endpoint - 1;
-    // New ones come in service; what is not there yet is left out.
-    if (i >= known && change.listing == EndpointStatus::kInService) listed[at] = false;
-    if (i < known) listings[at] = change.listing;
+    const std::size_t index = change.endpoint - 1;
+    // A change to "in service" adds a new endpoint, which the older list doesn't have yet.
+    if (i >= count && change.status == EndpointStatus::kInService) listed[index] = false;
+    if (i < count) statuses[index] = change.status;
   }
   std::string rows;
-  for (EndpointId id = 1; id <= listings.size(); ++id)
-    if (listed[id - 1] && listings[id - 1] != EndpointStatus::kRemoved)
-      rows += (rows.empty() ? "" : ",") + Row(id, listings[id - 1], relay);
-  return "{\"generation\":" + std::to_string(known + 1) + ",\"reset\":true,\"instances\":[" + rows + "]}";
+  for (EndpointId id = 1; id <= statuses.size(); ++id)
+    if (listed[id - 1] && statuses[id - 1] != EndpointStatus::kRemoved)
+      rows += (rows.empty() ? "" : ",") + InstanceJson(id, statuses[id - 1], relay);
+  return "{\"generation\":" + std::to_string(count + 1) + ",\"reset\":true,\"instances\":[" + rows + "]}";
 }
 
-std::string Registry::ChangesSince(int relay, std::size_t since) const {
-  const View& view = views_[static_cast<std::size_t>(relay)];
+std::string PlatformServer::ChangesSince(int relay, std::size_t since) const {
+  const RelayView& view = views_[static_cast<std::size_t>(relay)];
   std::string rows;
-  for (std::size_t i = since; i < view.known; ++i)
-    rows += (rows.empty() ? "" : ",") + Row(changes_[i].endpoint, changes_[i].listing, relay);
-  return "{\"generation\":" + std::to_string(view.known + 1) + ",\"reset\":false,\"instances\":[" + rows +
-         "]}";
+  for (std::size_t i = since; i < view.visible_changes; ++i)
+    rows += (rows.empty() ? "" : ",") + InstanceJson(changes_[i].endpoint, changes_[i].status, relay);
+  return "{\"generation\":" + std::to_string(view.visible_changes + 1) + ",\"reset\":false,\"instances\":[" +
+         rows + "]}";
 }
 
-void Registry::Publish(EndpointId endpoint, EndpointStatus listing) {
-  if (endpoint > listings_.size()) listings_.resize(endpoint, EndpointStatus::kRemoved);
-  listings_[endpoint - 1] = listing;
-  changes_.push_back({endpoint, listing});
-  const std::size_t number = changes_.size();
+void PlatformServer::Publish(EndpointId endpoint, EndpointStatus status) {
+  if (endpoint > statuses_.size()) statuses_.resize(endpoint, EndpointStatus::kRemoved);
+  statuses_[endpoint - 1] = status;
+  changes_.push_back({endpoint, status});
+  const std::size_t count = changes_.size();
   for (int relay = 0; relay < static_cast<int>(views_.size()); ++relay) {
-    View& view = views_[static_cast<std::size_t>(relay)];
-    const Seconds late = DrawFrom(world_.scenario().list_late, random_);
-    view.last_due = std::max(view.last_due, loop_.Now() + late);  // changes come in their order
-    loop_.At(view.last_due, [this, relay, number] { Advance(relay, number); });
+    RelayView& view = views_[static_cast<std::size_t>(relay)];
+    const Seconds delay = DrawFrom(world_.scenario().list_late, random_);
+    view.last_due = std::max(view.last_due, loop_.Now() + delay);  // changes arrive in order
+    loop_.At(view.last_due, [this, relay, count] { DeliverChangesTo(relay, count); });
   }
 }
 
-void Registry::Advance(int relay, std::size_t change) {
-  View& view = views_[static_cast<std::size_t>(relay)];
-  const std::size_t since = view.known;
-  if (change <= since) return;
-  if (IsCut(relay)) {  // it hears what it has missed once it hears again
-    loop_.At(loop_.Now() + kLookEvery, [this, relay, change] { Advance(relay, change); });
+void PlatformServer::DeliverChangesTo(int relay, std::size_t count) {
+  RelayView& view = views_[static_cast<std::size_t>(relay)];
+  const std::size_t since = view.visible_changes;
+  if (count <= since) return;
+  if (IsCut(relay)) {  // the changes are delivered when the cut is over
+    loop_.At(loop_.Now() + kCutPollInterval, [this, relay, count] { DeliverChangesTo(relay, count); });
     return;
   }
-  view.known = change;
-  for (std::size_t i = since; i < change; ++i) {
-    if (changes_[i].endpoint > view.listings.size())
-      view.listings.resize(changes_[i].endpoint, EndpointStatus::kRemoved);
-    view.listings[changes_[i].endpoint - 1] = changes_[i].listing;
+  view.visible_changes = count;
+  for (std::size_t i = since; i < count; ++i) {
+    if (changes_[i].endpoint > view.statuses.size())
+      view.statuses.resize(changes_[i].endpoint, EndpointStatus::kRemoved);
+    view.statuses[changes_[i].endpoint - 1] = changes_[i].status;
   }
-  for (std::size_t i = since; i < change; ++i) TellAtLatest(relay, i, loop_.Now());
-  // Copied: one that turns out to be dead drops out meanwhile.
-  for (Session* session : WatchesOf(relay)) session->Tell(since);
+  for (std::size_t i = since; i < count; ++i) ReportAfterTimeout(relay, i, loop_.Now());
+  // Iterates over a copy: sending can drop a session whose connection is closed.
+  for (Session* session : WatchesOf(relay)) session->SendChanges(since);
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/registry.h
+++ b/lab/sockets/registry.h
@@ -1,5 +1,5 @@
-// The platform as relays meet it: the list of endpoints, its watch with each change as late as drawn,
-// notices. Every relay has a listener of its own here, so that it is known who asks.
+// Emulates the platform's service for the relays: the endpoint list, a watch that delivers each change after
+// a random delay, and notifications. Each relay has its own listener, which tells the relays apart.
 #pragma once
 
 #include <cstdint>
@@ -19,52 +19,55 @@
 
 namespace opalroute::lab {
 
-class Registry {
+class PlatformServer {
  public:
   class Owner {
    public:
     virtual ~Owner() = default;
-    virtual void OnTold(int relay, EndpointId endpoint, EndpointStatus listing) = 0;  // written to its watch
-    virtual void OnNotice(const std::string& message, bool handed_back, Seconds advice) = 0;
+    // A change was sent to the relay, or the relay could have fetched it for some time.
+    virtual void OnListingSent(int relay, EndpointId endpoint, EndpointStatus status) = 0;
+    // `rejected`: the client may retry, after `retry_after` if that is above 0. Otherwise the message has
+    // failed.
+    virtual void OnNotification(const std::string& message, bool rejected, Seconds retry_after) = 0;
   };
-  // `address_of`: where that relay finds an endpoint, as "1.2.3.4:80".
-  Registry(net::EventLoop& loop, const World& world, std::uint64_t seed,
-           std::function<std::string(EndpointId, int relay)> address_of, Owner& owner);
-  // The run's times, by which cuts hold, count from here.
+  // `address_of`: the address at which the relay reaches the endpoint, as "1.2.3.4:80".
+  PlatformServer(net::EventLoop& loop, const World& world, std::uint64_t seed,
+                 std::function<std::string(EndpointId, int relay)> address_of, Owner& owner);
+  // Sets when the run began; the times of cuts and faults count from there.
   void Begin(net::Seconds start);
-  ~Registry();
+  ~PlatformServer();
 
   sockaddr_in address(int relay) const { return addresses_[static_cast<std::size_t>(relay)].address(); }
-  // A change; each relay's watch is told after a lateness of its own.
-  void Publish(EndpointId endpoint, EndpointStatus listing);
-  EndpointStatus ListingOf(EndpointId endpoint) const { return listings_[endpoint - 1]; }
-  // The whole list as that relay holds it by now.
-  std::string WholeList(int relay) const;
+  // Changes an endpoint's status in the list. Each relay gets the change after its own delay.
+  void Publish(EndpointId endpoint, EndpointStatus status);
+  EndpointStatus StatusOf(EndpointId endpoint) const { return statuses_[endpoint - 1]; }
+  // The full list with the changes that have reached the relay.
+  std::string FullList(int relay) const;
 
  private:
   class Session;
   struct Change {
     EndpointId endpoint = 0;
-    EndpointStatus listing{};
+    EndpointStatus status{};
   };
-  struct View {  // one relay's: changes up to `known` have reached it
-    std::size_t known = 0;
-    net::Seconds last_due = 0;
-    std::vector<EndpointStatus> listings;
+  struct RelayView {
+    std::size_t visible_changes = 0;  // the first so many changes have reached the relay
+    net::Seconds last_due = 0;        // when the latest change reaches it
+    std::vector<EndpointStatus> statuses;
   };
-  void Advance(int relay, std::size_t change);
+  void DeliverChangesTo(int relay, std::size_t count);
   bool IsCut(int relay) const;
-  void Strike(const ListFault& fault);
-  const ListFault* FaultOf(int relay, ListFault::Kind kind) const;  // that holds now, or null
-  bool CanBeReached(int relay) const;
+  void StartFault(const ListFault& fault);
+  const ListFault* FindActiveFault(int relay, ListFault::Kind kind) const;
+  bool IsReachable(int relay) const;
   void Listen(int relay);
   void StopListening(int relay, net::Seconds lasts);
-  void TellAtLatest(int relay, std::size_t change, net::Seconds reached_since);
+  void ReportAfterTimeout(int relay, std::size_t change, net::Seconds reachable_since);
   std::vector<Session*> SessionsOf(int relay) const;
   std::vector<Session*> WatchesOf(int relay) const;
-  std::string Row(EndpointId endpoint, EndpointStatus listing, int relay) const;
+  std::string InstanceJson(EndpointId endpoint, EndpointStatus status, int relay) const;
   std::string ChangesSince(int relay, std::size_t since) const;
-  std::string ListBefore(int relay) const;
+  std::string OutdatedList(int relay) const;
 
   net::EventLoop& loop_;
   const World& world_;
@@ -72,12 +75,12 @@
   const std::function<std::string(EndpointId, int)> address_of_;
   Owner& owner_;
   const Links links_;
-  net::Seconds start_ = 0;                                 // 0: it has not begun
-  std::vector<EndpointStatus> listings_;                   // by endpoint
-  std::vector<Change> changes_;                            // generation: their number, plus one
-  std::vector<View> views_;                                // by relay
-  std::vector<std::unique_ptr<net::Listener>> listeners_;  // by relay; none while it refuses
-  std::deque<ReservedAddress> addresses_;                  // by relay; kept while nobody listens there
+  net::Seconds start_ = 0;                                 // 0: the run has not begun
+  std::vector<EndpointStatus> statuses_;                   // by endpoint
+  std::vector<Change> changes_;                            // the list's generation is their number plus 1
+  std::vector<RelayView> views_;                           // by relay
+  std::vector<std::unique_ptr<net::Listener>> listeners_;  // by relay; null while connections are refused
+  std::deque<ReservedAddress> addresses_;                  // by relay; reserved without a listener, too
   Sessions<Session> sessions_;
 };
 
--- a/lab/sockets/relay_config.cpp
+++ b/lab/sockets/relay_config.cpp
@@ -6,79 +6,80 @@
 
 using nlohmann::json;
 
-const char* EffectName(Idempotency effect) {
-  return effect == Idempotency::kIdempotent       ? "idempotent"
-         : effect == Idempotency::kIdempotencyKey ? "deduplicated"
-                                                  : "at_most_once";
+const char* IdempotencyName(Idempotency idempotency) {
+  return idempotency == Idempotency::kIdempotent       ? "idempotent"
+         : idempotency == Idempotency::kIdempotencyKey ? "deduplicated"
+                                                       : "at_most_once";
 }
-const char* GroupName(DeduplicationScope group) {
-  return group == DeduplicationScope::kAll           ? "all"
-         : group == DeduplicationScope::kDestination ? "cell"
+const char* DeduplicationScopeName(DeduplicationScope scope) {
+  return scope == DeduplicationScope::kAll           ? "all"
+         : scope == DeduplicationScope::kDestination ? "cell"
                                                      : "zone";
 }
-const char* RatingName(ListedRateAccuracy rating) {
-  return rating == ListedRateAccuracy::kNone    ? "none"
-         : rating == ListedRateAccuracy::kExact ? "nominal"
-                                                : "rough";
+const char* RateAccuracyName(ListedRateAccuracy accuracy) {
+  return accuracy == ListedRateAccuracy::kNone    ? "none"
+         : accuracy == ListedRateAccuracy::kExact ? "nominal"
+                                                  : "rough";
 }
 
 }  // namespace
 
-json SettingsJson(const Scenario& s, int me) {
-  const Settings& m = s.settings;
+json SettingsJson(const Scenario& scenario, int relay) {
+  const Settings& settings = scenario.settings;
   json classes = json::array();
-  for (const ClassPlan& c : s.classes) {
-    json one = {{"name", c.name},
-                {"effect", EffectName(c.rules.idempotency)},
-                {"group", GroupName(c.rules.deduplication_scope)},
-                {"aimS", c.rules.latency_objective},
-                {"deadlineS", c.rules.deadline},
-                {"lateShare", c.rules.weight_at_deadline},
-                {"worth", c.rules.priority_weight}};
-    if (c.rules.idempotency == Idempotency::kIdempotencyKey) one["keyTtlS"] = c.rules.deduplication_window;
-    classes.push_back(one);
+  for (const ClassPlan& plan : scenario.classes) {
+    json row = {{"name", plan.name},
+                {"effect", IdempotencyName(plan.rules.idempotency)},
+                {"group", DeduplicationScopeName(plan.rules.deduplication_scope)},
+                {"aimS", plan.rules.latency_objective},
+                {"deadlineS", plan.rules.deadline},
+                {"lateShare", plan.rules.weight_at_deadline},
+                {"worth", plan.rules.priority_weight}};
+    if (plan.rules.idempotency == Idempotency::kIdempotencyKey)
+      row["keyTtlS"] = plan.rules.deduplication_window;
+    classes.push_back(row);
   }
   json tenants = json::array();
-  for (const TenantPlan& t : s.tenants)
-    tenants.push_back({{"name", t.name}, {"share", t.share}, {"allowancePerS", t.allowance}});
-  json bundles = json::array(), apart = json::array();
-  for (const auto& kind : m.kinds) {
-    bundles.push_back(kind.max_batch);
-    apart.push_back(kind.limits_per_endpoint);
+  for (const TenantPlan& tenant : scenario.tenants)
+    tenants.push_back({{"name", tenant.name}, {"share", tenant.share}, {"allowancePerS", tenant.allowance}});
+  json max_batches = json::array(), limits_per_endpoint = json::array();
+  for (const auto& kind : settings.kinds) {
+    max_batches.push_back(kind.max_batch);
+    limits_per_endpoint.push_back(kind.limits_per_endpoint);
   }
-  return {{"balancers", s.relays},
-          {"me", me},
+  return {{"balancers", scenario.relays},
+          {"me", relay},
           {"discovery", "ask"},
-          {"zones", s.zones},
+          {"zones", scenario.zones},
           {"kinds", {"plain", "apart"}},
           {"classes", classes},
           {"realms", tenants},
           {"familyInfo",
-           {{"callsOut", m.concurrency_limit},
-            {"bundleMax", bundles},
-            {"routesApart", apart},
-            {"late", m.late_decay == LateDecay::kLinear ? "even" : "by_half"}}},
+           {{"callsOut", settings.concurrency_limit},
+            {"bundleMax", max_batches},
+            {"routesApart", limits_per_endpoint},
+            {"late", settings.late_decay == LateDecay::kLinear ? "even" : "by_half"}}},
           {"limits",
-           {{"openCap", m.request_capacity},
-            {"mostTries", m.max_attempts},
-            {"cancel", m.may_cancel},
-            {"secondCopies", m.may_hedge},
-            {"probes", m.may_health_check},
-            {"retryAfter", m.may_send_retry_after},
-            {"peers", m.may_gossip},
-            {"maxRetryAfterS", m.max_retry_after},
+           {{"openCap", settings.request_capacity},
+            {"mostTries", settings.max_attempts},
+            {"cancel", settings.may_cancel},
+            {"secondCopies", settings.may_hedge},
+            {"probes", settings.may_health_check},
+            {"retryAfter", settings.may_send_retry_after},
+            {"peers", settings.may_gossip},
+            {"maxRetryAfterS", settings.max_retry_after},
             {"connIdleS", 15},
             {"dialTimeoutS", 1.5}}},
           {"rules",
-           {{"askWithinS", m.max_poll_interval},
-            {"coldFrom", m.slow_start_initial_share},
+           {{"askWithinS", settings.max_poll_interval},
+            {"coldFrom", settings.slow_start_initial_share},
             {"drainGraceS", 2},
-            {"overloadFactor", m.overload_factor},
-            {"overloadForS", m.overload_window},
-            {"rampTimeS", m.slow_start_duration}}},
-          {"overShareWorth", m.over_quota_weight},
-          {"tickS", m.tick},
-          {"weightKind", RatingName(m.listed_rate_accuracy)}};
+            {"overloadFactor", settings.overload_factor},
+            {"overloadForS", settings.overload_window},
+            {"rampTimeS", settings.slow_start_duration}}},
+          {"overShareWorth", settings.over_quota_weight},
+          {"tickS", settings.tick},
+          {"weightKind", RateAccuracyName(settings.listed_rate_accuracy)}};
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/relay_config.h
+++ b/lab/sockets/relay_config.h
@@ -1,4 +1,4 @@
-// A scenario's settings in the words of the platform's configuration file.
+// Writes a scenario's settings as the `settings` object of a relay's configuration file.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,6 +7,6 @@
 
 namespace opalroute::lab {
 
-nlohmann::json SettingsJson(const Scenario& scenario, int me);
+nlohmann::json SettingsJson(const Scenario& scenario, int relay);
 
 }  // namespace opalroute::lab
--- a/lab/sockets/relay_process.cpp
+++ b/lab/sockets/relay_process.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr net::Seconds kToReady = 15;  // a relay that is not ready by then is not started
+constexpr net::Seconds kReadyTimeout = 15;  // a relay that is not ready by then counts as crashed
 
-net::ClientBounds Bounds() {
+net::ClientBounds MakeClientBounds() {
   net::ClientBounds bounds;
   bounds.http = {16 * 1024, 64, 64 * 1024};
   bounds.request_bytes = 4096;
@@ -26,17 +26,17 @@
 
 }  // namespace
 
-class RelayProcess::Check : public net::HttpClient::Call {
+class RelayProcess::ReadinessCheck : public net::HttpClient::Call {
  public:
-  explicit Check(RelayProcess& relay) : relay_(relay) {}
+  explicit ReadinessCheck(RelayProcess& relay) : relay_(relay) {}
 
  private:
   std::string OnReady() override { return net::FormatRequest("GET", "/health/ready", {{"Host", "lab"}}, {}); }
-  void OnResponse(net::HttpMessage& answer) override { End(answer.status == 200); }
+  void OnResponse(net::HttpMessage& response) override { End(response.status == 200); }
   void OnFailure(net::HttpClient::Failure, int) override { End(false); }
   void End(bool ready) {
     RelayProcess& relay = relay_;
-    relay.loop_.Retire(std::move(relay.check_));
+    relay.loop_.Retire(std::move(relay.readiness_check_));
     if (!ready || relay.ready_ || relay.stopping() || !relay.running()) return;
     relay.ready_ = true;
     relay.owner_.OnReady(relay.number_);
@@ -44,74 +44,82 @@
   RelayProcess& relay_;
 };
 
-class RelayProcess::Posted : public net::HttpClient::Call {
+class RelayProcess::AdminRequest : public net::HttpClient::Call {
  public:
-  Posted(RelayProcess& relay, std::string request) : relay_(relay), request_(std::move(request)) {}
+  AdminRequest(RelayProcess& relay, std::string request) : relay_(relay), request_(std::move(request)) {}
 
  private:
   std::string OnReady() override { return request_; }
-  void OnResponse(net::HttpMessage&) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
-  void OnFailure(net::HttpClient::Failure, int) override { relay_.loop_.Retire(std::move(relay_.posted_)); }
+  void OnResponse(net::HttpMessage&) override { relay_.loop_.Retire(std::move(relay_.admin_request_)); }
+  void OnFailure(net::HttpClient::Failure, int) override {
+    relay_.loop_.Retire(std::move(relay_.admin_request_));
+  }
   RelayProcess& relay_;
   const std::string request_;
 };
 
-RelayProcess::RelayProcess(net::EventLoop& loop, int number, Plan plan, Owner& owner)
-    : loop_(loop), number_(number), plan_(std::move(plan)), owner_(owner), client_(loop, Bounds()) {
-  std::filesystem::create_directories(plan_.folder + "/state");
-  if (plan_.has_pages) pages_.emplace();
+RelayProcess::RelayProcess(net::EventLoop& loop, int number, Options options, Owner& owner)
+    : loop_(loop),
+      number_(number),
+      options_(std::move(options)),
+      owner_(owner),
+      client_(loop, MakeClientBounds()) {
+  std::filesystem::create_directories(options_.folder + "/state");
+  if (options_.has_admin_address) admin_listen_.emplace();
 }
 
 RelayProcess::~RelayProcess() {
-  if (check_) client_.Abandon(*check_);
-  if (posted_) client_.Abandon(*posted_);
+  if (readiness_check_) client_.Abandon(*readiness_check_);
+  if (admin_request_) client_.Abandon(*admin_request_);
 }
 
 void RelayProcess::WriteConfig() {
-  std::ofstream(plan_.folder + "/config.json") << plan_.config(net::FormatAddress(address())).dump(1) << '\n';
+  std::ofstream(options_.folder + "/config.json")
+      << options_.config(net::FormatAddress(address())).dump(1) << '\n';
 }
 
 void RelayProcess::Start() {
   ready_ = frozen_ = false;
   schedule_.OnStarted();
-  launched_ = loop_.Now();
+  started_at_ = loop_.Now();
   WriteConfig();
-  std::vector<std::string> arguments = plan_.arguments;
-  if (pages_) arguments.insert(arguments.end(), {"--admin-listen", net::FormatAddress(pages_->address())});
+  std::vector<std::string> arguments = options_.arguments;
+  if (admin_listen_)
+    arguments.insert(arguments.end(), {"--admin-listen", net::FormatAddress(admin_listen_->address())});
   ++starts_;
-  const std::string state = plan_.folder + "/state";
+  const std::string state = options_.folder + "/state";
   std::map<std::string, std::string> variables;
-  if (plan_.variables) variables = plan_.variables(state);
-  variables.insert({{"EDGE_CONFIG", plan_.folder + "/config.json"}, {"EDGE_STATE", state}});
-  process_ = std::make_unique<Process>(plan_.program, arguments, variables, plan_.folder + "/log");
+  if (options_.variables) variables = options_.variables(state);
+  variables.insert({{"EDGE_CONFIG", options_.folder + "/config.json"}, {"EDGE_STATE", state}});
+  process_ = std::make_unique<Process>(options_.program, arguments, variables, options_.folder + "/log");
 }
 
 void RelayProcess::Poll() {
   const net::Seconds now = loop_.Now();
   if (schedule_.IsStartDue(now)) {
     Start();
-    return owner_.OnStart(number_);
+    return owner_.OnRestart(number_);
   }
   if (!process_) return;
-  if (const auto how = process_->Ended()) {
-    const bool was_told = stopping();
+  if (const auto exit = process_->PollExit()) {
+    const bool was_stopping = stopping();
     process_.reset();
     ready_ = false;
-    schedule_.OnEnded();
-    return was_told ? owner_.OnEnd(number_) : owner_.OnCrash(number_, *how);
+    schedule_.OnExited();
+    return was_stopping ? owner_.OnExit(number_) : owner_.OnCrash(number_, *exit);
   }
   if (schedule_.IsKillDue(now)) SendKill();
   if (ready_ || stopping()) return;
-  if (now < launched_ + kToReady) return Ask();
+  if (now < started_at_ + kReadyTimeout) return CheckReadiness();
   process_.reset();
-  schedule_.OnEnded();
-  owner_.OnCrash(number_, "it was not ready in time");
+  schedule_.OnExited();
+  owner_.OnCrash(number_, "not ready in time");
 }
 
-void RelayProcess::Ask() {
-  if (check_) return;
-  check_ = std::make_unique<Check>(*this);
-  client_.Start({address(), 0}, *check_);
+void RelayProcess::CheckReadiness() {
+  if (readiness_check_) return;
+  readiness_check_ = std::make_unique<ReadinessCheck>(*this);
+  client_.Start({address(), 0}, *readiness_check_);
 }
 
 void RelayProcess::Terminate(net::Seconds down) {
@@ -155,10 +163,11 @@
   process_->Signal(SIGHUP);
 }
 
-void RelayProcess::Order(const std::string& path, std::string body) {
-  if (!process_ || posted_ || !pages_) return;
-  posted_ = std::make_unique<Posted>(*this, net::FormatRequest("POST", path, {{"Host", "lab"}}, body));
-  client_.Start({pages_->address(), 0}, *posted_);
+void RelayProcess::PostToAdmin(const std::string& path, std::string body) {
+  if (!process_ || admin_request_ || !admin_listen_) return;
+  admin_request_ =
+      std::make_unique<AdminRequest>(*this, net::FormatRequest("POST", path, {{"Host", "lab"}}, body));
+  client_.Start({admin_listen_->address(), 0}, *admin_request_);
 }
 
 std::optional<ProcessSample> RelayProcess::Sample() const {
@@ -166,8 +175,8 @@
   return process_->Sample();
 }
 
-std::string RelayProcess::LastLog() const {
-  return process_ ? process_->LastLog() : Process::LastLogOf(plan_.folder + "/log");
+std::string RelayProcess::LogTail() const {
+  return process_ ? process_->LogTail() : Process::ReadLogTail(options_.folder + "/log");
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/restart_schedule.cpp
+++ b/lab/sockets/restart_schedule.cpp
@@ -11,7 +11,7 @@
   if (state_ == State::kDown) return false;
   if (state_ == State::kStopping) return true;
   state_ = State::kStopping;
-  kill_at_ = now + kill_after_;
+  kill_at_ = now + grace_period_;
   start_at_ = kill_at_ + down;
   return true;
 }
--- a/lab/sockets/restart_schedule.h
+++ b/lab/sockets/restart_schedule.h
@@ -1,10 +1,12 @@
-// When a relay's process is killed and when the next one starts, under signals that come in series. Pure: it
-// is told of signals and ends, and asked at any time what is due.
+// Decides when a relay's process gets SIGKILL and when the next process starts, also when several signals are
+// sent to one relay. Has no clock and no process of its own: the caller reports signals and exits, and polls
+// for what is due.
 //
-// SIGTERM: SIGKILL follows after a grace period unless the process has ended, and the next start comes some
-// time after that moment, whether or not the process ended sooner. A further SIGTERM moves neither. SIGKILL
-// ends the process, and the next start counts from it, also where a SIGTERM had planned a later one. A signal
-// that finds no process changes nothing: the planned start stands.
+// SIGTERM: SIGKILL follows after a grace period unless the process has exited, and the next start is due some
+// time after the end of the grace period, even if the process exits sooner. A further SIGTERM changes neither
+// time. SIGKILL: the process is gone, and the next start is due some time after it, even if an earlier
+// SIGTERM had scheduled a later start. A signal sent while no process is running changes nothing, so the
+// scheduled start remains.
 #pragma once
 
 #include <limits>
@@ -18,23 +20,23 @@
   enum class State { kDown, kRunning, kStopping };
   static constexpr net::Seconds kNever = std::numeric_limits<net::Seconds>::infinity();
 
-  // `kill_after`: from SIGTERM to SIGKILL, in seconds.
-  explicit RestartSchedule(net::Seconds kill_after) : kill_after_(kill_after) {}
+  // `grace_period`: seconds from SIGTERM to SIGKILL.
+  explicit RestartSchedule(net::Seconds grace_period) : grace_period_(grace_period) {}
 
   void OnStarted();
-  // Each returns whether there is a process that gets the signal. `down`: seconds from the SIGKILL, or from
-  // the moment at which it would have come, to the next start; kNever: there is none.
+  // Return whether a process is running that the signal can be sent to. `down`: seconds from the SIGKILL, or
+  // from the end of the grace period, to the next start; kNever: no restart.
   bool OnTerminate(net::Seconds now, net::Seconds down);
   bool OnKill(net::Seconds now, net::Seconds down);
-  void OnEnded() { state_ = State::kDown; }
+  void OnExited() { state_ = State::kDown; }
 
   State state() const { return state_; }
   bool IsKillDue(net::Seconds now) const { return state_ == State::kStopping && now >= kill_at_; }
   bool IsStartDue(net::Seconds now) const { return state_ == State::kDown && now >= start_at_; }
-  net::Seconds next_start() const { return start_at_; }  // kNever: none is planned
+  net::Seconds next_start() const { return start_at_; }  // kNever: none is scheduled
 
  private:
-  const net::Seconds kill_after_;
+  const net::Seconds grace_period_;
   State state_ = State::kDown;
   net::Seconds kill_at_ = kNever;
   net::Seconds start_at_ = kNever;
--- a/lab/sockets/rude_clients.cpp
+++ b/lab/sockets/rude_clients.cpp
@@ -9,11 +9,11 @@
 
 using net::Connection;
 
-constexpr net::Seconds kOwedWithin = 3.3;  // 3 s of the protocol, and a stop of the relay's process
-constexpr net::Seconds kStays = 4;
-constexpr std::size_t kBuffer = 4096;
+constexpr net::Seconds kCloseTimeout = 3.3;  // the protocol's 3 s, plus a pause of the relay's process
+constexpr net::Seconds kIdleTime = 4;        // of clients that send nothing
+constexpr std::size_t kBufferBytes = 4096;
 
-const char* TextOf(RudePlan::Kind kind) {
+const char* PartialRequest(RudePlan::Kind kind) {
   switch (kind) {
     case RudePlan::Kind::kIdle:
       return "";
@@ -27,61 +27,62 @@
 
 }  // namespace
 
-class RudeClients::Client : public Connection::Owner {
+class StallingClients::Client : public Connection::Owner {
  public:
-  Client(RudeClients& all, int relay, RudePlan::Kind kind)
-      : loop_(all.loop_), all_(all), relay_(relay), kind_(kind) {}
-  ~Client() override { loop_.Cancel(timer_); }  // `all` may be gone by now
+  Client(StallingClients& owner, int relay, RudePlan::Kind kind)
+      : loop_(owner.loop_), owner_(owner), relay_(relay), kind_(kind) {}
+  ~Client() override { loop_.Cancel(timer_); }  // `owner_` may already be destroyed
 
   bool Open(const sockaddr_in& address) {
-    connection_ = Connection::Connect(all_.loop_, address, *this, kBuffer, kBuffer);
+    connection_ = Connection::Connect(owner_.loop_, address, *this, kBufferBytes, kBufferBytes);
     return connection_ != nullptr;
   }
 
  private:
   void OnOpen(Connection& connection) override {
-    connection.Write(TextOf(kind_));
-    const bool owed = kind_ != RudePlan::Kind::kIdle;
-    timer_ = all_.loop_.At(all_.loop_.Now() + (owed ? kOwedWithin : kStays), [this, owed] {
-      timer_ = 0;
-      connection_->Close();
-      if (owed) all_.on_late_(relay_);
-      all_.Drop(*this);
-    });
+    connection.Write(PartialRequest(kind_));
+    const bool must_be_closed = kind_ != RudePlan::Kind::kIdle;
+    timer_ = owner_.loop_.At(owner_.loop_.Now() + (must_be_closed ? kCloseTimeout : kIdleTime),
+                             [this, must_be_closed] {
+                               timer_ = 0;
+                               connection_->Close();
+                               if (must_be_closed) owner_.on_overdue_(relay_);
+                               owner_.Drop(*this);
+                             });
   }
-  // An answer is an end, too.
+  // Any response completes the exchange.
   void OnData(Connection& connection) override {
     if (connection.in().empty()) return;
     connection.Close();
-    all_.Drop(*this);
+    owner_.Drop(*this);
   }
-  void OnClosed(Connection&, Connection::CloseReason) override { all_.Drop(*this); }
+  void OnClosed(Connection&, Connection::CloseReason) override { owner_.Drop(*this); }
 
   net::EventLoop& loop_;
-  RudeClients& all_;
+  StallingClients& owner_;
   const int relay_;
   const RudePlan::Kind kind_;
   std::unique_ptr<Connection> connection_;
   net::EventLoop::TimerId timer_ = 0;
 };
 
-RudeClients::RudeClients(net::EventLoop& loop, std::function<void(int)> on_late)
-    : loop_(loop), on_late_(std::move(on_late)) {}
+StallingClients::StallingClients(net::EventLoop& loop, std::function<void(int)> on_overdue)
+    : loop_(loop), on_overdue_(std::move(on_overdue)) {}
 
-RudeClients::~RudeClients() = default;
+StallingClients::~StallingClients() = default;
 
-void RudeClients::Connect(int relay, const sockaddr_in& address, RudePlan::Kind kind, int count) {
+void StallingClients::Connect(int relay, const sockaddr_in& address, RudePlan::Kind kind, int count) {
   for (int i = 0; i < count; ++i) {
     auto client = std::make_unique<Client>(*this, relay, kind);
     if (client->Open(address)) clients_.push_back(std::move(client));
   }
 }
 
-void RudeClients::Drop(Client& client) {
-  const auto at = std::find_if(clients_.begin(), clients_.end(),
-                               [&client](const auto& other) { return other.get() == &client; });
-  loop_.Retire(std::move(*at));
-  clients_.erase(at);
+void StallingClients::Drop(Client& client) {
+  const auto found = std::find_if(clients_.begin(), clients_.end(),
+                                  [&client](const auto& other) { return other.get() == &client; });
+  loop_.Retire(std::move(*found));
+  clients_.erase(found);
 }
 
 }  // namespace opalroute::lab
--- a/lab/sockets/rude_clients.h
+++ b/lab/sockets/rude_clients.h
@@ -1,5 +1,6 @@
-// Clients that connect and do not finish a request: some say nothing, some stop in its midst and stay. The
-// latter are owed an error or the end of their connection within a time (the platform's protocol).
+// Clients that connect and never finish a request: some send nothing, some stop in the middle of a request
+// and keep the connection open. The platform's protocol gives a relay a time limit by which it must answer
+// the latter with an error or close the connection.
 #pragma once
 
 #include <netinet/in.h>
@@ -14,11 +15,12 @@
 
 namespace opalroute::lab {
 
-class RudeClients {
+class StallingClients {
  public:
-  // `on_late` is told of each that has stopped in a request and was owed an end by now.
-  RudeClients(net::EventLoop& loop, std::function<void(int relay)> on_late);
-  ~RudeClients();
+  // `on_overdue` is called for each unfinished request that the relay has neither answered nor closed in
+  // time.
+  StallingClients(net::EventLoop& loop, std::function<void(int relay)> on_overdue);
+  ~StallingClients();
 
   void Connect(int relay, const sockaddr_in& address, RudePlan::Kind kind, int count);
 
@@ -27,7 +29,7 @@
   void Drop(Client& client);
 
   net::EventLoop& loop_;
-  const std::function<void(int)> on_late_;
+  const std::function<void(int)> on_overdue_;
   std::list<std::unique_ptr<Client>> clients_;
 };
 
--- a/lab/sockets/unwatched_connection.cpp
+++ b/lab/sockets/unwatched_connection.cpp
@@ -31,21 +31,22 @@
   call_ = &call;
   connection_ = Connection::Adopt(loop, std::exchange(fd_, -1), *this,
                                   kBounds.head_bytes + kBounds.body_bytes, kBounds.head_bytes);
-  if (!connection_) Break();
+  if (!connection_) ReportFailure();
 }
 
 void UnwatchedConnection::OnData(Connection& connection) {
   net::RingBuffer& in = connection.in();
-  while (!in.empty() && !answer_.done() && !answer_.failed()) in.Consume(answer_.Parse(in.Front()));
-  if (connection.peer_closed() && answer_.begun()) answer_.HandleEndOfInput();
-  if (!answer_.done() && !answer_.failed()) return;  // OnClosed follows where the other side has ended
+  while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
+  if (connection.peer_closed() && parser_.begun()) parser_.HandleEndOfInput();
+  if (!parser_.done() && !parser_.failed())
+    return;  // OnClosed follows if the relay has closed the connection
   connection.Close();
-  if (answer_.failed()) return Break();
-  call_->OnResponse(answer_.message());
+  if (parser_.failed()) return ReportFailure();
+  call_->OnResponse(parser_.message());
 }
 
-void UnwatchedConnection::OnClosed(Connection&, Connection::CloseReason) { Break(); }
+void UnwatchedConnection::OnClosed(Connection&, Connection::CloseReason) { ReportFailure(); }
 
-void UnwatchedConnection::Break() { call_->OnFailure(Failure::kReset, 0); }
+void UnwatchedConnection::ReportFailure() { call_->OnFailure(Failure::kReset, 0); }
 
 }  // namespace opalroute::lab
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -50,7 +50,7 @@
 
   bool ready() const { return relay_.ready(); }
   std::string DiagnosticLog() const {
-    return crash_.empty() ? relay_.LastLog() : crash_ + "\n" + relay_.LastLog();
+    return crash_.empty() ? relay_.LogTail() : crash_ + "\n" + relay_.LogTail();
   }
   void Poll() { relay_.Poll(); }
   void Begin() {
@@ -83,7 +83,7 @@
   void Check() const {
     CAPTURE(number_);
     CAPTURE(discovery_.calls());
-    CAPTURE(relay_.LastLog());
+    CAPTURE(relay_.LogTail());
     CHECK_MESSAGE(crash_.empty(), crash_);
     const Seconds notified = discovery_.told_at() < 0 ? 1e9 : discovery_.told_at() - start_;
     CHECK_MESSAGE(notified <= notified_by_ + kTolerance, "notified at ", notified, " s, bound ",
@@ -100,8 +100,8 @@
   static constexpr Seconds kLastAddressChange = 2.6, kOverloadedUntil = kLastAddressChange + 3.5;
   static constexpr Seconds kOutageEnd = 11;
 
-  lab::RelayProcess::Plan PlanFor(const fs::path& folder) {
-    lab::RelayProcess::Plan plan;
+  lab::RelayProcess::Options PlanFor(const fs::path& folder) {
+    lab::RelayProcess::Options plan;
     plan.program = RELAY_PROGRAM;
     plan.folder = folder.string();
     plan.config = [this](const std::string& listen) {
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -145,10 +145,10 @@
     arguments.emplace_back("--json");
     fs::remove(folder / "out");
     lab::Process program(RELAY_PROGRAM, arguments, {{"EDGE_CONFIG", folder / "config.json"}}, folder / "out");
-    for (const double ends = loop.Now() + 20; !program.Ended() && loop.Now() < ends;) loop.RunOnce(0.01);
-    REQUIRE(program.Ended());
-    CHECK(*program.Ended() == "exit status 0");
-    return nlohmann::json::parse(program.LastLog());
+    for (const double ends = loop.Now() + 20; !program.PollExit() && loop.Now() < ends;) loop.RunOnce(0.01);
+    REQUIRE(program.PollExit());
+    CHECK(*program.PollExit() == "exit status 0");
+    return nlohmann::json::parse(program.LogTail());
   };
   const std::string dns = net::FormatAddress(server.address());
   const auto queried = print({"--dns-server", dns, "--srv", kSrvName + "=7"});
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -1,4 +1,4 @@
-// The laboratory on sockets: real relay processes, and the page on a run.
+// Tests of the laboratory on sockets, with real relay processes, and of the report on a run.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -41,8 +41,8 @@
   fs::path path_;
 };
 
-// Six seconds of a small deployment in which a partner shuts.
-json SmallDay() {
+// Six seconds of a small deployment in which a partner rejects all calls for a while.
+json SmallScenario() {
   json classes = json::array();
   for (const char* effect : {"idempotent", "deduplicated", "at_most_once"})
     classes.push_back({{"name", effect},
@@ -67,21 +67,21 @@
   return options;
 }
 
-// A run on a machine that was busy says nothing, and says so: then once more.
-RunResult Played(const Scenario& scenario, const SocketOptions& options) {
-  RunResult result = PlayOnSockets(scenario, 1, options);
-  for (int i = 0; i < 4 && !result.void_because.empty(); ++i) result = PlayOnSockets(scenario, 1, options);
+// Runs the scenario, and repeats the run up to four times while it is void because the machine was busy.
+RunResult RunUntilValid(const Scenario& scenario, const SocketOptions& options) {
+  RunResult result = RunOnSockets(scenario, 1, options);
+  for (int i = 0; i < 4 && !result.void_because.empty(); ++i) result = RunOnSockets(scenario, 1, options);
   REQUIRE(result.void_because.empty());
   return result;
 }
 
 // ---- whole runs ----------------------------------------------------------------------------------------
 
-TEST_CASE("lab: sockets and simulated time say the same of a small day") {
+TEST_CASE("lab: sockets and simulated time give similar results for a small scenario") {
   const Folder folder;
-  const Scenario scenario = ReadScenario(SmallDay());
+  const Scenario scenario = ReadScenario(SmallScenario());
   const RunResult simulated = Simulation(scenario, 1).Run();
-  const RunResult real = Played(scenario, OptionsIn(folder / "run"));
+  const RunResult real = RunUntilValid(scenario, OptionsIn(folder / "run"));
   for (const RunResult* r : {&simulated, &real}) {
     CHECK(r->breaches.empty());
     CHECK(r->crashes.empty());
@@ -96,14 +96,14 @@
   CHECK(real.processes[1].back().rss_kb > 1000);
 }
 
-TEST_CASE("lab: relays that are killed, stopped, frozen and told to reload break no rule") {
+TEST_CASE("lab: relays that are killed, stopped, frozen and reloaded break no rule") {
   const Folder folder;
-  json day = SmallDay();
-  day["relay_faults"] = {{{"kind", "kill"}, {"relay", 0}, {"at_s", 1}, {"down_s", 0.6}},
-                         {{"kind", "stop"}, {"relay", 1}, {"at_s", 2.5}, {"down_s", 0.6}},
-                         {{"kind", "freeze"}, {"relay", 0}, {"at_s", 4}, {"down_s", 0.5}},
-                         {{"kind", "reload"}, {"relay", 0}, {"at_s", 5}}};
-  const RunResult r = Played(ReadScenario(day), OptionsIn(folder / "run"));
+  json file = SmallScenario();
+  file["relay_faults"] = {{{"kind", "kill"}, {"relay", 0}, {"at_s", 1}, {"down_s", 0.6}},
+                          {{"kind", "stop"}, {"relay", 1}, {"at_s", 2.5}, {"down_s", 0.6}},
+                          {{"kind", "freeze"}, {"relay", 0}, {"at_s", 4}, {"down_s", 0.5}},
+                          {{"kind", "reload"}, {"relay", 0}, {"at_s", 5}}};
+  const RunResult r = RunUntilValid(ReadScenario(file), OptionsIn(folder / "run"));
   CHECK(r.crashes.empty());
   for (const Breach& b : r.breaches) FAIL_CHECK(std::string(NameOf(b.kind)), " at ", b.at, ": ", b.trace);
   CHECK(r.processes[0].back().cpu < r.processes[0].front().cpu + 60);
@@ -115,57 +115,57 @@
   CHECK(starts == 2);
 }
 
-TEST_CASE("lab: a frozen relay in simulated time does what it has to do once it may") {
-  json day = SmallDay();
-  day["relays"] = 1;
-  day["troubles"] = json::array();
-  const RunResult sound = Simulation(ReadScenario(day), 1).Run();
-  day["relay_faults"] = {{{"kind", "freeze"}, {"relay", 0}, {"at_s", 2}, {"down_s", 1}}};
-  const RunResult frozen = Simulation(ReadScenario(day), 1).Run();
+TEST_CASE("lab: a frozen relay in simulated time catches up once it is thawed") {
+  json file = SmallScenario();
+  file["relays"] = 1;
+  file["troubles"] = json::array();
+  const RunResult sound = Simulation(ReadScenario(file), 1).Run();
+  file["relay_faults"] = {{{"kind", "freeze"}, {"relay", 0}, {"at_s", 2}, {"down_s", 1}}};
+  const RunResult frozen = Simulation(ReadScenario(file), 1).Run();
   CHECK(frozen.breaches.empty());
   CHECK(frozen.seconds[2].calls < sound.seconds[2].calls / 4);
   CHECK(frozen.classes[0].latency.At(0.99) > sound.classes[0].latency.At(0.99) + 0.3);
 }
 
-TEST_CASE("lab: a relay that crashes is reported with its log, and the run comes to its end") {
+TEST_CASE("lab: a relay that crashes is reported with its log, and the run completes") {
   const Folder folder;
   const std::string program = folder / "relay";
-  // The first to start is killed after 2 s by one who is not the laboratory.
+  // The first relay to start is killed after 2 s, not by the laboratory.
   std::ofstream(program) << "#!/bin/sh\nif mkdir '" << (folder / "first")
                          << "' 2>/dev/null; then exec timeout --foreground -s KILL 2 '" << RELAY_PROGRAM
                          << "'; fi\nexec '" << RELAY_PROGRAM << "'\n";
   fs::permissions(program, fs::perms::owner_all);
   SocketOptions options = OptionsIn(folder / "run");
   options.program = program;
-  options.most_lateness = options.most_lateness_p99 = 100;  // it is about the crash alone
-  const RunResult r = PlayOnSockets(ReadScenario(SmallDay()), 1, options);
+  options.max_lateness = options.max_lateness_p99 = 100;  // only the crash matters here
+  const RunResult r = RunOnSockets(ReadScenario(SmallScenario()), 1, options);
   REQUIRE(r.crashes.size() == 1);
   CHECK(r.crashes[0].at < 3);
   CHECK(r.crashes[0].last_log.find("listening") != std::string::npos);
   CHECK(!r.Sound());
 }
 
-// Starts no program; says whether a socket that nobody has told of it could take the address of the process.
+// Tries to bind a socket to a relay's address between its reservation and the process's start.
 class AddressTaker : private RelayProcess::Owner {
  public:
-  explicit AddressTaker(const std::string& folder) : relay_(loop_, 1, PlanOf(folder), *this) {
+  explicit AddressTaker(const std::string& folder) : relay_(loop_, 1, OptionsFor(folder), *this) {
     relay_.Start();
   }
   int error() const { return error_; }
 
  private:
-  RelayProcess::Plan PlanOf(const std::string& folder) {
-    RelayProcess::Plan plan;
-    plan.program = "/bin/true";
-    plan.folder = folder;
-    plan.config = [this](const std::string& listen) {
+  RelayProcess::Options OptionsFor(const std::string& folder) {
+    RelayProcess::Options options;
+    options.program = "/bin/true";
+    options.folder = folder;
+    options.config = [this](const std::string& listen) {
       const sockaddr_in address = *net::ParseAddress(listen);
       const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
       error_ = bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0 ? 0 : errno;
       close(fd);
       return json::object();
     };
-    return plan;
+    return options;
   }
   void OnReady(int) override {}
   void OnCrash(int, const std::string&) override {}
@@ -176,16 +176,16 @@
   RelayProcess relay_;
 };
 
-TEST_CASE("lab: nobody else gets a relay's address while its process starts") {
+TEST_CASE("lab: no other socket can take a relay's address while its process starts") {
   const Folder folder;
   CHECK(AddressTaker(folder / "relay").error() == EADDRINUSE);
 }
 
-// A quiet day whose relays' reads from sockets may fail.
-RunResult PlayWithReads(const Folder& folder, int error) {
+// Runs a scenario without outages in which the relays' reads from sockets may fail.
+RunResult RunWithReadErrors(const Folder& folder, int error) {
   SocketOptions options = OptionsIn(folder / "run");
-  options.clients_stay = true;
-  options.most_lateness = options.most_lateness_p99 = 100;  // it is about connections that end
+  options.clients_use_stopping_relays = true;
+  options.max_lateness = options.max_lateness_p99 = 100;  // only closed connections matter here
   options.variables = [error](int, const std::string& state_folder) {
     faults::Plan plan;
     plan.seed = 5;
@@ -194,29 +194,29 @@
     return std::map<std::string, std::string>{{"LD_PRELOAD", FAULTS_LIBRARY},
                                               {faults::kPlanVariable, plan.Write()}};
   };
-  json day = SmallDay();
-  day.erase("troubles");
-  return PlayOnSockets(ReadScenario(day), 1, options);
+  json file = SmallScenario();
+  file.erase("troubles");
+  return RunOnSockets(ReadScenario(file), 1, options);
 }
 
-TEST_CASE("lab: a relay that closes a connection with a request read and not answered breaks a rule") {
+TEST_CASE("lab: a relay that closes a connection with a read but unanswered request breaks a rule") {
   const Folder folder;
-  // No error of a read that passes: the relay ends the connection, and its client sees that.
-  CHECK(!PlayWithReads(folder, EIO).breaches.empty());
-  const RunResult short_of_memory = PlayWithReads(folder, ENOMEM);
+  // EIO is not a transient error: the relay closes the connection, and its client notices.
+  CHECK(!RunWithReadErrors(folder, EIO).breaches.empty());
+  const RunResult short_of_memory = RunWithReadErrors(folder, ENOMEM);
   for (const Breach& breach : short_of_memory.breaches) MESSAGE(NameOf(breach.kind), " ", breach.trace);
   CHECK(short_of_memory.breaches.empty());
 }
 
 constexpr net::Seconds kStopsAt = 1.5;
 
-// A short day on which one of two relays is told to end; what it writes to sockets may fail from about then
-// on.
-RunResult PlayStop(const Folder& folder, bool writes_fail) {
+// Runs a short scenario in which one of two relays is told to stop. Its writes to sockets may fail from about
+// then on.
+RunResult RunWithStop(const Folder& folder, bool writes_fail) {
   SocketOptions options = OptionsIn(folder / "run");
-  options.clients_stay = true;
-  options.requests_read = "requests_read";
-  options.most_lateness = options.most_lateness_p99 = 100;  // it is about connections that end
+  options.clients_use_stopping_relays = true;
+  options.requests_read_file = "requests_read";
+  options.max_lateness = options.max_lateness_p99 = 100;  // only closed connections matter here
   options.variables = [writes_fail](int relay, const std::string& state_folder) {
     faults::Plan plan;
     plan.seed = 5;
@@ -227,34 +227,34 @@
     return std::map<std::string, std::string>{{"LD_PRELOAD", FAULTS_LIBRARY},
                                               {faults::kPlanVariable, plan.Write()}};
   };
-  json day = SmallDay();
-  day.erase("troubles");
-  day["lasts_s"] = 3;
-  day["load"]["rate"] = 200;
-  day["relay_faults"] = {{{"kind", "stop"}, {"relay", 0}, {"at_s", kStopsAt}, {"down_s", 0.1}}};
-  return PlayOnSockets(ReadScenario(day), 1, options);
+  json file = SmallScenario();
+  file.erase("troubles");
+  file["lasts_s"] = 3;
+  file["load"]["rate"] = 200;
+  file["relay_faults"] = {{{"kind", "stop"}, {"relay", 0}, {"at_s", kStopsAt}, {"down_s", 0.1}}};
+  return RunOnSockets(ReadScenario(file), 1, options);
 }
 
-// Guards against an auditor that looks away once a relay has been told to end.
-TEST_CASE("lab: a stopping relay that closes a connection with a request read and not answered is caught") {
+// Guards against an auditor that ignores a relay once it has been told to stop.
+TEST_CASE("lab: a stopping relay that closes a connection with a read but unanswered request is caught") {
   const Folder folder;
-  const RunResult result = PlayStop(folder, true);
-  // The faults' clock is the process's, which begins a little before the day's: until the signal the relay
-  // serves.
+  const RunResult result = RunWithStop(folder, true);
+  // The faults' times count from the process's start, a little before the run's. Until the signal the relay
+  // is serving, so only later breaches count.
   CHECK(std::any_of(result.breaches.begin(), result.breaches.end(), [](const Breach& breach) {
     return breach.kind == BreachKind::kClosed && breach.at > kStopsAt + 0.01;
   }));
 }
 
-TEST_CASE("lab: a sound relay's stop breaks no rule under clients that stay") {
+TEST_CASE("lab: a stop without errors breaks no rule with clients that go on using the relay") {
   const Folder folder;
-  const RunResult result = PlayStop(folder, false);
+  const RunResult result = RunWithStop(folder, false);
   for (const Breach& breach : result.breaches) MESSAGE(NameOf(breach.kind), " ", breach.trace);
   CHECK(result.breaches.empty());
 }
 
-// Guards against a record that names requests too early, or leaves some out where reads are cut short.
-TEST_CASE("lab: a request is recorded as read with its last byte, however reads cut it") {
+// Guards against requests that are recorded too early, or not at all if reads are short.
+TEST_CASE("lab: a request is recorded as read with its last byte, however reads split it") {
   const Folder folder;
   const std::string path = folder / "requests_read";
   constexpr int kDescriptor = 7;
@@ -271,7 +271,7 @@
   const auto request = [](const std::string& id) {
     return net::FormatRequest("POST", "/api", {{"Host", "lab"}, {"X-Txn", id}}, "hello");
   };
-  read(request("m1"));  // of a descriptor that is no client's
+  read(request("m1"));  // not a client's descriptor
   CHECK(recorded().empty());
   requests.Accepted(kDescriptor);
   const std::string second = request("m2");
@@ -282,12 +282,12 @@
   read(request("m3") + request("m4") + request("m5").substr(0, 20));
   CHECK(recorded() == "m2\nm3\nm4\n");
   requests.Closed(kDescriptor);
-  requests.Accepted(kDescriptor);  // the half request was another connection's
+  requests.Accepted(kDescriptor);  // the half request belonged to the previous connection
   read(request("m6"));
   CHECK(recorded() == "m2\nm3\nm4\nm6\n");
 }
 
-TEST_CASE("lab: a plan of faults is read as it was written, and a seed draws the same one again") {
+TEST_CASE("lab: a fault plan is read as it was written, and the same seed draws the same plan") {
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
     const std::string text = DrawFaults(seed, 3, 1, "/state").Write();
     CHECK(faults::Plan::Read(text).Write() == text);
@@ -300,13 +300,13 @@
   CHECK_THROWS_AS(faults::Plan::Read("5 /state breaks"), std::invalid_argument);
 }
 
-TEST_CASE("lab: a relay that does not come up ends the run with its log") {
+TEST_CASE("lab: a relay that does not become ready ends the run with its log") {
   const Folder folder;
   SocketOptions options = OptionsIn(folder / "run");
   options.relay_arguments = {"--no-such-flag"};
   std::string why;
   try {
-    PlayOnSockets(ReadScenario(SmallDay()), 1, options);
+    RunOnSockets(ReadScenario(SmallScenario()), 1, options);
   } catch (const std::runtime_error& error) {
     why = error.what();
   }
@@ -314,19 +314,19 @@
   CHECK(why.find("no-such-flag") != std::string::npos);
 }
 
-TEST_CASE("lab: a run whose laboratory was late is void") {
+TEST_CASE("lab: a run in which the laboratory was late is void") {
   const Folder folder;
   SocketOptions options = OptionsIn(folder / "run");
-  options.most_lateness = 0;
-  json day = SmallDay();
-  day["lasts_s"] = 0.5;
-  const RunResult r = PlayOnSockets(ReadScenario(day), 1, options);
+  options.max_lateness = 0;
+  json file = SmallScenario();
+  file["lasts_s"] = 0.5;
+  const RunResult r = RunOnSockets(ReadScenario(file), 1, options);
   CHECK(r.void_because.find("late") != std::string::npos);
 }
 
-TEST_CASE("lab: an interrupt leaves no process behind, and SIGKILL does not either") {
+TEST_CASE("lab: neither an interrupt nor SIGKILL leaves a process behind") {
   const Folder folder;
-  std::ofstream(folder / "day.json") << SmallDay().dump();
+  std::ofstream(folder / "day.json") << SmallScenario().dump();
   for (const int number : {SIGINT, SIGKILL}) {
     const std::string out = folder / ("run" + std::to_string(number));
     Program lab(folder / "none", "",
@@ -353,24 +353,24 @@
 
 // ---- comparisons ---------------------------------------------------------------------------------------
 
-// Runs the laboratory with these words. Returns its exit status.
-int Lab(const std::vector<std::string>& words, std::string* last_line = nullptr) {
-  Program lab("none", "", words, LAB_PROGRAM);
-  std::string line, found;
-  while (!(line = lab.Line("")).empty()) found = line;
-  if (last_line != nullptr) *last_line = found;
+// Runs the laboratory with these arguments. Returns its exit status.
+int Lab(const std::vector<std::string>& arguments, std::string* last_line = nullptr) {
+  Program lab("none", "", arguments, LAB_PROGRAM);
+  std::string line, latest;
+  while (!(line = lab.Line("")).empty()) latest = line;
+  if (last_line != nullptr) *last_line = latest;
   return WEXITSTATUS(lab.ExitStatus());
 }
 
 TEST_CASE("lab: two builds are compared, in simulated time and on sockets") {
   const Folder folder;
-  json day = SmallDay();
-  day["lasts_s"] = 2;
-  day["troubles"] = json::array();
-  std::ofstream(folder / "day.json") << day.dump();
+  json file = SmallScenario();
+  file["lasts_s"] = 2;
+  file["troubles"] = json::array();
+  std::ofstream(folder / "day.json") << file.dump();
   const std::string build = fs::path(LAB_PROGRAM).parent_path().string();
   std::string last;
-  // The same build against itself: its own process gives what this one gives.
+  // A build is compared with itself and gives the same results in a process of its own.
   CHECK(Lab({"compare", folder / "day.json", folder / "day.json", "--build-b", build, "--seeds", "3"},
             &last) == 0);
   CHECK(last.find("breaches") == 0);
@@ -378,7 +378,7 @@
   const int on_sockets = Lab(
       {"compare", folder / "day.json", folder / "day.json", "--sockets", "--build-b", build, "--seeds", "2"},
       &last);
-  CHECK((on_sockets == 0 || on_sockets == 3));  // 3: the machine was busy, and it says so
+  CHECK((on_sockets == 0 || on_sockets == 3));  // 3: the run was void because the machine was busy
   CHECK(Lab({"compare", folder / "day.json", folder / "day.json", "--build-a", folder / "none", "--seeds",
              "2"}) == 2);
   CHECK(Lab({"sweep", folder / "day.json", "load.rate", "20", "40", "--seeds", "2"}, &last) == 0);
@@ -393,16 +393,16 @@
   return count;
 }
 
-TEST_CASE("lab: the report of two runs has its parts in order, and needs no network") {
+TEST_CASE("lab: the report of two runs has its sections in order and needs no network") {
   const Folder folder;
-  json day = SmallDay();
+  json file = SmallScenario();
   for (const char* name : {"a", "b"}) {
-    RunResult r = Simulation(ReadScenario(day), 1).Run();
+    RunResult r = Simulation(ReadScenario(file), 1).Run();
     r.breaches.push_back({BreachKind::kInWait, 1.5, 0, 7, 2, "sent to <b>2</b> & out"});
     r.crashes.push_back({1, 2, "signal 9", "the last <line>"});
     fs::create_directories(folder / name);
     std::ofstream(folder / (std::string(name) + "/result.json")) << r.ToJson().dump();
-    day["load"]["rate"] = 80;
+    file["load"]["rate"] = 80;
   }
   const std::string page = WriteReport({ReadRun(folder / "a"), ReadRun(folder / "b")});
   std::string sections;
@@ -415,14 +415,14 @@
   CHECK(CountOf(page, "in_wait") == 2);
   CHECK(page.find("sent to &lt;b&gt;2&lt;/b&gt; &amp; out") != std::string::npos);
   CHECK(page.find("the last &lt;line&gt;") != std::string::npos);
-  // Addresses that only name XML dialects are fetched by nobody.
+  // URLs that only name XML namespaces are not fetched.
   const std::regex fetched("(src|href|url)\\s*[=(]\\s*[\"']?(https?:|//)");
   CHECK(!std::regex_search(page, fetched));
   CHECK(page.find("{{") == std::string::npos);
   CHECK(page.rfind("</html>\n") == page.size() - 8);
 }
 
-TEST_CASE("lab: a report on what is no run says what is lacking") {
+TEST_CASE("lab: a report on a folder without a run says what is missing") {
   const Folder folder;
   CHECK_THROWS_WITH_AS(ReadRun(folder / "no"), doctest::Contains("there is no"), config::FieldError);
   std::ofstream(folder / "result.json") << "{}";
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/ledger_test.cpp
@@ -1,4 +1,4 @@
-// The ledger of messages, and what the auditor makes of restarts.
+// Tests of MessageTracker and of the auditor's checks of restarts.
 #include "lab/sockets/ledger.h"
 
 #include <doctest/doctest.h>
@@ -11,106 +11,110 @@
 namespace opalroute::lab {
 namespace {
 
-struct Books {
+struct Fixture {
   Scenario scenario = ReadScenario({{"partners", {{"count", 1}, {"endpoints", {1, 1}}}}});
   World world{scenario, 1};
   Auditor auditor{Auditor::Rules{}, scenario.settings.classes};
   Tally tally{world, 1};
-  Ledger ledger{world, auditor, tally};
-  std::size_t client = 0;
-  Books() {
+  MessageTracker tracker{world, auditor, tally};
+  std::size_t message = 0;
+  Fixture() {
     auditor.Listed(1, 1, 0);
-    client = ledger.Ask({0, 2, 0});  // a payment
+    message = tracker.AddMessage({0, 2, 0});  // a payment, at most once
   }
 };
 
-TEST_CASE("lab: a message counts as delivered once its client has heard and its partner has served") {
-  Books b;
-  const std::uint64_t id = b.ledger.HandIn(0, 0, b.client);
-  const int attempt = b.ledger.Arrived(0.1, 0, id, 1);
-  b.ledger.Over(0.2, id, attempt, Outcome::kServed);
-  CHECK(b.tally.result().classes[2].delivered == 0);
-  b.ledger.TakenOn(0.3, id);
-  CHECK(b.tally.result().classes[2].delivered == 1);
-  b.ledger.Noticed(0.4, id, Ledger::Notice::kGivenUp, 0);  // does no harm
-  CHECK(b.auditor.breaches().empty());
+TEST_CASE(
+    "lab: a message counts as delivered once its client has read the 202 and its partner has served it") {
+  Fixture f;
+  const std::uint64_t id = f.tracker.Submit(0, 0, f.message);
+  const int attempt = f.tracker.OnAttemptArrived(0.1, 0, id, 1);
+  f.tracker.OnAttemptEnded(0.2, id, attempt, Outcome::kServed);
+  CHECK(f.tally.result().classes[2].delivered == 0);
+  f.tracker.OnAccepted(0.3, id);
+  CHECK(f.tally.result().classes[2].delivered == 1);
+  f.tracker.OnNotification(0.4, id, MessageTracker::Notification::kFailed, 0);  // ignored after the end
+  CHECK(f.auditor.breaches().empty());
 }
 
-TEST_CASE("lab: what comes under a withdrawn id is void; after any other end it is a breach") {
-  Books b;
-  const std::uint64_t id = b.ledger.HandIn(0, 0, b.client);
-  const int first = b.ledger.Arrived(0.1, 0, id, 1);
-  b.ledger.Ran(0.1, id);
-  b.ledger.Withdrawn(0.4, id);
-  b.ledger.Over(0.45, id, first, Outcome::kServed);  // counts no more
-  CHECK(b.ledger.Arrived(0.5, 0, id, 1) == Ledger::kVoid);
-  CHECK(b.auditor.breaches().empty());
-  const std::uint64_t again = b.ledger.HandIn(0.5, 1, b.client);
-  CHECK(b.ledger.Arrived(0.6, 1, again, 1) == 0);
-  b.ledger.Ran(0.6, again);  // no payment twice: the first counts no more
-  CHECK(b.auditor.breaches().empty());
-  CHECK(b.ledger.Arrived(2, 0, id, 1) == Ledger::kVoid);
-  CHECK(b.auditor.breaches().empty());
-  b.ledger.Over(2, again, 0, Outcome::kError);
-  b.ledger.Failed(2, again);
-  CHECK(b.ledger.Arrived(2.2, 1, again, 1) == Ledger::kVoid);  // it was on its way
-  CHECK(b.auditor.breaches().empty());
-  CHECK(b.ledger.Arrived(2.3, 1, again, 1) == Ledger::kVoid);
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 1);
-  b.ledger.Deaf(1, 3);  // frozen: it has heard nothing
-  CHECK(b.ledger.Arrived(3.2, 1, again, 1) == Ledger::kVoid);
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 1);
-  CHECK(b.ledger.Arrived(3.3, 0, 99, 1) == Ledger::kVoid);  // nobody has handed it in
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 2);
+TEST_CASE("lab: an attempt after its request was withdrawn is void; after any other end it is a breach") {
+  Fixture f;
+  const std::uint64_t id = f.tracker.Submit(0, 0, f.message);
+  const int first_attempt = f.tracker.OnAttemptArrived(0.1, 0, id, 1);
+  f.tracker.OnExecuted(0.1, id);
+  f.tracker.OnWithdrawn(0.4, id);
+  f.tracker.OnAttemptEnded(0.45, id, first_attempt, Outcome::kServed);  // no longer counts
+  CHECK(f.tracker.OnAttemptArrived(0.5, 0, id, 1) == MessageTracker::kVoid);
+  CHECK(f.auditor.breaches().empty());
+  const std::uint64_t resubmitted = f.tracker.Submit(0.5, 1, f.message);
+  CHECK(f.tracker.OnAttemptArrived(0.6, 1, resubmitted, 1) == 0);
+  f.tracker.OnExecuted(0.6, resubmitted);  // not a repeated payment: the withdrawn request no longer counts
+  CHECK(f.auditor.breaches().empty());
+  CHECK(f.tracker.OnAttemptArrived(2, 0, id, 1) == MessageTracker::kVoid);
+  CHECK(f.auditor.breaches().empty());
+  f.tracker.OnAttemptEnded(2, resubmitted, 0, Outcome::kError);
+  f.tracker.OnFailed(2, resubmitted);
+  CHECK(f.tracker.OnAttemptArrived(2.2, 1, resubmitted, 1) ==
+        MessageTracker::kVoid);  // it may have been in flight
+  CHECK(f.auditor.breaches().empty());
+  CHECK(f.tracker.OnAttemptArrived(2.3, 1, resubmitted, 1) == MessageTracker::kVoid);
+  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 1);
+  f.tracker.OnRelayFrozen(1, 3);  // it doesn't know of the end yet
+  CHECK(f.tracker.OnAttemptArrived(3.2, 1, resubmitted, 1) == MessageTracker::kVoid);
+  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 1);
+  CHECK(f.tracker.OnAttemptArrived(3.3, 0, 99, 1) ==
+        MessageTracker::kVoid);  // an id that was never submitted
+  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 2);
 }
 
-TEST_CASE("lab: a delivered message may come again after a kill, but no payment") {
-  for (const int message_class : {0, 2}) {  // idempotent, at most once
-    Books b;
-    const std::uint64_t id = b.ledger.HandIn(0, 0, b.ledger.Ask({0, message_class, 0}));
-    b.ledger.TakenOn(0, id);
-    b.ledger.Over(0.2, id, b.ledger.Arrived(0.1, 0, id, 1), Outcome::kServed);
-    CHECK(b.ledger.Arrived(2, 0, id, 1) == Ledger::kVoid);
-    CHECK(b.auditor.Count(BreachKind::kAfterEnd) == (message_class == 2 ? 1 : 0));
+TEST_CASE("lab: a delivered request may be sent again after a kill, but not a payment") {
+  for (const int message_class : {0, 2}) {  // idempotent and non-idempotent
+    Fixture f;
+    const std::uint64_t id = f.tracker.Submit(0, 0, f.tracker.AddMessage({0, message_class, 0}));
+    f.tracker.OnAccepted(0, id);
+    f.tracker.OnAttemptEnded(0.2, id, f.tracker.OnAttemptArrived(0.1, 0, id, 1), Outcome::kServed);
+    CHECK(f.tracker.OnAttemptArrived(2, 0, id, 1) == MessageTracker::kVoid);
+    CHECK(f.auditor.Count(BreachKind::kAfterEnd) == (message_class == 2 ? 1 : 0));
   }
 }
 
-TEST_CASE("lab: a message handed back by notice comes again") {
-  Books b;
-  double advised = 0;
-  b.ledger.on_handed_back = [&](std::size_t, Seconds advice) { advised = advice; };
-  const std::uint64_t id = b.ledger.HandIn(0, 0, b.client);
-  b.ledger.TakenOn(0.1, id);
-  b.ledger.Noticed(1, id, Ledger::Notice::kHandedBack, 0.5);
-  CHECK(advised == 0.5);
-  CHECK(b.tally.result().refused == 1);
-  CHECK(b.ledger.open() == 0);
+TEST_CASE("lab: a notification that rejects an accepted message reports the advised wait") {
+  Fixture f;
+  double advised_wait = 0;
+  f.tracker.on_rejected_after_accept = [&](std::size_t, Seconds retry_after) { advised_wait = retry_after; };
+  const std::uint64_t id = f.tracker.Submit(0, 0, f.message);
+  f.tracker.OnAccepted(0.1, id);
+  f.tracker.OnNotification(1, id, MessageTracker::Notification::kRejected, 0.5);
+  CHECK(advised_wait == 0.5);
+  CHECK(f.tally.result().refused == 1);
+  CHECK(f.tracker.open() == 0);
 }
 
-TEST_CASE("lab: what a restart finds untried in good time, and ends early with no call, is counted") {
-  Books b;
-  const auto accepted = [&b] {
-    const std::uint64_t id = b.ledger.HandIn(0, 3, b.client);
-    b.ledger.TakenOn(0.1, id);
+TEST_CASE(
+    "lab: requests that a restart finds untried in time are counted, and those ended early without a call") {
+  Fixture f;
+  const auto accepted = [&f] {
+    const std::uint64_t id = f.tracker.Submit(0, 3, f.message);
+    f.tracker.OnAccepted(0.1, id);
     return id;
   };
   const std::uint64_t ends_early = accepted(), ends_late = accepted(), is_called = accepted();
   const std::uint64_t was_called = accepted();
-  b.ledger.Arrived(0.2, 3, was_called, 1);
-  const double lasts = b.ledger.DeadlineOf(b.client);
-  b.ledger.RelayRestarted(0.4 * lasts, 2);  // another relay
-  CHECK(b.ledger.untried() == 0);
-  b.ledger.RelayRestarted(0.4 * lasts, 3);
-  b.ledger.RelayRestarted(0.45 * lasts, 3);
-  CHECK(b.ledger.untried() == 3);
-  b.ledger.Noticed(0.6 * lasts, ends_early, Ledger::Notice::kHandedBack, 0);
-  b.ledger.Noticed(0.9 * lasts, ends_late, Ledger::Notice::kGivenUp, 0);
-  b.ledger.Arrived(0.5 * lasts, 3, is_called, 1);
-  b.ledger.Noticed(0.6 * lasts, is_called, Ledger::Notice::kGivenUp, 0);
-  CHECK(b.ledger.untried_ended() == 1);
+  f.tracker.OnAttemptArrived(0.2, 3, was_called, 1);
+  const double time_limit = f.tracker.DeadlineOf(f.message);
+  f.tracker.OnRelayRestarted(0.4 * time_limit, 2);  // another relay
+  CHECK(f.tracker.untried() == 0);
+  f.tracker.OnRelayRestarted(0.4 * time_limit, 3);
+  f.tracker.OnRelayRestarted(0.45 * time_limit, 3);
+  CHECK(f.tracker.untried() == 3);
+  f.tracker.OnNotification(0.6 * time_limit, ends_early, MessageTracker::Notification::kRejected, 0);
+  f.tracker.OnNotification(0.9 * time_limit, ends_late, MessageTracker::Notification::kFailed, 0);
+  f.tracker.OnAttemptArrived(0.5 * time_limit, 3, is_called, 1);
+  f.tracker.OnNotification(0.6 * time_limit, is_called, MessageTracker::Notification::kFailed, 0);
+  CHECK(f.tracker.untried_ended() == 1);
 }
 
-TEST_CASE("lab: restarts that are late, or end what they found untried, break a rule") {
+TEST_CASE("lab: too many late restarts, or untried requests that end early, break a rule") {
   const auto breaches = [](const Auditor::Restarts& restarts) {
     Auditor auditor(Auditor::Rules{}, {});
     auditor.Restarted(1, restarts);
--- a/tests/lab/process_test.cpp
+++ b/tests/lab/process_test.cpp
@@ -1,4 +1,4 @@
-// Child processes of the laboratory.
+// Tests of the laboratory's child processes.
 #include "lab/sockets/process.h"
 
 #include <doctest/doctest.h>
@@ -18,13 +18,13 @@
 namespace opalroute::lab {
 namespace {
 
-// Guards against a child that still holds the laboratory's sockets: an endpoint that is cut off then goes on
-// listening, or its address can't be had.
-TEST_CASE("lab: a listener that is closed after a process was started listens no more") {
-  constexpr int kTimes = 100;
+// Guards against a child that inherits the laboratory's sockets: an endpoint that is cut off would keep
+// listening, or its address would be in use.
+TEST_CASE("lab: a listener that is closed after a process was started no longer listens") {
+  constexpr int kRepetitions = 100;
   const std::string log =
       std::filesystem::temp_directory_path() / ("opalroute-process-" + std::to_string(getpid()));
-  for (int i = 0; i < kTimes; ++i) {
+  for (int i = 0; i < kRepetitions; ++i) {
     const ReservedAddress reserved;
     const int listener = net::OpenListener(reserved.address());
     const Process process("/bin/true", {}, {}, log);
@@ -34,32 +34,32 @@
   std::filesystem::remove(log);
 }
 
-// The same where another thread starts processes, as plays side by side do.
-TEST_CASE("lab: a machine is cut off while another play starts its processes") {
-  constexpr int kTimes = 5000;
+// The same while another thread starts processes, as concurrent runs do.
+TEST_CASE("lab: an address can be made unreachable while another run starts its processes") {
+  constexpr int kRepetitions = 5000;
   const std::string log =
       std::filesystem::temp_directory_path() / ("opalroute-processes-" + std::to_string(getpid()));
-  std::atomic<bool> over = false;
-  std::thread other_play([&] {
-    while (!over) const Process process("/bin/true", {}, {}, log);
+  std::atomic<bool> done = false;
+  std::thread other_run([&] {
+    while (!done) const Process process("/bin/true", {}, {}, log);
   });
-  for (int i = 0; i < kTimes; ++i) {
+  for (int i = 0; i < kRepetitions; ++i) {
     const ReservedAddress reserved;
     close(net::OpenListener(reserved.address()));
     CHECK_NOTHROW(BlackHole{reserved.address()});
   }
-  over = true;
-  other_play.join();
+  done = true;
+  other_run.join();
   std::filesystem::remove(log);
 }
 
-TEST_CASE("lab: a process that has ended has no figures, though it waits to be reaped") {
+TEST_CASE("lab: a process that has exited has no sample even before it is reaped") {
   const pid_t child = fork();
   REQUIRE(child >= 0);
   if (child == 0) _exit(0);
-  siginfo_t info;
-  REQUIRE(waitid(P_PID, static_cast<id_t>(child), &info, WEXITED | WNOWAIT) == 0);
-  CHECK_FALSE(SampleOf(child));
+  siginfo_t exit_info;
+  REQUIRE(waitid(P_PID, static_cast<id_t>(child), &exit_info, WEXITED | WNOWAIT) == 0);
+  CHECK_FALSE(ReadProcessSample(child));
   CHECK(waitpid(child, nullptr, 0) == child);
 }
 
--- a/tests/lab/registry_test.cpp
+++ b/tests/lab/registry_test.cpp
@@ -1,4 +1,4 @@
-// The platform's stand-in.
+// Tests of the emulated platform.
 #include "lab/sockets/registry.h"
 
 #include <doctest/doctest.h>
@@ -14,40 +14,41 @@
 namespace opalroute::lab {
 namespace {
 
-// Guards against a stand-in that takes notifications away with the list: the platform answers them even while
-// its list is down.
-TEST_CASE("lab: while the list is refused, notifications are answered") {
-  struct Platform : Registry::Owner {
-    void OnTold(int, EndpointId, EndpointStatus) override {}
-    void OnNotice(const std::string&, bool, Seconds) override { ++notifications; }
+// Guards against an emulated platform that stops accepting notifications along with the list: the real one
+// answers them even while its list is unavailable.
+TEST_CASE("lab: notifications are answered while requests for the list are refused") {
+  struct NotificationCounter : PlatformServer::Owner {
+    void OnListingSent(int, EndpointId, EndpointStatus) override {}
+    void OnNotification(const std::string&, bool, Seconds) override { ++notifications; }
     int notifications = 0;
-  } platform;
+  } owner;
   const Scenario scenario = ReadScenario(
       {{"partners", {{"count", 1}, {"endpoints", {1, 1}}}},
        {"list_faults", {{{"kind", "refuse"}, {"first", 0}, {"last", 0}, {"from_s", 0}, {"lasts_s", 100}}}}});
   const net::SystemClock clock;
   net::EventLoop loop(clock);
   const World world(scenario, 1);
-  Registry registry(
-      loop, world, 1, [](EndpointId, int) { return "127.0.0.1:9"; }, platform);
-  registry.Begin(loop.Now());
-  const auto answer_to = [&](const std::string& request) {
-    const int fd = raw::Connect(registry.address(0));
-    std::string answer;
+  PlatformServer server(
+      loop, world, 1, [](EndpointId, int) { return "127.0.0.1:9"; }, owner);
+  server.Begin(loop.Now());
+  const auto response_to = [&](const std::string& request) {
+    const int fd = raw::Connect(server.address(0));
+    std::string response;
     bool open = raw::WriteAll(fd, request);
-    for (int i = 0; open && answer.empty() && i < 100; ++i) {
+    for (int i = 0; open && response.empty() && i < 100; ++i) {
       loop.RunOnce(0.01);
-      open = raw::ReadAll(fd, answer);
+      open = raw::ReadAll(fd, response);
     }
     close(fd);
-    return answer;
+    return response;
   };
   const std::string line = R"({"message":"m1","outcome":"given_up"})";
-  CHECK(answer_to(net::FormatRequest("GET", "/registry/instances", {{"Host", "lab"}}, "")).empty());
-  CHECK(answer_to(net::FormatRequest("GET", "/registry/instances?follow=1", {{"Host", "lab"}}, "")).empty());
-  CHECK(answer_to(net::FormatRequest("POST", "/v1/notices", {{"Host", "lab"}}, line + "\n"))
+  CHECK(response_to(net::FormatRequest("GET", "/registry/instances", {{"Host", "lab"}}, "")).empty());
+  CHECK(
+      response_to(net::FormatRequest("GET", "/registry/instances?follow=1", {{"Host", "lab"}}, "")).empty());
+  CHECK(response_to(net::FormatRequest("POST", "/v1/notices", {{"Host", "lab"}}, line + "\n"))
             .rfind("HTTP/1.1 204", 0) == 0);
-  CHECK(platform.notifications == 1);
+  CHECK(owner.notifications == 1);
 }
 
 }  // namespace
--- a/tests/lab/restart_schedule_test.cpp
+++ b/tests/lab/restart_schedule_test.cpp
@@ -22,7 +22,7 @@
   CHECK(!schedule.IsKillDue(4.69));
   CHECK(schedule.IsKillDue(4.7));
   CHECK(!schedule.IsStartDue(10));  // not while a process is there
-  schedule.OnEnded();
+  schedule.OnExited();
   CHECK(!schedule.IsKillDue(5));
   CHECK(!schedule.IsStartDue(5.19));
   CHECK(schedule.IsStartDue(5.2));
@@ -34,7 +34,7 @@
 TEST_CASE("lab: a process that ends early is started no earlier for it") {
   RestartSchedule schedule = Running();
   schedule.OnTerminate(1, 0.5);
-  schedule.OnEnded();
+  schedule.OnExited();
   CHECK(!schedule.IsStartDue(5.1));
   CHECK(schedule.IsStartDue(5.3));
 }
@@ -44,7 +44,7 @@
   schedule.OnTerminate(1.42, 0.58);
   CHECK(schedule.OnTerminate(2.34, 0.82));
   CHECK(schedule.IsKillDue(5.12));
-  schedule.OnEnded();
+  schedule.OnExited();
   CHECK(schedule.next_start() == doctest::Approx(1.42 + kKillAfter + 0.58));
   schedule.OnStarted();
   CHECK(!schedule.IsStartDue(2.34 + kKillAfter + 0.82));  // no second start, and so no hidden kill
@@ -69,7 +69,7 @@
 
 TEST_CASE("lab: a crash is followed by no start") {
   RestartSchedule schedule = Running();
-  schedule.OnEnded();
+  schedule.OnExited();
   CHECK(!schedule.IsStartDue(1000));
 }
 
