--- a/tests/lab/unwatched_connection_test.cpp
+++ b/tests/lab/unwatched_connection_test.cpp
@@ -1,4 +1,4 @@
-// Clients that send a request on a connection whatever has become of it.
+// Tests of clients that send a request on an idle connection without knowing its state.
 #include "lab/sockets/unwatched_connection.h"
 
 #include <doctest/doctest.h>
@@ -12,7 +12,7 @@
 namespace opalroute::lab {
 namespace {
 
-constexpr net::Seconds kFirstRequestWithin = 2;
+constexpr net::Seconds kFirstRequestTimeout = 2;
 const char* const kRequest = "GET / HTTP/1.1\r\nHost: lab\r\n\r\n";
 
 class Server : public net::HttpServer::Handler {
@@ -24,70 +24,72 @@
 class Request : public net::HttpClient::Call {
  public:
   std::string OnReady() override { return {}; }
-  void OnResponse(net::HttpMessage& answer) override { status = answer.status; }
-  void OnFailure(net::HttpClient::Failure how, int) override { broken = how; }
+  void OnResponse(net::HttpMessage& response) override { status = response.status; }
+  void OnFailure(net::HttpClient::Failure reason, int) override { failure = reason; }
   int status = 0;
-  std::optional<net::HttpClient::Failure> broken;
+  std::optional<net::HttpClient::Failure> failure;
 };
 
-struct Meeting {
+struct Fixture {
   net::HandClock clock;
   net::EventLoop loop{clock};
   Server handler;
-  net::HttpServer server{loop, *net::ParseAddress("127.0.0.1:0"), net::BoundsOf(4, kFirstRequestWithin),
+  net::HttpServer server{loop, *net::ParseAddress("127.0.0.1:0"), net::BoundsOf(4, kFirstRequestTimeout),
                          handler};
   std::unique_ptr<UnwatchedConnection> connection = UnwatchedConnection::Connect(server.address());
   Request request;
 
-  Meeting() { Turns(); }
-  void Turns() {
+  Fixture() { RunLoop(); }
+  void RunLoop() {
     for (int turn = 0; turn < 20; ++turn) loop.RunOnce(0.001);
   }
-  void GiveUp() {
-    clock.now += kFirstRequestWithin + 0.1;
-    Turns();
+  // The server closes the connection because no whole request has arrived in time.
+  void PassFirstRequestTimeout() {
+    clock.now += kFirstRequestTimeout + 0.1;
+    RunLoop();
   }
 };
 
-TEST_CASE("lab: a request on a connection that nobody watched is answered while the server keeps it") {
-  Meeting m;
-  REQUIRE(m.server.connections() == 1);
-  CHECK(m.connection->Send(std::string_view(kRequest).substr(0, 10)));
-  m.Turns();
-  CHECK(m.connection->Send(std::string_view(kRequest).substr(10)));
-  m.connection->Watch(m.loop, m.request);
-  m.Turns();
-  CHECK(m.request.status == 200);
-  CHECK_FALSE(m.request.broken);
+TEST_CASE("lab: a request on an unwatched connection is answered while the server keeps it open") {
+  Fixture f;
+  REQUIRE(f.server.connections() == 1);
+  CHECK(f.connection->Send(std::string_view(kRequest).substr(0, 10)));
+  f.RunLoop();
+  CHECK(f.connection->Send(std::string_view(kRequest).substr(10)));
+  f.connection->Watch(f.loop, f.request);
+  f.RunLoop();
+  CHECK(f.request.status == 200);
+  CHECK_FALSE(f.request.failure);
 }
 
-// Guards against a client that hears of the end in time and sends nothing: then no request crosses it.
-TEST_CASE("lab: a request goes out on a connection that the server has closed, and breaks with it") {
-  Meeting m;
-  m.GiveUp();
-  REQUIRE(m.server.connections() == 0);
-  CHECK(m.connection->Send(kRequest));
-  m.connection->Watch(m.loop, m.request);
-  m.Turns();
-  CHECK(m.request.status == 0);
-  CHECK(m.request.broken == net::HttpClient::Failure::kReset);
+// Guards against a client that notices the close in time and sends nothing: no request would then race with
+// it.
+TEST_CASE("lab: a request on a connection that the server has closed is sent and fails") {
+  Fixture f;
+  f.PassFirstRequestTimeout();
+  REQUIRE(f.server.connections() == 0);
+  CHECK(f.connection->Send(kRequest));
+  f.connection->Watch(f.loop, f.request);
+  f.RunLoop();
+  CHECK(f.request.status == 0);
+  CHECK(f.request.failure == net::HttpClient::Failure::kReset);
 }
 
-TEST_CASE("lab: a request that comes in two halves too far apart hears why, and no more is sent") {
-  Meeting m;
-  CHECK(m.connection->Send(std::string_view(kRequest).substr(0, 10)));
-  m.Turns();
-  m.GiveUp();
-  m.connection->Send(std::string_view(kRequest).substr(10));
-  m.connection->Watch(m.loop, m.request);
-  m.Turns();
-  CHECK(m.request.status == 408);
+TEST_CASE("lab: a request whose second half comes too late gets a 408") {
+  Fixture f;
+  CHECK(f.connection->Send(std::string_view(kRequest).substr(0, 10)));
+  f.RunLoop();
+  f.PassFirstRequestTimeout();
+  f.connection->Send(std::string_view(kRequest).substr(10));
+  f.connection->Watch(f.loop, f.request);
+  f.RunLoop();
+  CHECK(f.request.status == 408);
 }
 
-TEST_CASE("lab: nobody listens, and the connection takes nothing") {
-  Meeting m;
-  const sockaddr_in address = m.server.address();
-  m.server.StopAccepting();
+TEST_CASE("lab: a connection to an address without a listener sends nothing") {
+  Fixture f;
+  const sockaddr_in address = f.server.address();
+  f.server.StopAccepting();
   const auto refused = UnwatchedConnection::Connect(address);
   CHECK((refused == nullptr || !refused->Send(kRequest)));
 }
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -36,9 +36,9 @@
   SocketOptions options;
   options.program = RELAY_PROGRAM;
   options.folder = folder.path();
-  options.most_lateness = options.most_lateness_p99 = 1e9;
+  options.max_lateness = options.max_lateness_p99 = 1e9;
   const Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/" + name + ".json");
-  const RunResult r = PlayOnSockets(scenario, 1, options);
+  const RunResult r = RunOnSockets(scenario, 1, options);
   for (const Breach& b : r.breaches) FAIL_CHECK(NameOf(b.kind), " ", b.at, " ", b.trace);
   for (const Crash& c : r.crashes) FAIL_CHECK(c.relay, " ", c.how, "\n", c.last_log);
   return r;
