--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -106,19 +106,19 @@
   cut.lasts = 1e6;
   plan.cuts.push_back(cut);
   Seconds now = 0;
-  Post post(loop, 3, plan, 1, [&now] { return now; });
-  const std::vector<sockaddr_in> peers = post.Peers();
+  DatagramForwarder forwarder(loop, 3, plan, 1, [&now] { return now; });
+  const std::vector<sockaddr_in> peers = forwarder.PeerAddresses();
   std::vector<std::string> got;
   int refused = 0;
   net::DatagramSocket first(
-      loop, post.ListenOf(0), 256, [](const sockaddr_in&, const std::string&) {},
+      loop, forwarder.RelayAddress(0), 256, [](const sockaddr_in&, const std::string&) {},
       [&](const sockaddr_in& to) { refused += to.sin_port == peers[2].sin_port; });
-  net::DatagramSocket second(loop, post.ListenOf(1), 256,
+  net::DatagramSocket second(loop, forwarder.RelayAddress(1), 256,
                              [&](const sockaddr_in& from, const std::string& bytes) {
                                got.push_back((from.sin_port == peers[0].sin_port ? "0:" : "?:") + bytes);
                              });
-  post.SetThere(0, true);
-  post.SetThere(1, true);
+  forwarder.SetRunning(0, true);
+  forwarder.SetRunning(1, true);
   const auto until = [&](const std::function<bool()>& holds) {
     for (int i = 0; i < 2000 && !holds(); ++i) loop.RunOnce(0.005);
     return holds();
@@ -130,7 +130,7 @@
   CHECK(until([&] { return refused == 1; }));
   now = 20;  // cut off from all others
   first.Send(peers[1], "two");
-  post.SetThere(2, false);
+  forwarder.SetRunning(2, false);
   first.Send(peers[2], "nobody");
   first.Send(peers[1], "three");
   for (int i = 0; i < 20; ++i) loop.RunOnce(0.005);
