--- a/lab/capacity/capacity.cpp
+++ b/lab/capacity/capacity.cpp
@@ -155,7 +155,7 @@
   ProcessSample Sample() const { return relay_->Sample().value_or(ProcessSample{}); }
 
  private:
-  void OnListingSent(int, EndpointId, EndpointStatus) override {}
+  void OnChangeKnown(int, EndpointId, EndpointStatus) override {}
   void OnNotification(const std::string&, bool, Seconds) override {}
   void OnReady(int) override {}
   void OnCrash(int, const std::string& how) override {
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -75,7 +75,7 @@
   void OnClosed(net::Connection&, net::Connection::CloseReason) override { End(Outcome::kTimeout); }
 
   // Ends the session: the relay has closed the connection, or the endpoint does. A call that is still on its
-  // way to the endpoint is executed nevertheless.
+  // way to the endpoint arrives nevertheless.
   void End(Outcome outcome) {
     const LaneModel& model = MachineModel();
     if (phase_ != Phase::kIdle && model.OutAt(owner_.now()))
@@ -246,11 +246,11 @@
       start_(loop.Now()),
       sessions_(loop) {
   pcg32 random(seed, 3);
-  const Scenario& s = world.scenario();
-  for (int relay = 0; relay < s.relays; ++relay) {
+  const Scenario& scenario = world.scenario();
+  for (int relay = 0; relay < scenario.relays; ++relay) {
     one_way_delays_.emplace_back();
-    for (std::size_t zone = 0; zone < s.zones.size(); ++zone)
-      one_way_delays_.back().push_back(DrawFrom(s.one_way, random));
+    for (std::size_t zone = 0; zone < scenario.zones.size(); ++zone)
+      one_way_delays_.back().push_back(DrawFrom(scenario.one_way, random));
     shared_listeners_.push_back(std::make_unique<net::Listener>(
         loop, ListenOnLoopback(), [this, relay](int fd) { Accept(fd, relay); }));
   }
@@ -260,7 +260,7 @@
         std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
           return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
         });
-    for (int relay = 0; relay < s.relays; ++relay) {
+    for (int relay = 0; relay < scenario.relays; ++relay) {
       if (!is_unreachable_at_times && !HasScheduledCut(id, relay)) continue;
       SeparateListener& entry = separate_listeners_[{id, relay}];
       entry.endpoint = id;
--- a/lab/sockets/front.cpp
+++ b/lab/sockets/front.cpp
@@ -121,7 +121,7 @@
 LoadGenerator::LoadGenerator(net::EventLoop& loop, const Scenario& scenario, Traffic& traffic,
                              MessageTracker& tracker, std::uint64_t seed)
     : loop_(loop),
-      s_(scenario),
+      scenario_(scenario),
       traffic_(traffic),
       tracker_(tracker),
       random_(seed, 6),
@@ -258,13 +258,13 @@
 
 LoadGenerator::Call& LoadGenerator::AddCall(std::size_t message, int relay, const char* resent, Seconds at) {
   const Arrival& arrival = tracker_.arrival(message);
-  const ClassPlan& plan = s_.classes[static_cast<std::size_t>(arrival.message_class)];
+  const ClassPlan& plan = scenario_.classes[static_cast<std::size_t>(arrival.message_class)];
   const std::uint64_t id = tracker_.Submit(now(), relay, message);
   const auto remaining_ms = static_cast<long>((tracker_.DeadlineOf(message) - at) * 1000);
   net::Headers headers = {{"Host", "lab"},
                           {"X-Txn", "m" + std::to_string(id)},
                           {"X-Lane", plan.name},
-                          {"X-Org", s_.tenants[static_cast<std::size_t>(arrival.tenant)].name},
+                          {"X-Org", scenario_.tenants[static_cast<std::size_t>(arrival.tenant)].name},
                           {"X-Remaining-Ms", std::to_string(remaining_ms)},
                           {"X-Addressing", "dest=" + std::to_string(arrival.partner + 1)}};
   if (plan.rules.idempotency == Idempotency::kIdempotencyKey)
@@ -278,9 +278,10 @@
 }
 
 void LoadGenerator::RetryAfterRejection(std::size_t message, Seconds retry_after) {
-  if (retries_[message]++ >= s_.clients.retries) return;
-  const Seconds default_wait = DrawFrom(s_.clients.wait, random_);
-  SubmitLater(message, retry_after > 0 ? std::min(retry_after, s_.settings.max_retry_after) : default_wait,
+  if (retries_[message]++ >= scenario_.clients.retries) return;
+  const Seconds default_wait = DrawFrom(scenario_.clients.wait, random_);
+  SubmitLater(message,
+              retry_after > 0 ? std::min(retry_after, scenario_.settings.max_retry_after) : default_wait,
               "1");
 }
 
--- a/lab/sockets/front.h
+++ b/lab/sockets/front.h
@@ -68,7 +68,7 @@
   void Drop(Call& call);
 
   net::EventLoop& loop_;
-  const Scenario& s_;
+  const Scenario& scenario_;
   Traffic& traffic_;
   MessageTracker& tracker_;
   pcg32 random_;
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -12,7 +12,7 @@
 // relay knew of the end.
 constexpr Seconds kInFlightTolerance = 0.25;
 
-// Shares of the time to a message's deadline, from the platform's standing test. A request counts as untried
+// Shares of the time to a message's deadline, as in the standing test. A request counts as untried
 // only if a restart finds it before the first share has passed; a notification before the second share ends
 // it early.
 constexpr double kUntriedShare = 0.5;
@@ -28,7 +28,7 @@
 
 Seconds MessageTracker::DeadlineOf(std::size_t message) const {
   const Arrival& arrival = messages_[message].arrival;
-  return arrival.due + s_.classes[static_cast<std::size_t>(arrival.message_class)].rules.deadline;
+  return arrival.due + scenario_.classes[static_cast<std::size_t>(arrival.message_class)].rules.deadline;
 }
 
 std::uint64_t MessageTracker::Submit(Seconds now, int relay, std::size_t message) {
@@ -107,7 +107,7 @@
 // it.
 bool MessageTracker::MayBeResent(Seconds now, const Submission& submission) const {
   const RequestClass& rules =
-      s_.classes[static_cast<std::size_t>(messages_[submission.message].arrival.message_class)].rules;
+      scenario_.classes[static_cast<std::size_t>(messages_[submission.message].arrival.message_class)].rules;
   if (!submission.served || rules.idempotency == Idempotency::kNonIdempotent) return false;
   return rules.idempotency == Idempotency::kIdempotent ||
          now <= submission.ended_at + rules.deduplication_window;
--- a/lab/sockets/ledger.h
+++ b/lab/sockets/ledger.h
@@ -17,7 +17,7 @@
 class MessageTracker {
  public:
   MessageTracker(const World& world, Auditor& auditor, Tally& tally)
-      : world_(world), s_(world.scenario()), auditor_(auditor), tally_(tally) {}
+      : world_(world), scenario_(world.scenario()), auditor_(auditor), tally_(tally) {}
 
   // Adds a client's message and returns its index. It may be submitted several times.
   std::size_t AddMessage(const Arrival& arrival);
@@ -80,7 +80,7 @@
   void End(Seconds now, std::uint64_t id, Submission& submission, Auditor::End end);
 
   const World& world_;
-  const Scenario& s_;
+  const Scenario& scenario_;
   Auditor& auditor_;
   Tally& tally_;
   std::vector<Message> messages_;
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -35,7 +35,7 @@
 constexpr Seconds kOverdueAfterReady = 1.5;  // after a restart, for answers that became overdue meanwhile
 constexpr Seconds kOverdueAfterCut = 0.5;    // after a cut, for answers that became overdue meanwhile
 constexpr Seconds kRestartAllowance = 5;     // a restart may take this long before requests are overdue
-constexpr Seconds kReadyTimeout = 6;         // for a restart (the platform's standing test)
+constexpr Seconds kReadyTimeout = 6;         // for a restart, as in the standing test
 constexpr Seconds kExitDetectionTime = 0.3;  // until a process's exit or kill is surely known
 constexpr Seconds kStopTimeout = 5;          // for all relays at the end of the run
 
@@ -51,7 +51,7 @@
 class SocketRun : private PlatformServer::Owner, private RelayProcess::Owner {
  public:
   SocketRun(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options)
-      : s_(scenario),
+      : scenario_(scenario),
         options_(options),
         random_(seed, 5),
         loop_(clock_),
@@ -70,18 +70,19 @@
       CheckClosed(relay, id, may_race_close);
     };
     load_generator_.on_accepted = [this](int relay) { KillAfterAccept(relay); };
-    if (s_.notes) forwarder_ = std::make_unique<DatagramForwarderThread>(s_.relays, s_.links, seed);
+    if (scenario_.notes)
+      forwarder_ = std::make_unique<DatagramForwarderThread>(scenario_.relays, scenario_.links, seed);
     tally_.result().played = "sockets";
-    tally_.result().processes.resize(static_cast<std::size_t>(s_.relays));
+    tally_.result().processes.resize(static_cast<std::size_t>(scenario_.relays));
     for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
       auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
-    for (int i = 0; i < s_.relays; ++i) {
+    for (int i = 0; i < scenario_.relays; ++i) {
       RelayProcess::Options relay_options;
       relay_options.program = options.program;
       relay_options.arguments = options.relay_arguments;
-      if (s_.tier) relay_options.arguments.emplace_back("--tier-shares");
-      if (s_.leave) relay_options.arguments.emplace_back("--tier-zones");
-      relay_options.has_admin_address = !s_.zone_orders.empty();
+      if (scenario_.tier) relay_options.arguments.emplace_back("--tier-shares");
+      if (scenario_.leave) relay_options.arguments.emplace_back("--tier-zones");
+      relay_options.has_admin_address = !scenario_.zone_orders.empty();
       relay_options.folder = options.folder + "/relay" + std::to_string(i);
       std::filesystem::remove_all(relay_options.folder);
       relay_options.config = [this, i](const std::string& listen) { return ConfigOf(i, listen); };
@@ -101,21 +102,21 @@
     endpoints_.Begin(start_);
     platform_server_.Begin(start_);
     load_generator_.Begin(start_);
-    for (const PoolChange& change : s_.pool_changes)
+    for (const PoolChange& change : scenario_.pool_changes)
       loop_.At(start_ + change.at, [this, change] { ChangeList(change); });
-    for (const RudePlan& plan : s_.rude_clients)
+    for (const RudePlan& plan : scenario_.rude_clients)
       loop_.At(start_ + plan.at, [this, plan] {
         stalling_clients_.Connect(plan.relay, RelayAt(plan.relay).address(), plan.kind, plan.count);
       });
-    for (const Cut& cut : s_.links.cuts) ExcuseAllAt(cut.from);
-    for (const ListFault& fault : s_.list_faults) ExcuseAllAt(fault.from);
-    for (const RelayFault& fault : s_.relay_faults)
+    for (const Cut& cut : scenario_.links.cuts) ExcuseAllAt(cut.from);
+    for (const ListFault& fault : scenario_.list_faults) ExcuseAllAt(fault.from);
+    for (const RelayFault& fault : scenario_.relay_faults)
       loop_.At(start_ + fault.at, [this, fault] { ApplyFault(fault); });
-    for (const HandGiven& order : s_.zone_orders)
+    for (const HandGiven& order : scenario_.zone_orders)
       loop_.At(start_ + order.at, [this, order] { SendOverride(order); });
     Tick(loop_.Now());
     SampleSecond(0);
-    const Seconds ends = start_ + EndOf(s_);
+    const Seconds ends = start_ + EndOf(scenario_);
     while (loop_.Now() < ends && !AllDone()) {
       loop_.RunOnce(kTickInterval);
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
@@ -140,7 +141,7 @@
                            {"seed", std::to_string(random_())},
                            {"limits", {{"sockets", 1024}, {"disk_mb", 3}}},
                            {"known", nlohmann::json::parse(platform_server_.FullList(relay))},
-                           {"settings", SettingsJson(s_, relay)}};
+                           {"settings", SettingsJson(scenario_, relay)}};
     if (!forwarder_) return file;
     file["peer_listen"] = net::FormatAddress(forwarder_->RelayAddress(relay));
     for (const sockaddr_in& peer : forwarder_->PeerAddresses())
@@ -149,8 +150,8 @@
   }
 
   void StartRelays() {
-    const Seconds deadline = loop_.Now() + kAllReadyTimeout + kStartInterval * s_.relays;
-    for (int i = 0; i < s_.relays; ++i)  // hundreds at once would compete for the machine's cores
+    const Seconds deadline = loop_.Now() + kAllReadyTimeout + kStartInterval * scenario_.relays;
+    for (int i = 0; i < scenario_.relays; ++i)  // hundreds at once would compete for the machine's cores
       loop_.At(loop_.Now() + kStartInterval * i, [this, i] { StartRelay(i); });
     while (std::any_of(relays_.begin(), relays_.end(), [](const auto& relay) { return !relay->ready(); })) {
       for (const auto& relay : relays_) relay->Poll();
@@ -205,28 +206,29 @@
     ExcuseForCuts(relay);
   }
   Seconds LatestReadyTime(int relay) { return RelayAt(relay).next_start() - start_ + kRestartAllowance; }
-  void OnCrash(int relay, const std::string& how) override {
+  void OnCrash(int relay, const std::string& reason) override {
     if (forwarder_) forwarder_->SetRunning(relay, false);
     auditor_.RelayDied(relay, 0);
     ExcuseForCuts(relay);
     load_generator_.SetBelievedAlive(relay, false);
-    tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, how, RelayAt(relay).LogTail()});
+    tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, reason, RelayAt(relay).LogTail()});
   }
   // While a relay can't reach the platform, its notifications can't arrive, so its requests are not overdue.
   void ExcuseForCuts(int relay) {
-    for (const Cut& cut : s_.links.cuts)
+    for (const Cut& cut : scenario_.links.cuts)
       if (cut.what == Cut::What::kDiscovery) ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.lasts);
-    for (const ListFault& fault : s_.list_faults)
+    for (const ListFault& fault : scenario_.list_faults)
       if (fault.kind == ListFault::Kind::kUnreachable)
         ExcuseWhile(relay, fault.first, fault.last, fault.from, fault.lasts);
   }
-  void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds lasts) {
-    const bool is_active = start_ > 0 && now() >= from && now() < from + lasts;
-    if (is_active && relay >= first && relay <= last) auditor_.Excuse(relay, from + lasts + kOverdueAfterCut);
+  void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds duration) {
+    const bool is_active = start_ > 0 && now() >= from && now() < from + duration;
+    if (is_active && relay >= first && relay <= last)
+      auditor_.Excuse(relay, from + duration + kOverdueAfterCut);
   }
   void ExcuseAllAt(Seconds from) {
     loop_.At(start_ + from, [this] {
-      for (int relay = 0; relay < s_.relays; ++relay) ExcuseForCuts(relay);
+      for (int relay = 0; relay < scenario_.relays; ++relay) ExcuseForCuts(relay);
     });
   }
   // A client's connection has ended after a request was written and without a complete response. The relay is
@@ -253,7 +255,7 @@
       if (line == request_id) return true;
     return false;
   }
-  void OnListingSent(int relay, EndpointId endpoint, EndpointStatus status) override {
+  void OnChangeKnown(int relay, EndpointId endpoint, EndpointStatus status) override {
     if (status != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
   }
   void OnNotification(const std::string& message, bool rejected, Seconds retry_after) override {
@@ -282,11 +284,11 @@
         return;
     }
   }
-  void Freeze(int relay, Seconds lasts) {
+  void Freeze(int relay, Seconds duration) {
     RelayAt(relay).Freeze();
-    tracker_.OnRelayFrozen(relay, now() + lasts);
-    auditor_.Excuse(relay, now() + lasts + kOverdueAfterReady);
-    loop_.At(loop_.Now() + lasts, [this, relay] { RelayAt(relay).Thaw(); });
+    tracker_.OnRelayFrozen(relay, now() + duration);
+    auditor_.Excuse(relay, now() + duration + kOverdueAfterReady);
+    loop_.At(loop_.Now() + duration, [this, relay] { RelayAt(relay).Thaw(); });
   }
   // No request is overdue from the signal until some time after the next process is ready, which OnReady()
   // sets.
@@ -312,7 +314,7 @@
   }
 
   void SendOverride(const HandGiven& order) {
-    nlohmann::json body = {{"zone", s_.zones[static_cast<std::size_t>(order.zone)]},
+    nlohmann::json body = {{"zone", scenario_.zones[static_cast<std::size_t>(order.zone)]},
                            {"order", zone_failover::NameOf(order.what)}};
     if (order.what != zone_failover::OverrideKind::kNone) body["for_s"] = order.lasts;
     RelayAt(order.relay).PostToAdmin("/zones", body.dump());
@@ -322,13 +324,13 @@
     const auto changes = world_.Change(
         change, [this](EndpointId id) { return platform_server_.StatusOf(id); },
         [this] { return DrawUnit(random_); });
-    for (const World::ListChange& c : changes) {
-      if (c.listing == EndpointStatus::kInService)
-        auditor_.Listed(c.endpoint, world_.endpoint(c.endpoint).destination,
-                        world_.endpoint(c.endpoint).lane);
-      platform_server_.Publish(c.endpoint, c.listing);
-      if (c.listing != EndpointStatus::kDraining) continue;
-      loop_.At(loop_.Now() + World::kDrainLasts, [this, id = c.endpoint] {
+    for (const World::ListChange& entry : changes) {
+      if (entry.listing == EndpointStatus::kInService)
+        auditor_.Listed(entry.endpoint, world_.endpoint(entry.endpoint).destination,
+                        world_.endpoint(entry.endpoint).lane);
+      platform_server_.Publish(entry.endpoint, entry.listing);
+      if (entry.listing != EndpointStatus::kDraining) continue;
+      loop_.At(loop_.Now() + World::kDrainLasts, [this, id = entry.endpoint] {
         platform_server_.Publish(id, EndpointStatus::kRemoved);
         endpoints_.Remove(id);
       });
@@ -359,7 +361,7 @@
     loop_.At(start_ + number + 1, [this, number] { SampleSecond(number + 1); });
   }
 
-  bool AllDone() const { return now() > s_.lasts && load_generator_.done() && tracker_.open() == 0; }
+  bool AllDone() const { return now() > scenario_.lasts && load_generator_.done() && tracker_.open() == 0; }
 
   void StopRelays() {
     for (const auto& relay : relays_) relay->Terminate();
@@ -372,26 +374,26 @@
   }
 
   RunResult TakeResult() {
-    RunResult& r = tally_.result();
-    r.breaches = auditor_.breaches();
-    r.client_doubles = auditor_.client_doubles();
-    r.restarts = restarts_;
-    r.lateness_p99 = lateness_.At(0.99);
-    r.lateness_most = max_lateness_;
-    r.answer_time = load_generator_.response_times();
+    RunResult& result = tally_.result();
+    result.breaches = auditor_.breaches();
+    result.client_doubles = auditor_.client_doubles();
+    result.restarts = restarts_;
+    result.lateness_p99 = lateness_.At(0.99);
+    result.lateness_most = max_lateness_;
+    result.answer_time = load_generator_.response_times();
     if (forwarder_) {
       forwarder_->Stop();
-      r.lateness_p99 = std::max(r.lateness_p99, forwarder_->lateness_p99());
-      r.lateness_most = std::max(r.lateness_most, forwarder_->max_lateness());
-      r.notes = forwarder_->forwarded();
-      r.note_bytes = forwarder_->bytes();
+      result.lateness_p99 = std::max(result.lateness_p99, forwarder_->lateness_p99());
+      result.lateness_most = std::max(result.lateness_most, forwarder_->max_lateness());
+      result.notes = forwarder_->forwarded();
+      result.note_bytes = forwarder_->bytes();
     }
-    for (int relay = 0; relay < s_.relays; ++relay) ReadZonePhases(relay);
-    if (r.lateness_p99 > options_.max_lateness_p99 || r.lateness_most > options_.max_lateness)
-      r.void_because = "the laboratory itself was late: 1% of its timers by " +
-                       std::to_string(r.lateness_p99) + " s or more, one by " +
-                       std::to_string(r.lateness_most) + " s";
-    return std::move(r);
+    for (int relay = 0; relay < scenario_.relays; ++relay) ReadZonePhases(relay);
+    if (result.lateness_p99 > options_.max_lateness_p99 || result.lateness_most > options_.max_lateness)
+      result.void_because = "the laboratory itself was late: 1% of its timers by " +
+                            std::to_string(result.lateness_p99) + " s or more, one by " +
+                            std::to_string(result.lateness_most) + " s";
+    return std::move(result);
   }
 
   // Reads the changes of zone phases from the relay's log, in order. Their times are not known.
@@ -407,15 +409,15 @@
     };
     for (std::string line; std::getline(log, line);) {
       if (line.find("zone_phase_changed") == std::string::npos) continue;
-      const auto zone = std::find(s_.zones.begin(), s_.zones.end(), field(line, "zone"));
-      if (zone == s_.zones.end()) continue;
-      tally_.result().stage_changes.push_back({0, relay, static_cast<int>(zone - s_.zones.begin()),
+      const auto zone = std::find(scenario_.zones.begin(), scenario_.zones.end(), field(line, "zone"));
+      if (zone == scenario_.zones.end()) continue;
+      tally_.result().stage_changes.push_back({0, relay, static_cast<int>(zone - scenario_.zones.begin()),
                                                std::strtoull(field(line, "round").c_str(), nullptr, 10),
                                                field(line, "phase"), field(line, "from_peer") == "true"});
     }
   }
 
-  const Scenario s_;
+  const Scenario scenario_;
   const SocketOptions options_;
   pcg32 random_;
   const net::SystemClock clock_;
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -65,7 +65,7 @@
       return connection_->CloseWhenWritten();
     }
     connection_->Write(line);
-    ReportSent(since);
+    ReportChangesKnown(since);
     ScheduleKeepAlive();
   }
 
@@ -98,7 +98,7 @@
       return server_.sessions_.Drop(*this);
     if (request.target.find("follow=1") == std::string::npos) {
       Write(200, server_.FullList(relay_) + "\n");
-      return ReportSent(0);
+      return ReportChangesKnown(0);
     }
     if (server_.FindActiveFault(relay_, ListFault::Kind::kBusy) != nullptr) {
       timer_ = server_.loop_.At(server_.loop_.Now() + kBusyDelay, [this] {
@@ -118,13 +118,13 @@
       connection_->Write(Chunk(server_.OutdatedList(relay_) + "\n"));
     if (generation >= 1 && generation <= view.visible_changes + 1) return SendChanges(generation - 1);
     connection_->Write(Chunk(server_.FullList(relay_) + "\n"));
-    ReportSent(0);
+    ReportChangesKnown(0);
     ScheduleKeepAlive();
   }
-  void ReportSent(std::size_t since) {
+  void ReportChangesKnown(std::size_t since) {
     const RelayView& view = server_.views_[static_cast<std::size_t>(relay_)];
     for (std::size_t i = since; i < view.visible_changes; ++i)
-      server_.owner_.OnListingSent(relay_, server_.changes_[i].endpoint, server_.changes_[i].status);
+      server_.owner_.OnChangeKnown(relay_, server_.changes_[i].endpoint, server_.changes_[i].status);
   }
   void TakeNotifications(const std::string& body) {
     std::istringstream lines(body);
@@ -226,10 +226,10 @@
   }
 }
 
-void PlatformServer::StopListening(int relay, net::Seconds lasts) {
+void PlatformServer::StopListening(int relay, net::Seconds duration) {
   listeners_[static_cast<std::size_t>(relay)].reset();
   for (Session* session : SessionsOf(relay)) sessions_.Drop(*session);
-  loop_.At(loop_.Now() + lasts, [this, relay] {
+  loop_.At(loop_.Now() + duration, [this, relay] {
     if (!listeners_[static_cast<std::size_t>(relay)]) Listen(relay);
   });
 }
@@ -269,7 +269,7 @@
   const Seconds now = loop_.Now();
   if (!IsReachable(relay)) reachable_since = now;
   if (now >= reachable_since + kReportTimeout)
-    return owner_.OnListingSent(relay, changes_[change].endpoint, changes_[change].status);
+    return owner_.OnChangeKnown(relay, changes_[change].endpoint, changes_[change].status);
   loop_.At(now + kCutPollInterval,
            [this, relay, change, reachable_since] { ReportAfterTimeout(relay, change, reachable_since); });
 }
@@ -281,14 +281,14 @@
 }
 
 std::string PlatformServer::InstanceJson(EndpointId id, EndpointStatus status, int relay) const {
-  const PartnerEndpoint& e = world_.endpoint(id);
+  const PartnerEndpoint& endpoint = world_.endpoint(id);
   const nlohmann::json row = {{"instanceId", "e" + std::to_string(id)},
                               {"hostPort", address_of_(id, relay)},
-                              {"zone", world_.scenario().zones[static_cast<std::size_t>(e.zone)]},
-                              {"machineType", e.kind == 1 ? "apart" : "plain"},
-                              {"cell", e.destination},
+                              {"zone", world_.scenario().zones[static_cast<std::size_t>(endpoint.zone)]},
+                              {"machineType", endpoint.kind == 1 ? "apart" : "plain"},
+                              {"cell", endpoint.destination},
                               {"lifecycle", StatusName(status)},
-                              {"weight", e.rating},
+                              {"weight", endpoint.rating},
                               {"startedAtMs", 0}};
   return row.dump();
 }
--- a/lab/sockets/registry.h
+++ b/lab/sockets/registry.h
@@ -24,8 +24,8 @@
   class Owner {
    public:
     virtual ~Owner() = default;
-    // A change was sent to the relay, or the relay could have fetched it for some time.
-    virtual void OnListingSent(int relay, EndpointId endpoint, EndpointStatus status) = 0;
+    // The relay counts as knowing of a change: it was sent to it, or could have been fetched for some time.
+    virtual void OnChangeKnown(int relay, EndpointId endpoint, EndpointStatus status) = 0;
     // `rejected`: the client may retry, after `retry_after` if that is above 0. Otherwise the message has
     // failed.
     virtual void OnNotification(const std::string& message, bool rejected, Seconds retry_after) = 0;
@@ -61,7 +61,7 @@
   const ListFault* FindActiveFault(int relay, ListFault::Kind kind) const;
   bool IsReachable(int relay) const;
   void Listen(int relay);
-  void StopListening(int relay, net::Seconds lasts);
+  void StopListening(int relay, net::Seconds duration);
   void ReportAfterTimeout(int relay, std::size_t change, net::Seconds reachable_since);
   std::vector<Session*> SessionsOf(int relay) const;
   std::vector<Session*> WatchesOf(int relay) const;
--- a/lab/sockets/relay_process.h
+++ b/lab/sockets/relay_process.h
@@ -33,7 +33,7 @@
     virtual void OnExit(int) {}    // the process has exited after Terminate()
     virtual void OnKilled(int) {}  // the process was killed by Kill()
     // The process has exited without having been told to, or was not ready in time. It is not restarted.
-    virtual void OnCrash(int relay, const std::string& how) = 0;
+    virtual void OnCrash(int relay, const std::string& reason) = 0;
   };
   struct Options {
     std::string program;                 // path of the relay's executable
--- a/tests/lab/registry_test.cpp
+++ b/tests/lab/registry_test.cpp
@@ -18,7 +18,7 @@
 // answers them even while its list is unavailable.
 TEST_CASE("lab: notifications are answered while requests for the list are refused") {
   struct NotificationCounter : PlatformServer::Owner {
-    void OnListingSent(int, EndpointId, EndpointStatus) override {}
+    void OnChangeKnown(int, EndpointId, EndpointStatus) override {}
     void OnNotification(const std::string&, bool, Seconds) override { ++notifications; }
     int notifications = 0;
   } owner;
