--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 const net::HttpBounds kBounds{16 * 1024, 64, 1 << 20};
-constexpr net::Seconds kCutPollInterval = 0.02;  // at which the start and end of cuts is noticed
+constexpr net::Seconds kCutPollInterval = 0.02;  // cuts may flap, so their state is polled
 
 void CloseWithReset(int fd) {
   const linger no_linger{1, 0};
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -76,7 +76,7 @@
 void MessageTracker::OnNotification(Seconds now, std::uint64_t id, Notification notification,
                                     Seconds retry_after) {
   Submission* submission = Find(id);
-  // A killed relay repeats notifications that it may not have delivered, which the protocol allows.
+  // A killed relay repeats notifications that it may not have delivered; the protocol calls that harmless.
   if (submission == nullptr || submission->ended) return;
   if (submission->found_untried && submission->attempts == 0 &&
       now < TimeAtShare(submission->message, kEarlyShare))
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -35,8 +35,8 @@
 constexpr Seconds kOverdueAfterReady = 1.5;  // after a restart, for answers that became overdue meanwhile
 constexpr Seconds kOverdueAfterCut = 0.5;    // after a cut, for answers that became overdue meanwhile
 constexpr Seconds kRestartAllowance = 5;     // a restart may take this long before requests are overdue
-constexpr Seconds kReadyTimeout = 6;         // for a restart, as in the standing test
-constexpr Seconds kExitDetectionTime = 0.3;  // until a process's exit or kill is surely known
+constexpr Seconds kReadyTimeout = 6;         // for a restart in a short run, as in the standing test
+constexpr Seconds kExitDetectionTime = 0.3;  // after which a process's exit is surely known
 constexpr Seconds kStopTimeout = 5;          // for all relays at the end of the run
 
 Auditor::Rules RulesOf(const Scenario& scenario) {
