--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -107,19 +107,19 @@
   cut.lasts = 1e6;
   plan.cuts.push_back(cut);
   Seconds now = 0;
-  Post forwarder(loop, 3, plan, 1, [&now] { return now; });
-  const std::vector<sockaddr_in> peers = forwarder.Peers();
+  DatagramForwarder forwarder(loop, 3, plan, 1, [&now] { return now; });
+  const std::vector<sockaddr_in> peers = forwarder.PeerAddresses();
   std::vector<std::string> received;
   int refused = 0;
   net::DatagramSocket first(
-      loop, forwarder.ListenOf(0), 256, [](const sockaddr_in&, const std::string&) {},
+      loop, forwarder.RelayAddress(0), 256, [](const sockaddr_in&, const std::string&) {},
       [&](const sockaddr_in& to) { refused += to.sin_port == peers[2].sin_port; });
-  net::DatagramSocket second(loop, forwarder.ListenOf(1), 256,
+  net::DatagramSocket second(loop, forwarder.RelayAddress(1), 256,
                              [&](const sockaddr_in& from, const std::string& bytes) {
                                received.push_back((from.sin_port == peers[0].sin_port ? "0:" : "?:") + bytes);
                              });
-  forwarder.SetThere(0, true);
-  forwarder.SetThere(1, true);
+  forwarder.SetRunning(0, true);
+  forwarder.SetRunning(1, true);
   const auto run_until = [&](const std::function<bool()>& condition) {
     for (int i = 0; i < 2000 && !condition(); ++i) loop.RunOnce(0.005);
     return condition();
@@ -131,7 +131,7 @@
   CHECK(run_until([&] { return refused == 1; }));
   now = 20;  // relay 0 is cut off from all others
   first.Send(peers[1], "two");
-  forwarder.SetThere(2, false);
+  forwarder.SetRunning(2, false);
   first.Send(peers[2], "nobody");
   first.Send(peers[1], "three");
   for (int i = 0; i < 20; ++i) loop.RunOnce(0.005);
