--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -160,14 +160,14 @@
   }
 
   void Start(int relay) {
-    Operator settings;
+    OperatorSettings settings;
     using Carrier = LearningRun::Carrier;
-    if (run_.carrier == Carrier::kNotes) settings.learn.notes = true;
+    if (run_.carrier == Carrier::kNotes) settings.state_transfer.use_datagrams = true;
     if (run_.carrier == Carrier::kTcp && relay == 0)
-      settings.learn.listen = *net::ParseAddress("127.0.0.1:0");
+      settings.state_transfer.listen = *net::ParseAddress("127.0.0.1:0");
     if (run_.carrier == Carrier::kTcp && relay == 1)
-      settings.learn.from = {*relays_[0]->state_transfer()->snapshot_address()};
-    if (run_.carrier == Carrier::kState) settings.learn.state = true;
+      settings.state_transfer.donors = {*relays_[0]->state_transfer()->snapshot_address()};
+    if (run_.carrier == Carrier::kState) settings.state_transfer.use_state_folder = true;
     configs_.push_back(std::make_unique<Config>(ConfigOf(relay)));
     if (run_.carrier == Carrier::kState && relay == 1 && fs::exists(folder_ + "/0/learned"))
       fs::copy_file(folder_ + "/0/learned", folder_ + "/1/learned");  // as if it were this one's earlier life
--- a/lab/experiments/snapshot_table.cpp
+++ b/lab/experiments/snapshot_table.cpp
@@ -143,7 +143,7 @@
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid()))).string();
   std::filesystem::create_directories(folder);
-  const state_transfer::SnapshotFile file(folder, Limits().learn_file_bytes);
+  const state_transfer::SnapshotFile file(folder, Limits().snapshot_file_bytes);
   file.Save("n1", 0, lanes);
   const std::size_t saved = file.Load().routes.size();
   std::filesystem::remove_all(folder);
@@ -152,7 +152,7 @@
       "%zu "
       "where routes are apart and each is named; in the state folder's file, of half of %zu bytes: %zu named "
       "ones\n",
-      state_transfer::kMaxDatagramBytes, whole, apart, Limits().learn_file_bytes, saved);
+      state_transfer::kMaxDatagramBytes, whole, apart, Limits().snapshot_file_bytes, saved);
 }
 
 }  // namespace
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -47,7 +47,7 @@
     settings_.dns.servers = {server_.address()};
     if (lifetime > 0) settings_.srv_names = {{"_api._tcp.example", kDestination}};
     for (int machine = 0; machine < 256; ++machine)
-      settings_.srv_own.emplace_back(kDestination, AddressOf(machine));
+      settings_.own_addresses.emplace_back(kDestination, AddressOf(machine));
     for (next_ = 0; next_ < kEndpoints; ++next_) serving_.push_back(next_);
     PublishZone();
     pool_ = std::make_unique<MergedEndpointSource>(loop_, config_, settings_,
@@ -141,7 +141,7 @@
   net::EventLoop loop_;
   NameServer server_;
   Config config_;
-  Operator settings_;
+  OperatorSettings settings_;
   std::vector<int> serving_;
   int next_ = 0;
   std::map<std::string, double> left_at_, came_at_;
@@ -164,7 +164,7 @@
   net::EventLoop loop(clock);
   NameServer server(loop);
   Config config;
-  Operator settings;
+  OperatorSettings settings;
   Nobody nobody;
   settings.dns.servers = {server.address()};
   NameServer::Entry host;
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -368,8 +368,8 @@
     ReadScenarioWith(what, {});
     std::printf("the scenario is sound\n");
     return 0;
-  } catch (const opalroute::config::Faults& faults) {
-    for (const std::string& fault : faults.all()) std::fprintf(stderr, "%s\n", fault.c_str());
+  } catch (const opalroute::config::FieldErrors& faults) {
+    for (const std::string& fault : faults.messages()) std::fprintf(stderr, "%s\n", fault.c_str());
   } catch (const std::exception& error) {
     std::fprintf(stderr, "%s\n", error.what());
   }
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -12,14 +12,14 @@
 
 namespace {
 
-using config::Collector;
+using config::ErrorCollector;
 using config::FieldError;
 using nlohmann::json;
 
 // Reads one object: each key once, and at the end those that nobody asked for are faults.
 class Reader {
  public:
-  Reader(const json& object, std::string path, Collector& faults)
+  Reader(const json& object, std::string path, ErrorCollector& faults)
       : object_(object), path_(std::move(path)), faults_(faults) {
     if (!object_.is_object()) Fault("", "must be an object");
   }
@@ -115,7 +115,7 @@
 
   const json& object_;
   const std::string path_;
-  Collector& faults_;
+  ErrorCollector& faults_;
   std::set<std::string> known_;
 };
 
@@ -397,7 +397,7 @@
 
 Scenario ReadScenario(const json& file) {
   Scenario s;
-  Collector faults;
+  ErrorCollector faults;
   s.settings = DefaultSettings();
   {
     Reader root(file, "", faults);
@@ -422,7 +422,7 @@
     CheckShares(root, "classes", s.classes);
     CheckShares(root, "tenants", s.tenants);
   }
-  faults.Throw();
+  faults.ThrowIfAny();
   s.settings.relay_count = s.relays;
   s.settings.may_gossip = s.notes;
   s.settings.kinds = {{false, 1}, {true, s.partners.bundle}};
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -153,7 +153,7 @@
 // When a run of it ends at the latest: its arrivals, the longest deadline, and some seconds for what is late.
 Seconds EndOf(const Scenario& scenario);
 
-// Throws config::Faults, one line a fault.
+// Throws config::FieldErrors, one line a fault.
 Scenario ReadScenario(const nlohmann::json& json);
 // Throws config::FieldError if there is no such file, or no JSON in it.
 nlohmann::json ReadScenarioFile(const std::string& path);
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -11,12 +11,12 @@
 
 net::ServerBounds BoundsOf(const Limits& limits) {
   net::ServerBounds bounds = ServerBoundsOf(limits);
-  bounds.http.body_bytes = limits.name_bytes;
-  bounds.response_bytes = limits.admin_bytes;
+  bounds.http.body_bytes = limits.identifier_bytes;
+  bounds.response_bytes = limits.admin_response_bytes;
   bounds.connections = limits.admin_connections;
   bounds.reject_connections = 0;
   bounds.requests_per_turn = 1;
-  bounds.first_request_timeout = limits.request_time;
+  bounds.first_request_timeout = limits.request_timeout;
   return bounds;
 }
 
@@ -41,7 +41,7 @@
   const Command* command = FindByPath(commands_, path);
   if (request.method == "POST" && command != nullptr) return command->run(request.body);
   const Page* page = FindByPath(pages_, path);
-  if (request.method != "GET" || page == nullptr) return net::PlainTextResponse(404, "there is no such page");
+  if (request.method != "GET" || page == nullptr) return net::PlainTextResponse(404, "no such page");
   return {200, {{"Content-Type", "application/json"}}, page->print() + "\n", 0};
 }
 
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,4 +1,4 @@
-// The admin pages of a running relay (`--admin-listen`), on an address of their own that clients can't reach.
+// The admin pages of a running relay (`--admin-listen`), on an address separate from that for clients.
 #pragma once
 
 #include <functional>
@@ -12,12 +12,12 @@
 
 class AdminServer : private net::HttpServer::Handler {
  public:
-  // Answers GET of `path` with the JSON text that `print` returns.
+  // GET of `path` is answered with the JSON text that `print` returns.
   struct Page {
     std::string path;
     std::function<std::string()> print;
   };
-  // Answers POST of `path`, with the request's body, as `run` does.
+  // POST of `path` is answered with what `run` returns for the request's body.
   struct Command {
     std::string path;
     std::function<net::HttpResponse(const std::string& body)> run;
--- a/src/admin/operations_server.cpp
+++ b/src/admin/operations_server.cpp
@@ -8,18 +8,18 @@
 
 net::ServerBounds BoundsOf(const Limits& limits) {
   net::ServerBounds bounds;
-  bounds.http = {limits.head_bytes, limits.header_count, limits.name_bytes};
-  bounds.response_bytes = limits.door_answer_bytes;
-  bounds.connections = limits.door_connections;
+  bounds.http = {limits.head_bytes, limits.header_count, limits.identifier_bytes};
+  bounds.response_bytes = limits.ops_response_bytes;
+  bounds.connections = limits.ops_connections;
   bounds.requests_per_turn = 1;
-  bounds.first_request_timeout = limits.door_time;
-  bounds.silent_timeout = limits.client_silent;
-  bounds.linger_timeout = limits.door_linger;
+  bounds.first_request_timeout = limits.ops_request_timeout;
+  bounds.silent_timeout = limits.client_silent_timeout;
+  bounds.linger_timeout = limits.ops_linger_timeout;
   bounds.linger_bytes = limits.head_bytes;
   return bounds;
 }
 
-// Removes `prefix` from the front of `text` if it stands there.
+// Removes `prefix` from the front of `text`. Returns false if `text` does not begin with it.
 bool RemovePrefix(std::string_view& text, std::string_view prefix) {
   if (text.substr(0, prefix.size()) != prefix) return false;
   text.remove_prefix(prefix.size());
@@ -59,7 +59,7 @@
     case CommandResult::kUnknownEndpoint:
       return net::PlainTextResponse(404, "endpoint " + id + " was never listed");
     case CommandResult::kNotPersisted:
-      return net::PlainTextResponse(507, "nothing changed: the state folder can't be written");
+      return net::PlainTextResponse(507, "not changed: the state folder can't be written");
     case CommandResult::kDone:
       break;
   }
--- a/src/admin/operations_server.h
+++ b/src/admin/operations_server.h
@@ -1,5 +1,5 @@
-// The operators' HTTP interface (`ops` of the configuration, EDGE_OPS), on an address of its own. It answers
-// one request a connection, however busy the relay is with clients:
+// The operators' HTTP interface (`ops` of the configuration, EDGE_OPS), on an address of its own. It
+// answers one request per connection, however busy the relay is with clients:
 //   GET  /v1/readyz                200 if the relay accepts clients, else 503
 //   GET  /v1/metrics               lines of `name=number`
 //   POST /v1/endpoints/ID/suspend  200; 404 for an id that was never listed; 507 if it can't be stored
@@ -16,7 +16,7 @@
 
 enum class CommandResult {
   kDone,
-  kUnknownEndpoint,  // no endpoint list has named it
+  kUnknownEndpoint,  // no endpoint list has contained it since the process started
   kNotPersisted      // the state folder can't be written; nothing has changed
 };
 
--- a/src/admin/suspended_endpoints.cpp
+++ b/src/admin/suspended_endpoints.cpp
@@ -26,14 +26,14 @@
   RetryTransientErrors(Path(kFile), [this] { return Read(ids_); });
 }
 
-// Every write makes a new file, so its inode or its time differs.
+// Every write creates a new file, so its inode number or its modification time differs.
 bool SuspendedEndpoints::HasChanged(const struct stat& now) const {
   return now.st_ino != last_read_.st_ino || now.st_mtim.tv_sec != last_read_.st_mtim.tv_sec ||
          now.st_mtim.tv_nsec != last_read_.st_mtim.tv_nsec;
 }
 
-// Invariant: a file that can't be read now, for want of descriptors say, leaves `ids` as they are. Were it
-// taken as empty, suspended endpoints would get requests.
+// If the file can't be read, such as for lack of descriptors, the caller must keep the ids it has: if the
+// file counted as empty, suspended endpoints would get requests.
 bool SuspendedEndpoints::Read(std::set<std::string>& ids) {
   struct stat now {};
   if (stat(Path(kFile).c_str(), &now) != 0) {
@@ -69,7 +69,7 @@
   if (!Read(ids)) return false;
   const bool differs = suspended ? ids.insert(id).second : ids.erase(id) > 0;
   if (differs && !Save(ids)) {
-    last_read_ = {};  // what another process may have written is to be read again
+    last_read_ = {};  // so that the next call reads the file again
     return false;
   }
   ids_ = std::move(ids);
--- a/src/admin/suspended_endpoints.h
+++ b/src/admin/suspended_endpoints.h
@@ -1,8 +1,8 @@
 // Endpoints that operators have suspended, in a file that outlives the process.
 //
-// The file `bans` holds one endpoint id a line, sorted, each line with its end; it is replaced as a whole.
-// The empty file `bans.lock` is locked while one of two processes changes it. A later version must go on
-// reading `bans`.
+// The file `bans` holds one endpoint id a line, sorted, each line ended by a newline; it is replaced
+// atomically. The empty file `bans.lock` is locked while one of the relay's two processes changes `bans`.
+// Later versions must be able to read `bans`.
 #pragma once
 
 #include <sys/stat.h>
@@ -22,16 +22,17 @@
   const std::set<std::string>& ids() const { return ids_; }
   bool Has(const std::string& id) const { return ids_.count(id) > 0; }
 
-  // Suspends or resumes an endpoint. Returns true once that is stored, also if it was so before; false if it
-  // can't be stored, and nothing has changed. Another process may change the file at the same time.
+  // Suspends or resumes an endpoint. Returns true once that is stored, also if nothing had to change; false
+  // if it can't be stored, and then nothing has changed. Another process may change the file at the same
+  // time.
   bool SetSuspended(const std::string& id, bool suspended);
 
-  // Reads what another process has written since; returns true if the ids differ from before.
+  // Reads what another process has written. Returns true if the ids have changed.
   bool Refresh();
 
  private:
-  // Reads the file if it has changed since it was read last. Returns false, with errno set, if it exists and
-  // can't be read.
+  // Reads the file into `ids` if it has changed since it was last read or written. Returns false, with errno
+  // set, if it exists but can't be read.
   bool Read(std::set<std::string>& ids);
   bool Save(const std::set<std::string>& ids);
   bool HasChanged(const struct stat& now) const;
@@ -40,7 +41,7 @@
   const std::string folder_;
   const std::size_t max_bytes_;
   std::set<std::string> ids_;
-  struct stat last_read_ {};  // of the file when it was read or written last
+  struct stat last_read_ {};  // of the file when it was last read or written
 };
 
 }  // namespace opalroute::admin
--- a/src/admin/zone_command.cpp
+++ b/src/admin/zone_command.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-void CheckKeys(const nlohmann::json& json) {
+void RejectUnknownKeys(const nlohmann::json& json) {
   for (const auto& [key, value] : json.items()) {
     if (key != "zone" && key != "order" && key != "for_s")
       throw config::FieldError("unknown field '" + key + "'");
@@ -19,17 +19,17 @@
 
 ZoneCommand ParseZoneCommand(const std::string& body) {
   const nlohmann::json json = nlohmann::json::parse(body, nullptr, false);
-  if (json.is_discarded()) throw config::FieldError("the body is no JSON");
+  if (json.is_discarded()) throw config::FieldError("the body is not valid JSON");
   ZoneCommand command;
   command.zone = config::Get<std::string>(json, "zone");
   const auto kind = zone_failover::OverrideKindOf(config::Get<std::string>(json, "order"));
-  if (!kind) throw config::FieldError("field 'order' is none of leave, keep, none");
+  if (!kind) throw config::FieldError("field 'order' must be leave, keep or none");
   command.override_kind = *kind;
-  CheckKeys(json);
+  RejectUnknownKeys(json);
   if (command.override_kind == zone_failover::OverrideKind::kNone) return command;
   command.duration = config::Get<double>(json, "for_s");
   if (!(command.duration > 0 && command.duration <= zone_failover::OperatorOverrides::kMaxDuration))
-    throw config::FieldError("field 'for_s' is not above 0 and 86400 at most");
+    throw config::FieldError("field 'for_s' must be above 0 and at most 86400");
   return command;
 }
 
--- a/src/admin/zone_command.h
+++ b/src/admin/zone_command.h
@@ -1,6 +1,6 @@
-// Operators' commands for zones, as POST /zones on --admin-listen brings them:
+// Operators' commands for zones, received as POST /zones on --admin-listen:
 //   {"zone": "first", "order": "leave", "for_s": 600}
-// `order` is leave, keep, or none, which revokes the command in force and has no `for_s`.
+// `order` is leave, keep, or none, which revokes the override in force and needs no `for_s`.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 struct ZoneCommand {
   std::string zone;
   zone_failover::OverrideKind override_kind{};
-  Seconds duration = 0;  // above 0, a day at most; without meaning for OverrideKind::kNone
+  Seconds duration = 0;  // above 0, at most a day; unused with OverrideKind::kNone
 };
 
-// Throws config::FieldError, which names the key that is wrong.
+// Throws config::FieldError, which names the invalid key.
 ZoneCommand ParseZoneCommand(const std::string& body);
 
 // Parses `body` and hands the command to `apply`, which returns whether the zone exists. Answers 200, 400
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -1,4 +1,4 @@
-// The program's command line: what it is asked to do, and the operators' settings.
+// The command line of the relay program: the command and the operators' settings.
 #pragma once
 
 #include <string>
@@ -12,26 +12,28 @@
 
 enum class Command { kRun, kCheck, kSnapshot, kPool, kZones };
 
-struct Order {
+// What the command line asks for.
+struct Invocation {
   Command command = Command::kRun;
-  Operator settings;
-  std::vector<std::string> faults;  // of the operators' settings, one a line
-  std::string snapshot_of;          // an address or a state folder
-  std::string pool_of;              // an address, or nothing
+  OperatorSettings settings;
+  std::vector<std::string> errors;  // in the operators' settings
+  std::string snapshot_source;      // an address or a state folder
+  std::string pool_source;          // an address, or empty
   ZoneCommand zones;
   bool as_json = false;
 };
 
-// Reads the command line. With no argument it asks for a run, as the platform starts it. Prints help, the
-// version or what is wrong with the line itself; `exit_code` is then set and nothing else counts.
 struct Parsed {
-  Order order;
-  bool exits = false;
-  int exit_code = 0;
+  Invocation invocation;
+  // The help, the version or a usage error was printed: the program ends with `exit_status`, and `invocation`
+  // has no meaning.
+  bool should_exit = false;
+  int exit_status = 0;
 };
+// Parses the command line. Without arguments, as the platform starts the program, the command is kRun.
 Parsed Parse(int argc, const char* const* argv, const config::Environment& environment);
 
-// `opalroute check`: prints every fault with its key. Returns the exit status: 0 sound, 2 faults.
-int Check(const Order& order, const config::Environment& environment);
+// `opalroute check`: prints every error with its key. Returns the exit status: 0 valid, 2 errors.
+int Check(const Invocation& invocation, const config::Environment& environment);
 
 }  // namespace opalroute::cli
--- a/src/cli/operator_options.cpp
+++ b/src/cli/operator_options.cpp
@@ -21,49 +21,51 @@
 constexpr const char* kDefaultFile = "deploy/operator.json";
 constexpr const char* kFileVariable = "OPALROUTE_OPERATOR_FILE";
 
-enum class Form { kText, kYesNo, kNumber, kTexts };  // in the file; elsewhere all are texts
+// The JSON type in the operators' file. Flags and variables are always text.
+enum class Type { kString, kBool, kNumber, kStrings };
 
-// Returns what was expected, or nothing if the value is sound and was taken.
-using Take = std::function<std::string(Operator&, const std::string& value)>;
+// Stores a value in the settings. Returns what is expected instead if the value is invalid, else an empty
+// string.
+using Setter = std::function<std::string(OperatorSettings&, const std::string& value)>;
 
 struct Setting {
   const char* key;
-  Form form;
+  Type type;
   const char* help;
-  Take take;
+  Setter set;
 };
 
-std::string TakeYesNo(bool& to, const std::string& value) {
+std::string SetBool(bool& to, const std::string& value) {
   if (value != "true" && value != "false") return "true or false";
   to = value == "true";
   return {};
 }
 
-std::string TakeNumber(double& to, const std::string& value, double least, double most, double unit) {
+std::string SetNumber(double& to, const std::string& value, double min, double max, double unit) {
   char* end = nullptr;
   const double number = std::strtod(value.c_str(), &end);
-  if (value.empty() || *end != '\0' || !std::isfinite(number) || number < least || number > most)
-    return "a number from " + json(least).dump() + " to " + json(most).dump();
+  if (value.empty() || *end != '\0' || !std::isfinite(number) || number < min || number > max)
+    return "a number from " + json(min).dump() + " to " + json(max).dump();
   to = number * unit;
   return {};
 }
 
-std::string TakeAddresses(std::vector<sockaddr_in>& to, const std::string& value) {
+std::string SetAddresses(std::vector<sockaddr_in>& to, const std::string& value) {
   to.clear();
   for (const std::string& text : CLI::detail::split(value, ',')) {
     const auto address = net::ParseAddress(text);
-    if (!address || address->sin_port == 0) return "addresses like 127.0.0.1:80, apart by commas";
+    if (!address || address->sin_port == 0) return "addresses like 127.0.0.1:80, separated by commas";
     to.push_back(*address);
   }
   return {};
 }
 
-std::string TakeAddress(std::optional<sockaddr_in>& to, const std::string& value) {
+std::string SetAddress(std::optional<sockaddr_in>& to, const std::string& value) {
   to = net::ParseAddress(value);
   return to ? "" : "an address like 127.0.0.1:80";
 }
 
-std::optional<long long> DestinationIn(const std::string& text) {
+std::optional<long long> ParseDestination(const std::string& text) {
   char* end = nullptr;
   errno = 0;
   const long long number = std::strtoll(text.c_str(), &end, 10);
@@ -71,40 +73,40 @@
   return number;
 }
 
-// NAME=DESTINATION, apart by commas.
-std::string TakeNames(std::vector<std::pair<std::string, long long>>& to, const std::string& value) {
-  constexpr const char* kForm =
-      "names like _api._tcp.partner.example=7, apart by commas, each destination once";
+// `value`: NAME=DESTINATION pairs, separated by commas.
+std::string SetSrvNames(std::vector<std::pair<std::string, long long>>& to, const std::string& value) {
+  constexpr const char* kExpected =
+      "names like _api._tcp.partner.example=7, separated by commas, each destination once";
   to.clear();
   std::set<long long> seen;
   for (const std::string& text : CLI::detail::split(value, ',')) {
     const std::size_t equals = text.find('=');
     const auto destination =
-        equals == std::string::npos ? std::nullopt : DestinationIn(text.substr(equals + 1));
+        equals == std::string::npos ? std::nullopt : ParseDestination(text.substr(equals + 1));
     const auto name = dns::Name::Parse(text.substr(0, equals));
-    if (!destination || !name || name->root() || !seen.insert(*destination).second) return kForm;
+    if (!destination || !name || name->root() || !seen.insert(*destination).second) return kExpected;
     to.emplace_back(text.substr(0, equals), *destination);
   }
   return {};
 }
 
-// DESTINATION=ADDRESS, apart by commas.
-std::string TakeOwn(std::vector<std::pair<long long, sockaddr_in>>& to, const std::string& value) {
+// `value`: DESTINATION=ADDRESS pairs, separated by commas.
+std::string SetOwnAddresses(std::vector<std::pair<long long, sockaddr_in>>& to, const std::string& value) {
   to.clear();
   for (const std::string& text : CLI::detail::split(value, ',')) {
     const std::size_t equals = text.find('=');
-    const auto destination = DestinationIn(text.substr(0, equals));
+    const auto destination = ParseDestination(text.substr(0, equals));
     const auto address =
         equals == std::string::npos ? std::nullopt : net::ParseAddress(text.substr(equals + 1));
     if (!destination || !address || address->sin_port == 0)
-      return "entries like 7=127.0.0.1:80, apart by commas";
+      return "entries like 7=127.0.0.1:80, separated by commas";
     to.emplace_back(*destination, *address);
   }
   return {};
 }
 
 template <typename... Words>
-std::string TakeWord(std::string& to, const std::string& value, Words... words) {
+std::string SetOneOf(std::string& to, const std::string& value, Words... words) {
   if (((value != words) && ...)) {
     std::string all;
     ((all += (all.empty() ? "" : ", ") + std::string(words)), ...);
@@ -116,49 +118,59 @@
 
 const std::vector<Setting>& Settings() {
   static const std::vector<Setting> settings = {
-      {"log.format", Form::kText, "text or json",
-       [](Operator& o, const std::string& v) {
+      {"log.format", Type::kString, "text or json",
+       [](OperatorSettings& s, const std::string& v) {
          std::string word;
-         const std::string wrong = TakeWord(word, v, "text", "json");
-         o.log_json = word == "json";
-         return wrong;
+         const std::string expected = SetOneOf(word, v, "text", "json");
+         s.log_json = word == "json";
+         return expected;
        }},
-      {"log.level", Form::kText, "debug, info, warn or error",
-       [](Operator& o, const std::string& v) {
-         return TakeWord(o.log_level, v, "debug", "info", "warn", "error");
+      {"log.level", Type::kString, "debug, info, warn or error",
+       [](OperatorSettings& s, const std::string& v) {
+         return SetOneOf(s.log_level, v, "debug", "info", "warn", "error");
        }},
-      {"learn.listen", Form::kText, "address where other instances may fetch what this one has learnt",
-       [](Operator& o, const std::string& v) { return TakeAddress(o.learn.listen, v); }},
-      {"learn.from", Form::kTexts, "addresses of running instances to learn from at the start",
-       [](Operator& o, const std::string& v) { return TakeAddresses(o.learn.from, v); }},
-      {"learn.notes", Form::kYesNo, "ask peers by datagrams at the start, and answer theirs",
-       [](Operator& o, const std::string& v) { return TakeYesNo(o.learn.notes, v); }},
-      {"learn.state", Form::kYesNo, "keep what was learnt in the state folder for the next start",
-       [](Operator& o, const std::string& v) { return TakeYesNo(o.learn.state, v); }},
-      {"learn.time_ms", Form::kNumber, "longest that readiness waits for running instances; 10 to 10000",
-       [](Operator& o, const std::string& v) { return TakeNumber(o.learn.time, v, 10, 10000, 1e-3); }},
-      {"learn.longest_wait_s", Form::kNumber, "longest that a wait by hearsay holds; 0 to 3600",
-       [](Operator& o, const std::string& v) { return TakeNumber(o.learn.longest_wait, v, 0, 3600, 1); }},
-      {"tier.shares", Form::kYesNo, "parts of limits follow how many relays of the tier are there",
-       [](Operator& o, const std::string& v) { return TakeYesNo(o.tier.shares, v); }},
-      {"tier.zones", Form::kYesNo, "leave failing zones, and return to them, together with the tier",
-       [](Operator& o, const std::string& v) { return TakeYesNo(o.tier.zones, v); }},
-      {"admin.listen", Form::kText,
-       "address where operators may ask a running relay (GET /pool, /counters, /zones)",
-       [](Operator& o, const std::string& v) { return TakeAddress(o.admin_listen, v); }},
-      {"dns.server", Form::kTexts, "addresses of recursive name servers",
-       [](Operator& o, const std::string& v) { return TakeAddresses(o.dns.servers, v); }},
-      {"dns.least_lifetime_s", Form::kNumber, "an answer is kept so long at least; 0.1 to 3600",
-       [](Operator& o, const std::string& v) { return TakeNumber(o.dns.least_lifetime, v, 0.1, 3600, 1); }},
-      {"dns.most_lifetime_s", Form::kNumber, "and so long at most; 1 to 86400",
-       [](Operator& o, const std::string& v) { return TakeNumber(o.dns.most_lifetime, v, 1, 86400, 1); }},
-      {"dns.stale_s", Form::kNumber, "and so long after its lifetime while servers fail; 0 to 604800",
-       [](Operator& o, const std::string& v) { return TakeNumber(o.dns.stale, v, 0, 604800, 1); }},
-      {"srv", Form::kTexts,
-       "SRV names of destinations, NAME=DESTINATION; they order, rate and drain endpoints",
-       [](Operator& o, const std::string& v) { return TakeNames(o.srv_names, v); }},
-      {"srv_own", Form::kTexts, "DESTINATION=ADDRESS: a destination's own, which SRV may add to the list",
-       [](Operator& o, const std::string& v) { return TakeOwn(o.srv_own, v); }},
+      {"learn.listen", Type::kString,
+       "address where other relays may fetch a snapshot of this relay's route states",
+       [](OperatorSettings& s, const std::string& v) { return SetAddress(s.state_transfer.listen, v); }},
+      {"learn.from", Type::kStrings, "addresses of running relays whose snapshots are fetched at the start",
+       [](OperatorSettings& s, const std::string& v) { return SetAddresses(s.state_transfer.donors, v); }},
+      {"learn.notes", Type::kBool, "ask peers for route states by datagrams at the start, and answer theirs",
+       [](OperatorSettings& s, const std::string& v) { return SetBool(s.state_transfer.use_datagrams, v); }},
+      {"learn.state", Type::kBool, "save a snapshot to the state folder for the next start",
+       [](OperatorSettings& s, const std::string& v) {
+         return SetBool(s.state_transfer.use_state_folder, v);
+       }},
+      {"learn.time_ms", Type::kNumber, "how long readiness waits for running relays; 10 to 10000",
+       [](OperatorSettings& s, const std::string& v) {
+         return SetNumber(s.state_transfer.timeout, v, 10, 10000, 1e-3);
+       }},
+      {"learn.longest_wait_s", Type::kNumber,
+       "how long a Retry-After from another relay or an earlier process holds at most; 0 to 3600",
+       [](OperatorSettings& s, const std::string& v) {
+         return SetNumber(s.state_transfer.max_retry_after, v, 0, 3600, 1);
+       }},
+      {"tier.shares", Type::kBool, "divide limits by the number of relays that are alive",
+       [](OperatorSettings& s, const std::string& v) { return SetBool(s.fleet.share_quotas, v); }},
+      {"tier.zones", Type::kBool, "evacuate failing zones, and return to them, together with the fleet",
+       [](OperatorSettings& s, const std::string& v) { return SetBool(s.fleet.evacuate_zones, v); }},
+      {"admin.listen", Type::kString,
+       "address of the admin pages of a running relay (GET /pool, /counters, /zones)",
+       [](OperatorSettings& s, const std::string& v) { return SetAddress(s.admin_listen, v); }},
+      {"dns.server", Type::kStrings, "addresses of recursive name servers",
+       [](OperatorSettings& s, const std::string& v) { return SetAddresses(s.dns.servers, v); }},
+      {"dns.least_lifetime_s", Type::kNumber, "a shorter TTL of an answer counts as this; 0.1 to 3600",
+       [](OperatorSettings& s, const std::string& v) { return SetNumber(s.dns.min_ttl, v, 0.1, 3600, 1); }},
+      {"dns.most_lifetime_s", Type::kNumber, "a longer TTL of an answer counts as this; 1 to 86400",
+       [](OperatorSettings& s, const std::string& v) { return SetNumber(s.dns.max_ttl, v, 1, 86400, 1); }},
+      {"dns.stale_s", Type::kNumber,
+       "how long after its TTL an answer is used while servers fail; 0 to 604800",
+       [](OperatorSettings& s, const std::string& v) { return SetNumber(s.dns.max_stale, v, 0, 604800, 1); }},
+      {"srv", Type::kStrings,
+       "SRV names of destinations, NAME=DESTINATION; their records order, rate and drain endpoints",
+       [](OperatorSettings& s, const std::string& v) { return SetSrvNames(s.srv_names, v); }},
+      {"srv_own", Type::kStrings,
+       "DESTINATION=ADDRESS: an address of a destination, which SRV may add to the list",
+       [](OperatorSettings& s, const std::string& v) { return SetOwnAddresses(s.own_addresses, v); }},
   };
   return settings;
 }
@@ -175,16 +187,16 @@
   return name;
 }
 
-// The text that a flag would have for this value of the file; none if it has the wrong form.
-std::optional<std::string> TextOf(const json& value, Form form) {
-  switch (form) {
-    case Form::kYesNo:
+// The text that a flag would have for this value of the file; nothing if the value has another type.
+std::optional<std::string> ToText(const json& value, Type type) {
+  switch (type) {
+    case Type::kBool:
       return value.is_boolean() ? std::optional(value.dump()) : std::nullopt;
-    case Form::kNumber:
+    case Type::kNumber:
       return value.is_number() ? std::optional(value.dump()) : std::nullopt;
-    case Form::kText:
+    case Type::kString:
       return value.is_string() ? std::optional(value.get<std::string>()) : std::nullopt;
-    case Form::kTexts:
+    case Type::kStrings:
       break;
   }
   if (!value.is_array()) return std::nullopt;
@@ -196,30 +208,31 @@
   return text;
 }
 
-const char* NameOf(Form form) {
-  switch (form) {
-    case Form::kYesNo:
+const char* Describe(Type type) {
+  switch (type) {
+    case Type::kBool:
       return "true or false";
-    case Form::kNumber:
+    case Type::kNumber:
       return "a number";
-    case Form::kText:
-      return "a text";
-    case Form::kTexts:
+    case Type::kString:
+      return "a string";
+    case Type::kStrings:
       break;
   }
-  return "an array of texts";
+  return "an array of strings";
 }
 
 }  // namespace
 
-struct OperatorOptions::Given {
+// The text that the command line, a variable or the file gave for a setting.
+struct OperatorOptions::Value {
   const Setting* setting = nullptr;
   std::string text;
   CLI::Option* option = nullptr;
 };
 
-// CLI11 reads its own form of file; ours is JSON, as all configuration of this program. It also ranks a file
-// over the environment, so what a variable sets is left out here.
+// Replaces CLI11's own file format by JSON, the format of all configuration of this program. CLI11 gives the
+// file precedence over the environment, so settings that have a variable are left out here.
 class OperatorOptions::File : public CLI::Config {
  public:
   explicit File(const Environment& environment) : environment_(environment) {}
@@ -232,14 +245,14 @@
     try {
       file = json::parse(stream);
     } catch (const json::parse_error& error) {
-      faults_.push_back("the operators' file is no JSON at byte " + std::to_string(error.byte));
+      errors_.push_back("the operators' file is not valid JSON at byte " + std::to_string(error.byte));
       return items;
     }
     Walk(file, "", items);
     return items;
   }
 
-  const std::vector<std::string>& faults() const { return faults_; }
+  const std::vector<std::string>& errors() const { return errors_; }
   bool Sets(const std::string& key) const { return set_.count(key) > 0; }
 
  private:
@@ -247,10 +260,10 @@
     const auto& all = Settings();
     const auto setting = std::find_if(all.begin(), all.end(), [&](const Setting& s) { return key == s.key; });
     if (setting != all.end()) {
-      const auto text = TextOf(value, setting->form);
+      const auto text = ToText(value, setting->type);
       if (!text)
-        return faults_.push_back("key '" + key + "' of the operators' file must hold " +
-                                 NameOf(setting->form));
+        return errors_.push_back("key '" + key + "' of the operators' file must be " +
+                                 Describe(setting->type));
       if (environment_(VariableOf(key).c_str())) return;
       set_.insert(key);
       CLI::ConfigItem item;
@@ -259,36 +272,36 @@
       items.push_back(item);
       return;
     }
-    const bool group = key.empty() || std::any_of(all.begin(), all.end(), [&](const Setting& s) {
-                         return std::string(s.key).rfind(key + ".", 0) == 0;
-                       });
-    if (!group) return faults_.push_back("key '" + key + "' of the operators' file is not known");
+    const bool is_group = key.empty() || std::any_of(all.begin(), all.end(), [&](const Setting& s) {
+                            return std::string(s.key).rfind(key + ".", 0) == 0;
+                          });
+    if (!is_group) return errors_.push_back("key '" + key + "' of the operators' file is unknown");
     if (!value.is_object())
-      return faults_.push_back(
+      return errors_.push_back(
           (key.empty() ? "the operators' file" : "key '" + key + "' of the operators' file") +
-          std::string(" must hold an object"));
+          std::string(" must be an object"));
     for (const auto& [name, inner] : value.items()) Walk(inner, key.empty() ? name : key + "." + name, items);
   }
 
   const Environment environment_;
-  mutable std::vector<std::string> faults_;  // from_config is const to CLI11
+  mutable std::vector<std::string> errors_;  // mutable since CLI11 declares from_config const
   mutable std::set<std::string> set_;
 };
 
 OperatorOptions::OperatorOptions(CLI::App& app, const Environment& environment)
     : file_(std::make_shared<File>(environment)) {
   for (const Setting& setting : Settings()) {
-    auto given = std::make_unique<Given>();
-    given->setting = &setting;
+    auto value = std::make_unique<Value>();
+    value->setting = &setting;
     const std::string flag = "--" + FlagOf(setting.key);
-    given->option = setting.form == Form::kYesNo ? app.add_flag(flag, given->text, setting.help)
-                                                 : app.add_option(flag, given->text, setting.help);
-    given->option->envname(VariableOf(setting.key))->group("Settings");
-    given_.push_back(std::move(given));
+    value->option = setting.type == Type::kBool ? app.add_flag(flag, value->text, setting.help)
+                                                : app.add_option(flag, value->text, setting.help);
+    value->option->envname(VariableOf(setting.key))->group("Settings");
+    values_.push_back(std::move(value));
   }
   const auto path = environment(kFileVariable);
   app.set_config("--operator-file", path.value_or(kDefaultFile),
-                 std::string("the operators' own file (JSON); also the variable ") + kFileVariable);
+                 std::string("the operators' file (JSON); also the variable ") + kFileVariable);
   app.config_formatter(file_);
   if (path && !std::filesystem::exists(*path))
     throw CLI::FileError::Missing(std::string(kFileVariable) + "=" + *path);
@@ -296,21 +309,21 @@
 
 OperatorOptions::~OperatorOptions() = default;
 
-Operator OperatorOptions::Finish(std::vector<std::string>& faults) const {
-  faults.insert(faults.end(), file_->faults().begin(), file_->faults().end());
-  Operator settings;
-  for (const auto& given : given_) {
-    if (given->option->count() == 0) continue;
-    const std::string expected = given->setting->take(settings, given->text);
+OperatorSettings OperatorOptions::Finish(std::vector<std::string>& errors) const {
+  errors.insert(errors.end(), file_->errors().begin(), file_->errors().end());
+  OperatorSettings settings;
+  for (const auto& value : values_) {
+    if (value->option->count() == 0) continue;
+    const std::string expected = value->setting->set(settings, value->text);
     if (expected.empty()) continue;
-    const std::string key = given->setting->key;
-    faults.push_back("'" + key + "' (flag --" + FlagOf(key) + ", variable " + VariableOf(key) +
-                     ", or the operators' file) must be " + expected + ", not '" + given->text + "'");
+    const std::string key = value->setting->key;
+    errors.push_back("'" + key + "' (flag --" + FlagOf(key) + ", variable " + VariableOf(key) +
+                     ", or the operators' file) must be " + expected + ", not '" + value->text + "'");
   }
   if (!settings.srv_names.empty() && settings.dns.servers.empty())
-    faults.emplace_back("'dns.server' must name a server where 'srv' names what to ask for");
-  if (settings.dns.least_lifetime > settings.dns.most_lifetime)
-    faults.emplace_back("'dns.least_lifetime_s' must not be over 'dns.most_lifetime_s'");
+    errors.emplace_back("'dns.server' must name a server, as 'srv' names SRV records to query");
+  if (settings.dns.min_ttl > settings.dns.max_ttl)
+    errors.emplace_back("'dns.least_lifetime_s' must not exceed 'dns.most_lifetime_s'");
   return settings;
 }
 
--- a/src/cli/operator_options.h
+++ b/src/cli/operator_options.h
@@ -1,8 +1,9 @@
-// Reads the operators' own settings: flags, OPALROUTE_ variables and their file, in this order of precedence.
+// Reads the operators' settings from flags, OPALROUTE_ variables and the operators' file, in this order of
+// precedence.
 //
-// Every setting stands once in the table of operator_options.cpp; from its key `a.b_c` come the flag
-// `--a-b-c`, the variable `OPALROUTE_A_B_C` and its place in the file, {"a":{"b_c": ...}}. Whatever is not
-// set is off.
+// A table in operator_options.cpp lists each setting once. From a setting's key `a.b_c` follow the flag
+// `--a-b-c`, the variable `OPALROUTE_A_B_C` and the place in the file, {"a":{"b_c": ...}}. Settings that are
+// not given keep their defaults, with which every optional feature is off.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -15,19 +16,20 @@
 
 namespace opalroute::config {
 
-// Puts the settings' flags on a command line. After the line was parsed, Finish gives the settings.
+// Adds the settings' flags to a command line. Finish returns the settings after `app` has parsed the line.
 class OperatorOptions {
  public:
+  // Throws CLI::FileError if the variable OPALROUTE_OPERATOR_FILE names a file that does not exist.
   OperatorOptions(CLI::App& app, const Environment& environment);
   ~OperatorOptions();
 
-  // Appends one line a fault, each with the full name of its flag, variable or key.
-  Operator Finish(std::vector<std::string>& faults) const;
+  // Appends one line to `errors` for each invalid setting, with its key.
+  OperatorSettings Finish(std::vector<std::string>& errors) const;
 
  private:
   class File;
-  struct Given;
-  std::vector<std::unique_ptr<Given>> given_;
+  struct Value;
+  std::vector<std::unique_ptr<Value>> values_;
   std::shared_ptr<File> file_;
 };
 
--- a/src/cli/page.h
+++ b/src/cli/page.h
@@ -1,4 +1,4 @@
-// A page of a running relay, as its --admin-listen tells it.
+// Calls the admin pages of a running relay (its --admin-listen).
 #pragma once
 
 #include <netinet/in.h>
@@ -8,14 +8,14 @@
 
 namespace opalroute::cli {
 
-// What a running relay answered to POST; status 0: nobody answered in time.
-struct PostAnswer {
-  int status = 0;
+struct PostResponse {
+  int status = 0;  // 0: no response in time
   std::string text;
 };
-PostAnswer PostPage(const sockaddr_in& to, const std::string& path, const std::string& body);
+PostResponse PostPage(const sockaddr_in& to, const std::string& path, const std::string& body);
 
-// Null where nobody answers in time, or with anything but JSON.
+// Returns the page, null without a response of status 200 in time, or a discarded value if the page is not
+// JSON.
 nlohmann::ordered_json FetchPage(const sockaddr_in& from, const std::string& path);
 
 }  // namespace opalroute::cli
--- a/src/cli/pool_command.cpp
+++ b/src/cli/pool_command.cpp
@@ -19,11 +19,12 @@
 using nlohmann::ordered_json;
 
 constexpr net::Seconds kResolveTimeout = 10;  // for all names together
-constexpr net::Seconds kLongestWait = 0.1;    // of one round of the loop
+constexpr net::Seconds kMaxLoopWait = 0.1;
 
-constexpr int kDone = 0;
-constexpr int kNoAnswer = 1;
-constexpr int kFault = 2;
+// Exit statuses
+constexpr int kOk = 0;
+constexpr int kNoResponse = 1;
+constexpr int kInvalid = 2;
 
 class IgnoringListener : public EndpointSource::Listener {
  public:
@@ -31,15 +32,15 @@
   void OnWatchFailed() override {}
 };
 
-ordered_json ResolveOnce(const Config& config, const Operator& settings) {
+ordered_json ResolveOnce(const Config& config, const OperatorSettings& settings) {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
   IgnoringListener listener;
-  const auto known = config.known.is_null() ? std::nullopt : ParseEndpointList(config.known);
+  const auto cached = config.cached_list.is_null() ? std::nullopt : ParseEndpointList(config.cached_list);
   MergedEndpointSource source(loop, config, settings, listener);
-  source.ApplyCached(known.value_or(EndpointListUpdate{true, true, {}}));
+  source.ApplyCached(cached.value_or(EndpointListUpdate{true, true, {}}));
   const net::Seconds give_up_at = loop.Now() + kResolveTimeout;
-  while (source.pending_names() > 0 && loop.Now() < give_up_at) loop.RunOnce(kLongestWait);
+  while (source.pending_names() > 0 && loop.Now() < give_up_at) loop.RunOnce(kMaxLoopWait);
   return source.ToJson();
 }
 
@@ -59,8 +60,7 @@
   }
   if (!page.contains("silent")) return;
   for (const auto& [destination, why] : page.at("silent").items()) {
-    std::printf("destination %s: SRV says nothing: %s\n", destination.c_str(),
-                why.get<std::string>().c_str());
+    std::printf("destination %s: no SRV data: %s\n", destination.c_str(), why.get<std::string>().c_str());
   }
 }
 
@@ -72,42 +72,44 @@
   }
 }
 
-int PrintRelaysPool(const std::string& from, bool as_json) {
+int PrintPoolOfRelay(const std::string& from, bool as_json) {
   const auto address = net::ParseAddress(from);
   if (!address) {
-    std::cerr << "'" << from << "' is no address like 127.0.0.1:80\n";
-    return kFault;
+    std::cerr << "'" << from << "' is not an address like 127.0.0.1:80\n";
+    return kInvalid;
   }
   const ordered_json page = FetchPage(*address, "/pool");
   if (!page.is_object()) {
-    std::cerr << "no relay told its pool at " << from << " (see --admin-listen)\n";
-    return kNoAnswer;
+    std::cerr << "no relay returned its endpoints at " << from << " (see --admin-listen)\n";
+    return kNoResponse;
   }
   Print(page, as_json);
-  return kDone;
+  return kOk;
 }
 
-int PrintResolvedPool(bool as_json, const Operator& settings, const config::Environment& environment) {
+int PrintResolvedPool(bool as_json, const OperatorSettings& settings,
+                      const config::Environment& environment) {
   if (settings.srv_names.empty()) {
-    std::cerr << "'srv' names nothing to ask for; name a running relay's --admin-listen, or see --srv\n";
-    return kFault;
+    std::cerr
+        << "'srv' names no SRV records; give the address of a running relay's --admin-listen, or see --srv\n";
+    return kInvalid;
   }
   ordered_json page;
   try {
     page = ResolveOnce(config::Load(environment), settings);
   } catch (const std::exception& error) {
     std::cerr << error.what() << '\n';
-    return kFault;
+    return kInvalid;
   }
   Print(page, as_json);
-  return kDone;
+  return kOk;
 }
 
 }  // namespace
 
-int PrintPool(const std::string& from, bool as_json, const Operator& settings,
+int PrintPool(const std::string& from, bool as_json, const OperatorSettings& settings,
               const config::Environment& environment) {
-  return from.empty() ? PrintResolvedPool(as_json, settings, environment) : PrintRelaysPool(from, as_json);
+  return from.empty() ? PrintResolvedPool(as_json, settings, environment) : PrintPoolOfRelay(from, as_json);
 }
 
 }  // namespace opalroute::cli
--- a/src/cli/snapshot_command.cpp
+++ b/src/cli/snapshot_command.cpp
@@ -21,20 +21,21 @@
 using state_transfer::SnapshotResult;
 
 constexpr Seconds kTimeout = 5;
-// The name that this command gives itself to the relay it asks.
+// The name under which this command asks a relay for its snapshot.
 constexpr char kClientName[] = "snapshot";
 
 struct Snapshot {
   std::string name;  // of the relay
   SnapshotResult result = SnapshotResult::kNoFile;
-  Seconds age = 0;  // of a saved one
+  Seconds age = 0;  // of a saved snapshot
   std::vector<NamedRouteState> routes;
 };
 
 // Fetches a running relay's snapshot.
-class Fetch : private SnapshotClient::Owner {
+class SnapshotFetch : private SnapshotClient::Owner {
  public:
-  explicit Fetch(const sockaddr_in& from) : client_(loop_, {from}, kClientName, kTimeout, limits_, *this) {
+  explicit SnapshotFetch(const sockaddr_in& from)
+      : client_(loop_, {from}, kClientName, kTimeout, limits_, *this) {
     loop_.Run();
   }
   const Snapshot& snapshot() const { return snapshot_; }
@@ -57,9 +58,9 @@
   SnapshotClient client_;
 };
 
-Snapshot Load(const std::string& folder) {
+Snapshot LoadFromFolder(const std::string& folder) {
   const Limits limits;
-  const auto saved = state_transfer::SnapshotFile(folder, limits.learn_file_bytes).Load();
+  const auto saved = state_transfer::SnapshotFile(folder, limits.snapshot_file_bytes).Load();
   const net::SystemClock system_clock;
   const PersistentClock clock(system_clock, folder);
   const Seconds age = static_cast<double>(clock.Micros() - saved.written_at) / 1e6;
@@ -129,7 +130,7 @@
 
 int PrintSnapshot(const std::string& from, bool as_json) {
   const auto address = net::ParseAddress(from);
-  const Snapshot snapshot = address ? Fetch(*address).snapshot() : Load(from);
+  const Snapshot snapshot = address ? SnapshotFetch(*address).snapshot() : LoadFromFolder(from);
   if (as_json) {
     PrintJson(snapshot);
   } else {
--- a/src/cli/zones_command.cpp
+++ b/src/cli/zones_command.cpp
@@ -13,19 +13,20 @@
 
 using nlohmann::ordered_json;
 
+// Exit statuses
 constexpr int kOk = 0;
 constexpr int kFailed = 1;
 constexpr int kInvalidAddress = 2;
 
 std::string Text(const ordered_json& row, const char* key) { return row.at(key).get<std::string>(); }
-long Whole(const ordered_json& row, const char* key) { return row.at(key).get<long>(); }
+long Integer(const ordered_json& row, const char* key) { return row.at(key).get<long>(); }
 double Number(const ordered_json& row, const char* key) { return row.at(key).get<double>(); }
 
 void PrintMembership(const ordered_json& page) {
   const ordered_json& members = page.at("tier");
   std::printf("%s of %ld relays: %ld live, %ld suspected, %ld unheard, %ld gone; shares are of %.0f parts\n",
-              Text(page, "relay").c_str(), Whole(members, "relays"), Whole(members, "live"),
-              Whole(members, "suspected"), Whole(members, "unheard"), Whole(members, "gone"),
+              Text(page, "relay").c_str(), Integer(members, "relays"), Integer(members, "live"),
+              Integer(members, "suspected"), Integer(members, "unheard"), Integer(members, "gone"),
               Number(members, "parts"));
 }
 
@@ -36,18 +37,19 @@
 
 void PrintZone(const ordered_json& zone) {
   const std::string failing =
-      std::to_string(Whole(zone, "partners_failing")) + " of " + std::to_string(Whole(zone, "partners"));
+      std::to_string(Integer(zone, "partners_failing")) + " of " + std::to_string(Integer(zone, "partners"));
   std::printf("%-12s %-10s %8.1f %6ld %9ld %6.2f %-6s %9ld %9ld %17s  %s\n", Text(zone, "zone").c_str(),
-              Text(zone, "stage").c_str(), Number(zone, "for_s"), Whole(zone, "round"),
-              Whole(zone, "relapses"), Number(zone, "share"), zone.at("scout").get<bool>() ? "yes" : "no",
-              Whole(zone, "accusers"), Whole(zone, "vouchers"), failing.c_str(), Text(zone, "why").c_str());
+              Text(zone, "stage").c_str(), Number(zone, "for_s"), Integer(zone, "round"),
+              Integer(zone, "relapses"), Number(zone, "share"), zone.at("scout").get<bool>() ? "yes" : "no",
+              Integer(zone, "accusers"), Integer(zone, "vouchers"), failing.c_str(),
+              Text(zone, "why").c_str());
 }
 
 void PrintOverride(const ordered_json& zone) {
   const std::string name = Text(zone, "order");
   if (name == "none") return;
-  std::printf("%-12s by hand: %s for another %.0f s, told to relay %ld\n", "", name.c_str(),
-              Number(zone, "order_left_s"), Whole(zone, "order_told_to"));
+  std::printf("%-12s override: %s for another %.0f s, issued by relay %ld\n", "", name.c_str(),
+              Number(zone, "order_left_s"), Integer(zone, "order_told_to"));
 }
 
 void PrintTable(const ordered_json& page) {
@@ -63,9 +65,9 @@
 int IssueOverride(const sockaddr_in& relay, const ZoneCommand& command) {
   nlohmann::json body = {{"zone", command.zone}, {"order", command.override_name}};
   if (command.duration > 0) body["for_s"] = command.duration;
-  const PostAnswer answer = PostPage(relay, "/zones", body.dump());
-  if (answer.status == 200) return kOk;
-  std::cerr << (answer.status == 0 ? "no relay answered (see --admin-listen)\n" : answer.text);
+  const PostResponse response = PostPage(relay, "/zones", body.dump());
+  if (response.status == 200) return kOk;
+  std::cerr << (response.status == 0 ? "no relay responded (see --admin-listen)\n" : response.text);
   return kFailed;
 }
 
@@ -74,7 +76,7 @@
 int Zones(const ZoneCommand& command, bool as_json) {
   const auto address = net::ParseAddress(command.address);
   if (!address) {
-    std::cerr << "'" << command.address << "' is no address like 127.0.0.1:80\n";
+    std::cerr << "'" << command.address << "' is not an address like 127.0.0.1:80\n";
     return kInvalidAddress;
   }
   if (!command.override_name.empty()) {
@@ -83,7 +85,8 @@
   }
   const ordered_json page = FetchPage(*address, "/zones");
   if (!page.is_object()) {
-    std::cerr << "no relay told its zones at " << command.address << " (see --admin-listen, --tier-zones)\n";
+    std::cerr << "no relay returned its zones at " << command.address
+              << " (see --admin-listen, --tier-zones)\n";
     return kFailed;
   }
   if (as_json) {
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The one place where the configuration is read, checked and given defaults.
+// Reads the configuration of the platform, validates it and fills in defaults.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,35 +20,37 @@
 struct Config {
   std::string name, state_folder;
   sockaddr_in listen{}, discovery{};
-  std::optional<sockaddr_in> peer_listen, peers_all, ops;
-  int inherited_fd = -1;           // the clients' listening socket, where the platform holds it
-  std::vector<sockaddr_in> peers;  // by their numbers
-  int own_peer = -1;               // among them
-  bool may_tell_peers = false;     // the settings allow notes between relays
+  std::optional<sockaddr_in> peer_listen, ops;
+  std::optional<sockaddr_in> broadcast_address;  // reaches all peers
+  int inherited_fd = -1;  // the clients' listening socket if the platform passes it on (hot restart), else -1
+  std::vector<sockaddr_in> peers;  // all relays of the fleet, by peer number
+  int own_peer = -1;               // this relay's number; -1: unknown
+  bool may_gossip = false;         // the settings allow gossip between relays
   Settings settings;
   std::vector<std::string> classes, tenants, zones, kinds;  // names, in the settings' order
-  nlohmann::json known;                                     // the list as it was last held, or null
+  nlohmann::json cached_list;  // the endpoint list of an earlier process, or null
   Limits limits;
-  nlohmann::json file;  // what was read, but for `known` and `seed`, which serve a start alone
+  nlohmann::json file;  // the file without `known` and `seed`, which only matter at the start
 };
 
-// Its place among the names, or -1.
+// The index of `name`, or -1.
 int IndexOf(const std::vector<std::string>& names, const std::string& name);
 
 namespace config {
 
 using Environment = std::function<std::optional<std::string>(const char* name)>;
 
-// Variables of the environment stand over the file that EDGE_CONFIG names. Throws a FieldError that names the
-// key at fault.
+// Environment variables override the file that EDGE_CONFIG names. Throws a FieldError that names each invalid
+// key.
 Config Load(const Environment& environment);
 Config Parse(const nlohmann::json& file, const Environment& environment);
 
-// Reads and checks the file anew. EDGE_DISCOVERY is as old as the process: here the file stands over it.
+// Reads and validates the file again. EDGE_DISCOVERY dates from the start of the process, so here `discovery`
+// in the file overrides it.
 Config Reload(const Environment& environment);
 
-// The keys, by their paths, that differ and take effect only with a restart.
-std::vector<std::string> KeysForRestart(const Config& old, const Config& fresh);
+// The JSON pointers of values that differ and take effect only after a restart.
+std::vector<std::string> KeysNeedingRestart(const Config& old, const Config& fresh);
 
 }  // namespace config
 }  // namespace opalroute
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -1,4 +1,4 @@
-// Every size, count and time that bounds the relay; filled once at the start and handed down.
+// Sizes, counts and times that bound the relay. Filled once at the start. Times are in seconds.
 #pragma once
 
 #include <cstddef>
@@ -10,88 +10,96 @@
   std::size_t head_bytes = std::size_t{16} * 1024;
   std::size_t header_count = 64;
   std::size_t body_bytes = std::size_t{64} * 1024;
-  std::size_t list_bytes = std::size_t{4} * 1024 * 1024;  // discovery's whole list, and a line of its watch
-  std::size_t name_bytes = 256;                           // an id or a key that a client states
-  // connections
+  std::size_t endpoint_list_bytes = std::size_t{4} * 1024 * 1024;  // also of one update of a watch
+  std::size_t identifier_bytes = 256;                              // of a request id or an idempotency key
+  // Connections of clients, and to endpoints ("upstream")
   int client_connections = 480;
-  int reject_connections = 32;  // beyond those: they hear a reject
+  int reject_connections = 32;  // beyond those, accepted only to be answered with a reject
   int upstream_connections = 400;
-  double first_time = 2;        // from a client's connecting to the end of its first request
-  double request_time = 2;      // for a further one that has begun to arrive
-  double client_idle = 10;      // a client's connection between requests
-  double client_rest = 0.5;     // the same where more than half of the table is taken
-  double client_silent = 0.05;  // without a byte since it came: so may it after this
-  double client_linger = 0.5;   // after the last answer, for the client to read it
-  std::size_t linger_bytes = std::size_t{1024} * 1024;  // read off meanwhile
-  int requests_a_turn = 16;                             // of one connection
-  int interim_answers = 8;                              // 1xx in front of an endpoint's answer
-  double answer_rest = 0.05;                            // for the rest of an answer whose first line says all
-  double answer_time = 0.5;                             // from an answer's first byte to its last
-  double connect_time = 1.5;
-  double upstream_idle = 14;  // less than the time after which endpoints close it
-  // transactions
-  int open_transactions = 0;  // from the settings
-  double reject_wait = 0.5;   // told to a client that finds the relay full or going
-  double longest_remaining = 3600;
-  double destination_rest = 60;  // without an endpoint, until it counts as none that there is
-  // the state folder
+  double first_request_timeout = 2;          // from accepting a connection to the end of its first request
+  double request_timeout = 2;                // from the start of a later request to its end
+  double client_idle_timeout = 10;           // between requests
+  double client_crowded_idle_timeout = 0.5;  // the same, while more than half of the connections are in use
+  // Once all connections are in use, one that has sent no request for so long since it was accepted may be
+  // closed to make room.
+  double client_silent_timeout = 0.05;
+  double client_linger_timeout = 0.5;  // after the last response, for the client to read it
+  std::size_t client_linger_bytes = std::size_t{1024} * 1024;  // input discarded in that time
+  int requests_per_turn = 16;                    // of one connection, before other connections are served
+  int interim_responses = 8;                     // 1xx responses before the final one of an endpoint
+  double upstream_response_timeout = 0.5;        // from the first byte of a response to its last
+  double upstream_response_rest_timeout = 0.05;  // for the rest of a response whose status suffices
+  double upstream_connect_timeout = 1.5;
+  double upstream_idle_timeout = 14;  // shorter than that of the endpoints, so that the relay closes first
+  // Requests
+  int open_requests = 0;            // set from Settings::request_capacity
+  double reject_retry_after = 0.5;  // the Retry-After of a request or connection rejected on arrival
+  double max_remaining_time = 3600;
+  // A destination that has lost its last endpoint is still accepted for so long.
+  double empty_destination_grace_period = 60;
+  // State folder
   std::size_t disk_bytes = 3'000'000;
-  // discovery and notices
-  double watch_heartbeat = 2;         // a watch in order brings a line at least so often
-  double watch_silence = 3.5;         // without a line: then the watch is dead
-  double list_time = 3;               // for the first line of a watch
-  std::size_t watch_tries = 3;        // watches open at once, the one that has brought the list among them
-  double list_renumbered_after = 30;  // whole lists from before what was told: then discovery counts anew
-  double notice_time = 0.2;  // for the answer to notices, before a further try begins beside it; in all ...
-  double notice_time_most = 1;       // ... this, which is also the time for a connection to come up
-  std::size_t notice_tries = 3;      // out at once
-  double notice_backoff = 0.05;      // after a failure; after ten in a row doubled with each ...
-  double notice_backoff_most = 0.5;  // ... up to this
-  std::size_t notice_lines = 64;     // in one request
-  // between relays
-  std::size_t datagram_bytes = 256;
-  double tier_kept = 120;  // seconds that a zone's stage in the state folder is good for
-  // learning from running instances
-  int learn_sessions = 4;                           // learners served at once
-  double learn_session = 5;                         // seconds that one of them may take
-  std::size_t learn_lanes = 50'000;                 // kept of what donors tell, of each start
-  std::size_t learn_bytes = std::size_t{16} << 20;  // read from one donor
-  double learn_pending = 10;  // seconds that beliefs wait for the pool to name their endpoints
-  std::size_t learn_file_bytes =
-      std::size_t{64} * 1024;     // in the state folder, together with the one that takes its place
-  double learn_file_every = 0.5;  // seconds between two savings
-  int learn_note_peers = 2;       // asked by datagrams ...
-  int learn_note_answers = 4;     // ... of which each sends so many at most
-  double learn_note_time = 2;     // seconds after the question that answers are taken
-  // name servers
-  int dns_tries = 4;                         // of a question, over all servers
-  std::size_t dns_flights = 64;              // questions under way at once
-  unsigned short dns_datagram_asked = 1232;  // the longest answer asked for in one datagram (EDNS0)
-  std::size_t dns_datagram_bytes = 4096;     // and the longest that is taken
-  std::size_t dns_tcp_bytes = std::size_t{128} * 1024;  // a connection's buffer, each way
-  double dns_tcp_rest = 5;                              // a connection without a question is kept for so long
-  double dns_least_lifetime = 1;                        // of an answer; a shorter one counts as this ...
-  double dns_most_lifetime = 3600;                      // ... and a longer one as this
-  double dns_negative_lifetime = 60;                    // the longest of 'no such name' and 'no such record'
-  double dns_stale = 3600;           // an answer is good for so long after its lifetime if servers fail
-  double dns_retry = 5;              // after a question that no server has answered ...
-  double dns_retry_rate = 40;        // ... and so many of them a second at most
-  std::size_t dns_entries = 50'000;  // answers kept
-  // operators' questions
+  // Discovery and notifications
+  double watch_heartbeat_interval = 2;   // a working watch delivers a line at least this often
+  double watch_silence_timeout = 3.5;    // without a line for so long, a watch has failed
+  double platform_response_timeout = 3;  // for the first line of a watch, and for a response to notifications
+  std::size_t concurrent_watches = 3;    // including the one that has delivered the current list
+  // If complete lists have been older than the newest one for so long, discovery is assumed to have restarted
+  // its generation numbers.
+  double generation_restart_timeout = 30;
+  // If an attempt has no response for so long, another one starts in parallel.
+  double notification_attempt_interval = 0.2;
+  double notification_attempt_timeout = 1;  // also for the connection to be established
+  std::size_t concurrent_notification_attempts = 3;
+  // After a failure; from the eleventh consecutive failure on it doubles with each, up to the maximum.
+  double notification_min_backoff = 0.05;
+  double notification_max_backoff = 0.5;
+  std::size_t notifications_per_request = 64;
+  // Fleet
+  std::size_t peer_datagram_bytes = 256;
+  double zone_state_max_age = 120;  // an older evacuation state in the state folder is not used
+  // State transfer
+  int snapshot_sessions = 4;                           // relays served a snapshot at once
+  double snapshot_session_timeout = 5;                 // for one of them
+  std::size_t snapshot_routes = 50'000;                // route states per snapshot, and in any buffer of them
+  std::size_t snapshot_bytes = std::size_t{16} << 20;  // read from one relay
+  double pending_routes_lifetime = 10;  // route states wait so long for the list to name their endpoints
+  std::size_t snapshot_file_bytes = std::size_t{64} * 1024;  // in the state folder, with its replacement
+  double snapshot_save_interval = 0.5;
+  int transfer_datagram_peers = 2;       // asked by datagrams at the start ...
+  int transfer_datagram_answers = 4;     // ... of which each sends at most this many datagrams
+  double transfer_datagram_timeout = 2;  // answers are accepted for so long after the question
+  // DNS
+  int dns_attempts = 4;  // of a question, over all servers
+  std::size_t dns_concurrent_lookups = 64;
+  unsigned short dns_edns_udp_size = 1232;  // the longest datagram that servers are asked to send (EDNS0)
+  std::size_t dns_datagram_bytes = 4096;    // the longest datagram that is accepted
+  std::size_t dns_tcp_buffer_bytes = std::size_t{128} * 1024;  // of a connection, in each direction
+  double dns_tcp_idle_timeout = 5;                             // of a connection without a pending question
+  double dns_min_ttl = 1;                                      // a shorter TTL counts as this ...
+  double dns_max_ttl = 3600;                                   // ... and a longer one as this
+  double dns_max_negative_ttl = 60;  // the same for 'no such name' and 'no such record'
+  double dns_max_stale = 3600;       // an answer may be used for so long after its TTL while servers fail
+  double dns_retry_delay = 5;        // until a question that no server has answered is asked again ...
+  double dns_retry_rate = 40;        // ... with at most this many such retries per second
+  std::size_t dns_cache_entries = 50'000;
+  // Admin pages
   int admin_connections = 4;
-  std::size_t admin_bytes = std::size_t{16} << 20;  // of an answer
-  // the operators' door
-  int door_connections = 32;
-  double door_time = 0.25;  // from a caller's connecting to the end of its call: half-open ones make room
-  double door_linger = 0.05;
-  std::size_t door_answer_bytes = std::size_t{64} * 1024;
-  std::size_t ids_remembered = 50'000;             // of endpoints that were listed once
-  std::size_t ban_bytes = std::size_t{16} * 1024;  // of the file of endpoints taken out by hand
-  std::size_t shared_waits = 512;                  // told waits kept for the other process, 24 bytes each
-  double state_poll = 0.05;  // seconds between two looks at what another process has written
-  // the end
-  double stop_take_on = 0.45;  // after SIGTERM: new work is still taken on for so long
-  double stop_time = 3.45;     // and the process has ended after this
+  std::size_t admin_response_bytes = std::size_t{16} << 20;
+  // Operations server
+  int ops_connections = 32;
+  // From accepting a connection to the end of its request, so that half-open connections make room.
+  double ops_request_timeout = 0.25;
+  double ops_linger_timeout = 0.05;
+  std::size_t ops_response_bytes = std::size_t{64} * 1024;
+  std::size_t remembered_endpoint_ids = 50'000;               // of endpoints that were ever listed
+  std::size_t suspended_file_bytes = std::size_t{16} * 1024;  // the file of suspended endpoints
+  // Hot restart
+  std::size_t shared_retry_afters = 512;  // Retry-Afters kept for the other process, 24 bytes each
+  double state_poll_interval = 0.05;  // between reads of what another process has written to the state folder
+  // Shutdown, after SIGTERM
+  double shutdown_accept_period = 0.45;  // new requests are still accepted
+  double shutdown_timeout = 3.45;        // until the process ends
 };
 
 }  // namespace opalroute
--- a/src/config/operator.h
+++ b/src/config/operator.h
@@ -1,4 +1,4 @@
-// The operators' own settings, with their defaults; operator_options.h says where they come from.
+// Operators' settings and their defaults. cli/operator_options.h says where they come from.
 #pragma once
 
 #include <netinet/in.h>
@@ -10,33 +10,34 @@
 
 namespace opalroute {
 
-struct Operator {
+// Times are in seconds; ranges are those that the command line accepts.
+struct OperatorSettings {
   bool log_json = false;
   std::string log_level = "info";
-  struct Learn {
-    std::optional<sockaddr_in> listen;  // others may fetch a snapshot here
-    std::vector<sockaddr_in> from;      // where this one fetches its own at the start
-    bool notes = false;                 // ask peers by datagrams
-    bool state = false;                 // keep a snapshot in the state folder, and read it at the start
-    double time = 0.3;                  // seconds that readiness waits for donors; 0.01 to 10
-    double longest_wait = 30;           // seconds for which a wait by hearsay holds at most; 0 to 3600
-    bool on() const { return listen || !from.empty() || notes || state; }
-  } learn;
-  struct Tier {
-    bool shares = false;  // parts of limits follow how many relays of the tier are there
-    bool zones = false;   // failing zones are left, and returned to, by all relays together
-    bool on() const { return shares || zones; }
-  } tier;
-  std::optional<sockaddr_in> admin_listen;  // what a running relay tells its operators
+  struct StateTransfer {
+    std::optional<sockaddr_in> listen;  // where other relays may fetch a snapshot
+    std::vector<sockaddr_in> donors;    // relays whose snapshots are fetched at the start
+    bool use_datagrams = false;         // ask peers by datagrams at the start, and answer theirs
+    bool use_state_folder = false;      // save a snapshot to the state folder, and load it at the start
+    double timeout = 0.3;               // how long readiness waits for the donors; 0.01 to 10
+    double max_retry_after = 30;        // for how long a transferred Retry-After holds at most; 0 to 3600
+    bool enabled() const { return listen || !donors.empty() || use_datagrams || use_state_folder; }
+  } state_transfer;
+  struct Fleet {
+    bool share_quotas = false;    // divide limits by the number of relays that are alive
+    bool evacuate_zones = false;  // all relays together leave failing zones and return to them
+    bool enabled() const { return share_quotas || evacuate_zones; }
+  } fleet;
+  std::optional<sockaddr_in> admin_listen;  // the admin pages' address
   struct Dns {
     std::vector<sockaddr_in> servers;
-    double least_lifetime = 1;    // seconds that an answer is kept at least; 0.1 to 3600
-    double most_lifetime = 3600;  // and at most; 1 to 86400
-    double stale = 3600;  // seconds after its lifetime that it is good for if servers fail; 0 to 604800
+    double min_ttl = 1;       // a shorter TTL of an answer counts as this; 0.1 to 3600
+    double max_ttl = 3600;    // a longer one counts as this; 1 to 86400
+    double max_stale = 3600;  // how long after its TTL an answer may be used if servers fail; 0 to 604800
   } dns;
   std::vector<std::pair<std::string, long long>> srv_names;  // SRV names and their destinations
-  std::vector<std::pair<long long, sockaddr_in>>
-      srv_own;  // what is a destination's own though no list names it
+  // Addresses that belong to a destination though no endpoint list names them: SRV may add them.
+  std::vector<std::pair<long long, sockaddr_in>> own_addresses;
 };
 
 }  // namespace opalroute
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-// The settings of the decision module, as the simulator and the configuration of a relay both state them.
+// Parses the settings of the decision library, which have the same form in the configuration of a relay and
+// in the simulator's ATTACH event.
 #pragma once
 
 #include <cstdint>
@@ -8,6 +9,7 @@
 
 namespace opalroute::config {
 
+// Throws FieldErrors with everything that is wrong.
 Settings ParseSettings(const nlohmann::json& options, std::uint64_t seed);
 
 }  // namespace opalroute::config
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -16,7 +16,7 @@
 
 void DiscoveryClient::Watch(bool on) {
   if (!on) return CloseWatchesExcept(nullptr);
-  if (watches_.size() >= limits_.watch_tries) return;
+  if (watches_.size() >= limits_.concurrent_watches) return;
   log::Info("endpoint_list_watch_opened", {{"at", net::FormatAddress(address_)},
                                            {"since", resume_from_.value_or(0)},
                                            {"other_watches", watches_.size()}});
@@ -47,15 +47,15 @@
 
 // Returns whether a complete list is older than the newest one published. A lagging replica, or a proxy that
 // repeats responses, may send such lists repeatedly. If complete lists are still older after
-// Limits::list_renumbered_after, discovery is assumed to have restarted its generation numbers, and the list
-// becomes the newest one.
+// Limits::generation_restart_timeout, discovery is assumed to have restarted its generation numbers, and the
+// list becomes the newest one.
 bool DiscoveryClient::CheckStale(const EndpointListUpdate& complete_list) {
   if (!newest_generation_ || complete_list.generation >= *newest_generation_) {
     stale_since_.reset();
     return false;
   }
   if (!stale_since_) stale_since_ = loop_.Now();
-  if (loop_.Now() < *stale_since_ + limits_.list_renumbered_after) return true;
+  if (loop_.Now() < *stale_since_ + limits_.generation_restart_timeout) return true;
   newest_generation_ = complete_list.generation;
   stale_since_.reset();
   return false;
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -25,7 +25,7 @@
   // The relay already has the list of this generation from an earlier process: watches request only the
   // changes since then.
   void Resume(long long generation) { generation_ = resume_from_ = newest_generation_ = generation; }
-  // An attempt is ignored while Limits::watch_tries watches, the established one included, are open.
+  // An attempt is ignored while Limits::concurrent_watches watches, the established one included, are open.
   void Watch(bool on) override;
 
   // Switches to another discovery address: closes all watches of the old one. The next watch, which the
--- a/src/discovery/endpoint_list_parser.cpp
+++ b/src/discovery/endpoint_list_parser.cpp
@@ -10,14 +10,15 @@
 
 namespace {
 
-const config::Words<EndpointRecord::Status> kLifecycles = {{"ready", EndpointRecord::Status::kInService},
-                                                           {"draining", EndpointRecord::Status::kDraining},
-                                                           {"gone", EndpointRecord::Status::kRemoved}};
+const config::EnumNames<EndpointRecord::Status> kLifecycles = {
+    {"ready", EndpointRecord::Status::kInService},
+    {"draining", EndpointRecord::Status::kDraining},
+    {"gone", EndpointRecord::Status::kRemoved}};
 
 EndpointRecord ParseRecord(const json& row) {
   EndpointRecord record;
   record.id = config::Get<std::string>(row, "instanceId");
-  record.status = config::Word(kLifecycles, row, "lifecycle");
+  record.status = config::GetEnum(kLifecycles, row, "lifecycle");
   const auto address = net::ParseAddress(config::Get<std::string>(row, "hostPort"));
   if (!address) throw config::FieldError("field 'hostPort' is not an address");
   record.address = *address;
@@ -35,7 +36,7 @@
   try {
     update.generation = config::Get<long long>(list, "generation");
     update.complete = config::GetOr(list, "reset", false);
-    const json& rows = config::Need(list, "instances");
+    const json& rows = config::Require(list, "instances");
     if (!rows.is_array()) throw config::FieldError("field 'instances' is not an array");
     for (const json& row : rows) update.endpoints.push_back(ParseRecord(row));
   } catch (const config::FieldError& error) {
--- a/src/discovery/list_watch.cpp
+++ b/src/discovery/list_watch.cpp
@@ -25,7 +25,7 @@
 }
 
 net::HttpBounds BoundsOf(const Limits& limits) {
-  return {limits.head_bytes, limits.header_count, limits.list_bytes};
+  return {limits.head_bytes, limits.header_count, limits.endpoint_list_bytes};
 }
 
 }  // namespace
@@ -61,7 +61,7 @@
       timer_(loop) {
   parser_.StreamBodyTo([this](std::string_view chunk) { ReadChunk(chunk); });
   connection_ = net::Connection::Connect(loop_, address_, *this, limits_.head_bytes, limits_.head_bytes);
-  StartLineTimeout(connection_ ? limits_.list_time : 0);
+  StartLineTimeout(connection_ ? limits_.platform_response_timeout : 0);
 }
 
 ListWatch::~ListWatch() { Close(); }
@@ -124,7 +124,7 @@
   while (!chunk.empty() && !unreadable_) {
     const std::size_t end = chunk.find('\n');
     object_text_.append(chunk.substr(0, end));
-    if (object_text_.size() > limits_.list_bytes) unreadable_ = true;
+    if (object_text_.size() > limits_.endpoint_list_bytes) unreadable_ = true;
     if (end == std::string_view::npos) return;
     chunk.remove_prefix(end + 1);
     ReadLine();
@@ -144,7 +144,7 @@
 
 // `list` is the JSON object, or null for a heartbeat.
 void ListWatch::ReadCompleteLine(const json* list) {
-  StartLineTimeout(limits_.watch_silence);
+  StartLineTimeout(limits_.watch_silence_timeout);
   object_text_.clear();
   checked_bytes_ = 0;
   Line line;
--- a/src/discovery/merged_endpoint_source.cpp
+++ b/src/discovery/merged_endpoint_source.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-Limits LimitsOf(const Config& config, const Operator::Dns& dns) {
+Limits LimitsOf(const Config& config, const OperatorSettings::Dns& dns) {
   Limits limits = config.limits;
-  limits.dns_least_lifetime = dns.least_lifetime;
-  limits.dns_most_lifetime = dns.most_lifetime;
-  limits.dns_stale = dns.stale;
+  limits.dns_min_ttl = dns.min_ttl;
+  limits.dns_max_ttl = dns.max_ttl;
+  limits.dns_max_stale = dns.max_stale;
   return limits;
 }
 
@@ -32,7 +32,7 @@
   return options;
 }
 
-std::vector<SrvSource::Name> SrvNamesOf(const Operator& settings) {
+std::vector<SrvSource::Name> SrvNamesOf(const OperatorSettings& settings) {
   std::vector<SrvSource::Name> names;
   for (const auto& [name, destination] : settings.srv_names) names.push_back({name, destination});
   return names;
@@ -48,14 +48,16 @@
 }  // namespace
 
 MergedEndpointSource::MergedEndpointSource(net::EventLoop& loop, const Config& config,
-                                           const Operator& settings, EndpointSource::Listener& listener)
+                                           const OperatorSettings& settings,
+                                           EndpointSource::Listener& listener)
     : loop_(loop),
       limits_(LimitsOf(config, settings.dns)),
       listener_(listener),
       merge_(EndpointMergeOptionsOf(config)),
       resolver_(loop, settings.dns.servers, limits_, UnpredictableSeed()),
       source_(loop, resolver_, limits_, SrvNamesOf(settings), *this) {
-  for (const auto& [destination, address] : settings.srv_own) merge_.AddOwnAddress(destination, address);
+  for (const auto& [destination, address] : settings.own_addresses)
+    merge_.AddOwnAddress(destination, address);
 }
 
 EndpointListUpdate MergedEndpointSource::ApplyCached(const EndpointListUpdate& list) {
--- a/src/discovery/merged_endpoint_source.h
+++ b/src/discovery/merged_endpoint_source.h
@@ -21,7 +21,7 @@
   // Starts the SRV queries. Reports the merged set to `listener`, but never before this constructor returns.
   // `loop` and `listener` must outlive this object. Throws std::invalid_argument if an SRV name in the
   // settings is not a valid domain name.
-  MergedEndpointSource(net::EventLoop& loop, const Config& config, const Operator& settings,
+  MergedEndpointSource(net::EventLoop& loop, const Config& config, const OperatorSettings& settings,
                        EndpointSource::Listener& listener);
 
   // Applies a cached list, saved by an earlier process or given in the configuration. Returns the merged set
--- a/src/discovery/srv_source.cpp
+++ b/src/discovery/srv_source.cpp
@@ -52,7 +52,7 @@
 }
 
 void SrvSource::ScheduleQuery(Lookup& lookup, net::Seconds at) {
-  const net::Seconds earliest = loop_.Now() + limits_.dns_least_lifetime / 2;
+  const net::Seconds earliest = loop_.Now() + limits_.dns_min_ttl / 2;
   lookup.timer.Start(std::max(at, earliest), [this, &lookup] {
     // While the SRV answer is current, only the addresses are queried. Otherwise all names that share a
     // target would be queried again whenever its address is due.
@@ -80,7 +80,7 @@
 void SrvSource::ReportNoAnswer(Lookup& lookup, const char* reason, net::Seconds retry_at) {
   RecordFirstResult(lookup);
   lookup.srv_refresh_at = 0;
-  const bool expired = lookup.has_answer && loop_.Now() - lookup.last_answer_at >= limits_.dns_stale;
+  const bool expired = lookup.has_answer && loop_.Now() - lookup.last_answer_at >= limits_.dns_max_stale;
   if (expired) lookup.has_answer = false;
   listener_.OnNoAnswer(lookup.destination, reason, expired);
   ScheduleQuery(lookup, retry_at);
--- a/src/discovery/srv_source.h
+++ b/src/discovery/srv_source.h
@@ -32,8 +32,8 @@
     virtual void OnTargets(long long destination, const std::vector<SrvTarget>& targets, bool complete) = 0;
     // The answer is the target ".": the service is not offered (RFC 2782).
     virtual void OnNotOffered(long long destination) = 0;
-    // The query failed or had no usable answer. If `expired`, the last answer is older than Limits::dns_stale
-    // and must no longer be used.
+    // The query failed or had no usable answer. If `expired`, the last answer is older than
+    // Limits::dns_max_stale and must no longer be used.
     virtual void OnNoAnswer(long long destination, const char* reason, bool expired) = 0;
   };
 
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -15,11 +15,11 @@
 
 CacheConfig CacheConfigOf(const Limits& limits) {
   CacheConfig config;
-  config.min_ttl = limits.dns_least_lifetime;
-  config.max_ttl = limits.dns_most_lifetime;
-  config.max_negative_ttl = limits.dns_negative_lifetime;
-  config.max_stale = limits.dns_stale;
-  config.max_entries = limits.dns_entries;
+  config.min_ttl = limits.dns_min_ttl;
+  config.max_ttl = limits.dns_max_ttl;
+  config.max_negative_ttl = limits.dns_max_negative_ttl;
+  config.max_stale = limits.dns_max_stale;
+  config.max_entries = limits.dns_cache_entries;
   return config;
 }
 
@@ -44,7 +44,7 @@
       random_state_(seed),
       servers_(addresses_.size()),
       cache_(CacheConfigOf(limits)),
-      retries_(limits.dns_retry, limits.dns_retry_rate) {
+      retries_(limits.dns_retry_delay, limits.dns_retry_rate) {
   for (const sockaddr_in& address : addresses_)
     channels_.push_back(std::make_unique<TcpChannel>(loop, address, limits));
 }
@@ -105,7 +105,7 @@
 // Thousands of names may be due at once. The number of active lookups is limited; queued ones start as others
 // finish.
 void Resolver::StartQueued() {
-  while (!queue_.empty() && active_lookups_ < limits_.dns_flights) {
+  while (!queue_.empty() && active_lookups_ < limits_.dns_concurrent_lookups) {
     const Question question = std::move(queue_.front());
     queue_.pop_front();
     ++active_lookups_;
@@ -115,7 +115,7 @@
 
 void Resolver::StartAttempt(const Question& question) {
   Lookup& lookup = lookups_.at(question);
-  if (lookup.attempts >= limits_.dns_tries)
+  if (lookup.attempts >= limits_.dns_attempts)
     return Finish(question, {std::nullopt, false, "no server has answered", 0});
   ++lookup.attempts;
   lookup.server = servers_.Select(loop_.Now(), lookup.attempts_by_server);
@@ -127,7 +127,7 @@
   Message query;
   query.id = lookup.id;
   query.questions = {lookup.current_question};
-  if (lookup.edns) query.edns_udp_size = limits_.dns_datagram_asked;
+  if (lookup.edns) query.edns_udp_size = limits_.dns_edns_udp_size;
   return Encode(query);
 }
 
@@ -235,8 +235,8 @@
   answer.ttl = lookup.ttl;
   cache_.Put(question, answer, loop_.Now(), NextRandom());
   const auto cached = cache_.Find(question, loop_.Now());
-  Finish(question, {std::move(answer), false, "",
-                    cached ? cached->refresh_at : loop_.Now() + limits_.dns_least_lifetime});
+  Finish(question,
+         {std::move(answer), false, "", cached ? cached->refresh_at : loop_.Now() + limits_.dns_min_ttl});
 }
 
 void Resolver::FailAttempt(const Question& question, const char* error) {
--- a/src/dns/tcp_channel.cpp
+++ b/src/dns/tcp_channel.cpp
@@ -25,8 +25,8 @@
   loop_.Cancel(idle_timer_);
   pending_[id] = std::move(done);
   if (connection_ == nullptr) {
-    connection_ =
-        net::Connection::Connect(loop_, server_, *this, limits_.dns_tcp_bytes, limits_.dns_tcp_bytes);
+    connection_ = net::Connection::Connect(loop_, server_, *this, limits_.dns_tcp_buffer_bytes,
+                                           limits_.dns_tcp_buffer_bytes);
   }
   const std::string length = {static_cast<char>(query.size() >> 8), static_cast<char>(query.size() & 0xff)};
   if (connection_ != nullptr && connection_->Write(length + query)) return;
@@ -49,7 +49,7 @@
 void TcpChannel::StartTimerIfIdle() {
   if (!pending_.empty() || connection_ == nullptr) return;
   loop_.Cancel(idle_timer_);
-  idle_timer_ = loop_.At(loop_.Now() + limits_.dns_tcp_rest, [this] {
+  idle_timer_ = loop_.At(loop_.Now() + limits_.dns_tcp_idle_timeout, [this] {
     idle_timer_ = 0;
     Close();
   });
--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -53,7 +53,7 @@
 void RequestListener::OnReject(net::HttpMessage& request) {
   ClientRequest rejected;
   const bool valid = request.method == "POST" && ParseRequest(request, rejected).empty();
-  if (valid) ++counters_.Of(rejected.request_class).dropped;
+  if (valid) ++counters_.ForClass(rejected.request_class).rejected;
 }
 
 net::HttpResponse RequestListener::OnRequest(net::HttpMessage& request) {
@@ -65,7 +65,8 @@
     return requests_.Ready() ? net::PlainTextResponse(200, "ready")
                              : net::PlainTextResponse(503, "not ready");
   if (path == "/health/live") return net::PlainTextResponse(200, "alive");
-  if (path == "/counters") return {200, {{"Content-Type", "application/json"}}, counters_.Print() + "\n", 0};
+  if (path == "/counters")
+    return {200, {{"Content-Type", "application/json"}}, counters_.ToJsonText() + "\n", 0};
   return net::PlainTextResponse(404, "nothing here");
 }
 
@@ -107,11 +108,11 @@
 }
 
 net::HttpResponse RequestListener::Reject(int request_class, const char* why) {
-  ++counters_.Of(request_class).dropped;
-  if (log::Writes(log::Level::debug))
+  ++counters_.ForClass(request_class).rejected;
+  if (log::IsEnabled(log::Level::debug))
     log::Debug("client_rejected", {{"class", config_.classes[request_class]}, {"why", why}});
   net::HttpResponse answer = net::PlainTextResponse(503, why);
-  answer.headers.emplace_back("Retry-After", net::FormatSeconds(config_.limits.reject_wait));
+  answer.headers.emplace_back("Retry-After", net::FormatSeconds(config_.limits.reject_retry_after));
   return answer;
 }
 
@@ -126,7 +127,7 @@
        {"Host", "X-Txn", "X-Lane", "X-Org", "X-Remaining-Ms", "X-Addressing", "Idempotency-Key"})
     if (request.Count(name) > 1) return std::string(name) + ": stated more than once";
   out.id = text("X-Txn");
-  if (!IsVisibleAscii(out.id, limits.name_bytes)) return "X-Txn: an id is missing, or not plain";
+  if (!IsVisibleAscii(out.id, limits.identifier_bytes)) return "X-Txn: an id is missing, or not plain";
   out.request_class = IndexOf(config_.classes, text("X-Lane"));
   if (out.request_class < 0) return "X-Lane: no such class";
   if (!config_.tenants.empty()) {
@@ -136,11 +137,11 @@
   long milliseconds = 0;
   if (!ParseNumber<long>(text("X-Remaining-Ms"), milliseconds) || milliseconds < 0)
     return "X-Remaining-Ms: no whole number of milliseconds";
-  out.remaining_time = std::min(static_cast<double>(milliseconds) / 1000, limits.longest_remaining);
+  out.remaining_time = std::min(static_cast<double>(milliseconds) / 1000, limits.max_remaining_time);
   if (!ParseDestination(text("X-Addressing"), out.destination)) return "X-Addressing: no dest=NUMBER";
   out.key = text("Idempotency-Key");
   const bool keyed = config_.settings.classes[out.request_class].idempotency == Idempotency::kIdempotencyKey;
-  if ((keyed || !out.key.empty()) && !IsVisibleAscii(out.key, limits.name_bytes))
+  if ((keyed || !out.key.empty()) && !IsVisibleAscii(out.key, limits.identifier_bytes))
     return "Idempotency-Key: missing, or not plain";
   out.body = std::move(request.body);
   return {};
--- a/src/ingress/server_bounds.h
+++ b/src/ingress/server_bounds.h
@@ -13,15 +13,15 @@
   bounds.response_bytes = limits.head_bytes;
   bounds.connections = limits.client_connections;
   bounds.reject_connections = limits.reject_connections;
-  bounds.requests_per_turn = limits.requests_a_turn;
-  bounds.first_request_timeout = limits.first_time;
-  bounds.request_timeout = limits.request_time;
-  bounds.crowded_idle_timeout = limits.client_rest;
-  bounds.silent_timeout = limits.client_silent;
-  bounds.linger_timeout = limits.client_linger;
-  bounds.linger_bytes = limits.linger_bytes;
-  bounds.idle_timeout = limits.client_idle;
-  bounds.reject_retry_after = limits.reject_wait;
+  bounds.requests_per_turn = limits.requests_per_turn;
+  bounds.first_request_timeout = limits.first_request_timeout;
+  bounds.request_timeout = limits.request_timeout;
+  bounds.crowded_idle_timeout = limits.client_crowded_idle_timeout;
+  bounds.silent_timeout = limits.client_silent_timeout;
+  bounds.linger_timeout = limits.client_linger_timeout;
+  bounds.linger_bytes = limits.client_linger_bytes;
+  bounds.idle_timeout = limits.client_idle_timeout;
+  bounds.reject_retry_after = limits.reject_retry_after;
   return bounds;
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,8 +1,9 @@
-// Structured log lines on spdlog: one event name and key-value fields a line, as text or as JSON.
+// Structured logging on top of spdlog: each line has an event name and key-value fields, as text or as JSON.
 //
 // Text:  2026-12-01 12:00:00.000 info  pool_left_out endpoint=e1 zone="first floor"
 // JSON:  {"time":"2026-12-01T12:00:00.000+00:00","level":"info","event":"pool_left_out","endpoint":"e1",...}
-// Values may hold any bytes: what is no UTF-8 is replaced, and no value can begin a line of its own.
+// Values may hold any bytes: invalid UTF-8 is replaced, and control characters are escaped, so that a value
+// can't forge a log line.
 #pragma once
 
 #include <spdlog/common.h>
@@ -14,7 +15,7 @@
 
 namespace opalroute::log {
 
-enum class Form { kText, kJson };
+enum class LineFormat { kText, kJson };
 using Level = spdlog::level::level_enum;
 
 struct Field {
@@ -23,13 +24,13 @@
 };
 using Fields = std::initializer_list<Field>;
 
-// Lines go to standard output from here on.
-void Start(Form form, Level level);
+// Sets up logging to standard output.
+void Start(LineFormat format, Level level);
 
-// What a line holds after its time and level.
-std::string Format(Form form, std::string_view event, Fields fields);
+// The part of a line after its time and level.
+std::string FormatLine(LineFormat format, std::string_view event, Fields fields);
 
-bool Writes(Level level);  // for lines whose fields cost something to gather
+bool IsEnabled(Level level);  // for lines whose fields are costly to build
 void Write(Level level, std::string_view event, Fields fields);
 inline void Debug(std::string_view event, Fields fields) { Write(Level::debug, event, fields); }
 inline void Info(std::string_view event, Fields fields) { Write(Level::info, event, fields); }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// The relay program: reads its configuration, serves until it is told to stop, and says what it has done.
+// The relay program: parses the command line, runs the relay until a signal stops it, or runs another
+// command.
 #include <signal.h>
 #include <sys/signalfd.h>
 #include <unistd.h>
@@ -25,7 +26,8 @@
 
 namespace {
 
-// Danger: a signal that comes before they are blocked ends the process, and SIGHUP means no such thing.
+// Must run before anything else is set up: until the signals are blocked each of them ends the process, also
+// SIGHUP, which is to reload the configuration.
 sigset_t BlockSignals() {
   sigset_t signals;
   sigemptyset(&signals);
@@ -34,17 +36,18 @@
   return signals;
 }
 
-class Signals : public opalroute::net::EventHandler {
+// Receives the blocked signals through the event loop: SIGHUP reloads, the others stop.
+class SignalHandler : public opalroute::net::EventHandler {
  public:
-  Signals(opalroute::net::EventLoop& loop, const sigset_t& signals, std::function<void()> stop,
-          std::function<void()> reload)
+  SignalHandler(opalroute::net::EventLoop& loop, const sigset_t& signals, std::function<void()> stop,
+                std::function<void()> reload)
       : loop_(loop),
         stop_(std::move(stop)),
         reload_(std::move(reload)),
         fd_(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC)) {
     if (fd_ < 0 || !loop_.Add(fd_, this)) throw std::system_error(errno, std::generic_category(), "signalfd");
   }
-  ~Signals() override {
+  ~SignalHandler() override {
     loop_.Remove(fd_);
     close(fd_);
   }
@@ -64,21 +67,21 @@
   int fd_;
 };
 
-std::optional<std::string> Variable(const char* name) {
+std::optional<std::string> EnvironmentVariable(const char* name) {
   const char* value = std::getenv(name);
   if (value == nullptr) return std::nullopt;
   return std::string(value);
 }
 
-int Run(const opalroute::Operator& settings) {
+int Run(const opalroute::OperatorSettings& settings) {
   const sigset_t blocked = BlockSignals();
-  const opalroute::Config config = opalroute::config::Load(Variable);
+  const opalroute::Config config = opalroute::config::Load(EnvironmentVariable);
   const opalroute::net::SystemClock clock;
   opalroute::net::EventLoop loop(clock);
   opalroute::Relay relay(loop, config, settings);
-  const Signals signals(
+  const SignalHandler signals(
       loop, blocked, [&] { relay.Stop([&] { loop.Stop(); }); },
-      [&] { relay.Reload([] { return opalroute::config::Reload(Variable); }); });
+      [&] { relay.Reload([] { return opalroute::config::Reload(EnvironmentVariable); }); });
   opalroute::log::Info("listening",
                        {{"name", config.name}, {"address", opalroute::net::FormatAddress(relay.address())}});
   loop.Run();
@@ -90,21 +93,24 @@
 
 int main(int argc, char** argv) {
   signal(SIGPIPE, SIG_IGN);
-  const opalroute::cli::Parsed parsed = opalroute::cli::Parse(argc, argv, Variable);
-  if (parsed.exits) return parsed.exit_code;
-  const opalroute::cli::Order& order = parsed.order;
-  if (order.command == opalroute::cli::Command::kSnapshot)
-    return opalroute::cli::PrintSnapshot(order.snapshot_of, order.as_json);
-  if (order.command == opalroute::cli::Command::kCheck) return opalroute::cli::Check(order, Variable);
-  if (order.command == opalroute::cli::Command::kZones)
-    return opalroute::cli::Zones(order.zones, order.as_json);
-  for (const std::string& fault : order.faults) std::cerr << fault << '\n';
-  if (!order.faults.empty()) return 2;
-  if (order.command == opalroute::cli::Command::kPool)
-    return opalroute::cli::PrintPool(order.pool_of, order.as_json, order.settings, Variable);
-  const opalroute::Operator& settings = order.settings;
-  opalroute::log::Start(settings.log_json ? opalroute::log::Form::kJson : opalroute::log::Form::kText,
-                        spdlog::level::from_str(settings.log_level));
+  const opalroute::cli::Parsed parsed = opalroute::cli::Parse(argc, argv, EnvironmentVariable);
+  if (parsed.should_exit) return parsed.exit_status;
+  const opalroute::cli::Invocation& invocation = parsed.invocation;
+  if (invocation.command == opalroute::cli::Command::kSnapshot)
+    return opalroute::cli::PrintSnapshot(invocation.snapshot_source, invocation.as_json);
+  if (invocation.command == opalroute::cli::Command::kCheck)
+    return opalroute::cli::Check(invocation, EnvironmentVariable);
+  if (invocation.command == opalroute::cli::Command::kZones)
+    return opalroute::cli::Zones(invocation.zones, invocation.as_json);
+  for (const std::string& error : invocation.errors) std::cerr << error << '\n';
+  if (!invocation.errors.empty()) return 2;
+  if (invocation.command == opalroute::cli::Command::kPool)
+    return opalroute::cli::PrintPool(invocation.pool_source, invocation.as_json, invocation.settings,
+                                     EnvironmentVariable);
+  const opalroute::OperatorSettings& settings = invocation.settings;
+  opalroute::log::Start(
+      settings.log_json ? opalroute::log::LineFormat::kJson : opalroute::log::LineFormat::kText,
+      spdlog::level::from_str(settings.log_level));
   try {
     return Run(settings);
   } catch (const std::exception& error) {
--- a/src/metrics/counters.h
+++ b/src/metrics/counters.h
@@ -1,4 +1,5 @@
-// What the relay has taken in, sent and answered since its start.
+// Counters of the relay since the start of the process. Operators' tools read the keys that ToJson writes, so
+// they must not change.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,64 +9,71 @@
 namespace opalroute {
 
 struct Counters {
-  long requests = 0, taken_on = 0, restored = 0;
-  long bad_requests = 0, rejects_full = 0, rejects_disk = 0, rejects_stopping = 0, withdrawn = 0;
-  long calls = 0, attempts = 0, probes = 0, not_left = 0;
-  long served = 0, errors = 0, full = 0, timeouts = 0, connect_failed = 0, resets = 0, cancelled = 0,
-       not_sent = 0, crowded = 0;
-  long delivered = 0, given_up = 0, handed_back = 0, notices_arrived = 0;
-  long pool_news = 0, pool_failures = 0, journal_failures = 0, reloads = 0, reload_failures = 0;
-  long endpoints = 0;       // known now
-  long upstream_tries = 0;  // messages written whole to endpoints
+  // Requests from clients; recovered: from the journal after a restart; aborted: the client disconnected
+  // before it had the whole response.
+  long requests = 0, accepted = 0, recovered = 0;
+  long bad_requests = 0, rejects_full = 0, rejects_disk = 0, rejects_stopping = 0, aborted = 0;
+  // Calls and attempts; withheld: not sent once there was a connection, as sending was no longer allowed.
+  long calls = 0, attempts = 0, health_checks = 0, withheld = 0;
+  // Outcomes of attempts
+  long served = 0, errors = 0, rejections = 0, timeouts = 0, connect_failed = 0, resets = 0, cancelled = 0,
+       not_sent = 0, out_of_connections = 0;
+  // Outcomes of requests
+  long delivered = 0, failed = 0, rejected_after_accept = 0, notifications_acknowledged = 0;
+  long list_updates = 0, watch_failures = 0, journal_failures = 0, reloads = 0, reload_failures = 0;
+  long endpoints = 0;         // in the endpoint table now
+  long requests_written = 0;  // to endpoints, up to the last byte
 
-  struct OfClass {
-    long passed = 0, dropped = 0, bad_gateway = 0;  // delivered; refused or handed back; failed
+  struct ClassCounters {
+    long delivered = 0;
+    long rejected = 0;  // on arrival or after they were accepted
+    long failed = 0;
   };
-  std::vector<OfClass> classes;  // in the settings' order
+  std::vector<ClassCounters> classes;  // in the settings' order
 
-  void Passed(int message_class) { ++delivered, ++Of(message_class).passed; }
-  OfClass& Of(int message_class) {
-    const bool known = message_class >= 0 && message_class < static_cast<int>(classes.size());
-    return known ? classes[static_cast<std::size_t>(message_class)] : of_none_;
+  void CountDelivered(int request_class) { ++delivered, ++ForClass(request_class).delivered; }
+  ClassCounters& ForClass(int request_class) {
+    const bool known = request_class >= 0 && request_class < static_cast<int>(classes.size());
+    return known ? classes[static_cast<std::size_t>(request_class)] : unknown_class_;
   }
 
   nlohmann::ordered_json ToJson() const {
     return {{"requests", requests},
-            {"taken_on", taken_on},
-            {"restored", restored},
+            {"taken_on", accepted},
+            {"restored", recovered},
             {"bad_requests", bad_requests},
             {"rejects_full", rejects_full},
             {"rejects_disk", rejects_disk},
             {"rejects_stopping", rejects_stopping},
-            {"withdrawn", withdrawn},
+            {"withdrawn", aborted},
             {"calls", calls},
             {"attempts", attempts},
-            {"probes", probes},
-            {"not_left", not_left},
+            {"probes", health_checks},
+            {"not_left", withheld},
             {"served", served},
             {"errors", errors},
-            {"full", full},
+            {"full", rejections},
             {"timeouts", timeouts},
             {"connect_failed", connect_failed},
             {"resets", resets},
             {"cancelled", cancelled},
             {"not_sent", not_sent},
-            {"crowded", crowded},
+            {"crowded", out_of_connections},
             {"delivered", delivered},
-            {"given_up", given_up},
-            {"handed_back", handed_back},
-            {"notices_arrived", notices_arrived},
-            {"pool_news", pool_news},
-            {"pool_failures", pool_failures},
+            {"given_up", failed},
+            {"handed_back", rejected_after_accept},
+            {"notices_arrived", notifications_acknowledged},
+            {"pool_news", list_updates},
+            {"pool_failures", watch_failures},
             {"journal_failures", journal_failures},
             {"reloads", reloads},
             {"reload_failures", reload_failures},
             {"endpoints", endpoints}};
   }
-  std::string Print() const { return ToJson().dump(); }
+  std::string ToJsonText() const { return ToJson().dump(); }
 
  private:
-  OfClass of_none_;  // of a class that the settings have lost
+  ClassCounters unknown_class_;  // of recovered requests whose class is no longer in the settings
 };
 
 }  // namespace opalroute
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -12,7 +12,7 @@
  public:
   Attempt(FailureNotifier& notifier, std::size_t lines)
       : loop_(notifier.loop_), notifier_(notifier), lines_(lines) {
-    timer_ = loop_.At(loop_.Now() + notifier_.limits_.notice_time_most, [this] {
+    timer_ = loop_.At(loop_.Now() + notifier_.limits_.notification_attempt_timeout, [this] {
       timer_ = 0;
       notifier_.client_.Abandon(*this);
       notifier_.OnNoResponse(*this, "no response in time");
@@ -76,15 +76,15 @@
   if (queue_.empty()) return;
   // The idle connections may all be dead, so a further attempt opens a new one.
   if (!attempts_.empty()) client_.CloseIdle({to_});
-  if (attempts_.size() < limits_.notice_tries) {
-    attempts_.push_back(
-        std::make_unique<Attempt>(*this, std::min(queue_.size(), one_by_one_ ? 1 : limits_.notice_lines)));
+  if (attempts_.size() < limits_.concurrent_notification_attempts) {
+    attempts_.push_back(std::make_unique<Attempt>(
+        *this, std::min(queue_.size(), one_by_one_ ? 1 : limits_.notifications_per_request)));
     Attempt& attempt = *attempts_.back();
-    SendAfter(limits_.notice_time);
+    SendAfter(limits_.notification_attempt_interval);
     client_.Start({to_}, attempt);  // may fail immediately and then schedules the next attempt itself
     return;
   }
-  SendAfter(limits_.notice_time);
+  SendAfter(limits_.notification_attempt_interval);
 }
 
 void FailureNotifier::SendAfter(net::Seconds delay) {
@@ -132,7 +132,8 @@
   log::Warn("notifications_delayed", {{"lines", queue_.size()}, {"why", why}});
   ++failures_;
   const bool quick = failures_ <= kQuickRetries;
-  backoff_ = quick ? limits_.notice_backoff : std::min(limits_.notice_backoff_most, 2 * backoff_);
+  backoff_ =
+      quick ? limits_.notification_min_backoff : std::min(limits_.notification_max_backoff, 2 * backoff_);
   SendAfter(backoff_);
 }
 
--- a/src/relay/client_bounds.cpp
+++ b/src/relay/client_bounds.cpp
@@ -11,7 +11,7 @@
 // The size of a request in a batch: Base64 turns three bytes into four, and the JSON around the body holds a
 // few names.
 std::size_t EncodedRequestBytes(const Limits& limits) {
-  return limits.body_bytes * 4 / 3 + 4 * limits.name_bytes;
+  return limits.body_bytes * 4 / 3 + 4 * limits.identifier_bytes;
 }
 
 std::size_t MaxBatch(const Config& config) {
@@ -27,24 +27,24 @@
 net::ClientBounds EndpointClientBounds(const Config& config) {
   const Limits& limits = config.limits;
   net::ClientBounds bounds;
-  bounds.http = {limits.head_bytes, limits.header_count, 4 * limits.body_bytes, limits.interim_answers};
+  bounds.http = {limits.head_bytes, limits.header_count, 4 * limits.body_bytes, limits.interim_responses};
   bounds.request_bytes = limits.head_bytes + MaxBatch(config) * EncodedRequestBytes(limits);
   bounds.connections = limits.upstream_connections;
-  bounds.connect_timeout = limits.connect_time;
-  bounds.idle_timeout = limits.upstream_idle;
-  bounds.response_timeout = limits.answer_time;
-  bounds.response_rest_timeout = limits.answer_rest;
+  bounds.connect_timeout = limits.upstream_connect_timeout;
+  bounds.idle_timeout = limits.upstream_idle_timeout;
+  bounds.response_timeout = limits.upstream_response_timeout;
+  bounds.response_rest_timeout = limits.upstream_response_rest_timeout;
   return bounds;
 }
 
 net::ClientBounds PlatformClientBounds(const Limits& limits) {
   net::ClientBounds bounds;
-  bounds.http = {limits.head_bytes, limits.header_count, limits.list_bytes};
-  bounds.request_bytes = limits.head_bytes + limits.notice_lines * 4 * limits.name_bytes;
+  bounds.http = {limits.head_bytes, limits.header_count, limits.endpoint_list_bytes};
+  bounds.request_bytes = limits.head_bytes + limits.notifications_per_request * 4 * limits.identifier_bytes;
   bounds.connections = kPlatformConnections;
-  bounds.connect_timeout = limits.notice_time_most;
-  bounds.idle_timeout = limits.upstream_idle;
-  bounds.response_timeout = limits.list_time;
+  bounds.connect_timeout = limits.notification_attempt_timeout;
+  bounds.idle_timeout = limits.upstream_idle_timeout;
+  bounds.response_timeout = limits.platform_response_timeout;
   return bounds;
 }
 
--- a/src/relay/clock_persister.cpp
+++ b/src/relay/clock_persister.cpp
@@ -20,7 +20,7 @@
   if (!std::exchange(failure_logged_, true)) {
     log::Warn("clock_not_persisted", {{"folder", config_.state_folder}, {"why", std::strerror(errno)}});
   }
-  timer_.Start(loop_.Now() + config_.limits.state_poll, [this] { Persist(); });
+  timer_.Start(loop_.Now() + config_.limits.state_poll_interval, [this] { Persist(); });
 }
 
 }  // namespace opalroute
--- a/src/relay/endpoint_suspension.cpp
+++ b/src/relay/endpoint_suspension.cpp
@@ -9,7 +9,7 @@
     : config_(config),
       endpoints_(endpoints),
       decisions_(decisions),
-      suspended_(config.state_folder, config.limits.ban_bytes) {
+      suspended_(config.state_folder, config.limits.suspended_file_bytes) {
   endpoints_.SetSuspended(suspended_.ids());
 }
 
--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -153,7 +153,7 @@
   }
   Endpoint& endpoint = endpoints_.at(entry->endpoint);
   UpdateEndpoint(endpoint, *entry, record.address);
-  if (ever_listed_.size() < config_.limits.ids_remembered) ever_listed_.insert(record.id);
+  if (ever_listed_.size() < config_.limits.remembered_endpoint_ids) ever_listed_.insert(record.id);
   const EndpointStatus before = std::exchange(endpoint.listed_endpoint, *entry).status;
   if (before != entry->status) LogState(endpoint, before);
   update.entries.push_back(WithSuspension(endpoint));
@@ -239,12 +239,13 @@
 }
 
 // A destination that has lost its last endpoint usually gets another one soon, so its requests are still
-// accepted for Limits::destination_rest.
+// accepted for Limits::empty_destination_grace_period.
 void EndpointTable::ForgetEmptyDestinations() {
   for (auto it = destinations_.begin(); it != destinations_.end();) {
     const DestinationState& destination = it->second;
-    const bool expired = destination.listed_endpoints == 0 &&
-                         destination.last_removal + config_.limits.destination_rest < loop_.Now();
+    const bool expired =
+        destination.listed_endpoints == 0 &&
+        destination.last_removal + config_.limits.empty_destination_grace_period < loop_.Now();
     it = expired ? destinations_.erase(it) : std::next(it);
   }
 }
--- a/src/relay/endpoint_table.h
+++ b/src/relay/endpoint_table.h
@@ -49,8 +49,8 @@
   // Suspends these endpoints and resumes all others. The decision module sees a suspended endpoint as
   // draining, whatever its status in the list. Returns the entries that change.
   ListUpdate SetSuspended(const std::set<std::string>& ids);
-  // Whether an update has named the endpoint since the process started. At most Limits::ids_remembered ids
-  // are kept.
+  // Whether an update has named the endpoint since the process started. At most
+  // Limits::remembered_endpoint_ids ids are kept.
   bool WasListed(const std::string& id) const { return ever_listed_.count(id) > 0; }
   std::vector<EndpointId> Listed() const;
 
--- a/src/relay/membership_host.cpp
+++ b/src/relay/membership_host.cpp
@@ -21,28 +21,29 @@
 }  // namespace
 
 zone_failover::FailoverOptions MembershipHost::OptionsOf(const Config& config,
-                                                         const Operator::Tier& settings) {
+                                                         const OperatorSettings::Fleet& settings) {
   zone_failover::FailoverOptions options;
   options.membership.fleet_size = static_cast<int>(config.peers.size());
   options.membership.own_peer = config.own_peer;
-  options.membership.max_message_bytes = config.limits.datagram_bytes;
+  options.membership.max_message_bytes = config.limits.peer_datagram_bytes;
   options.zones = static_cast<int>(config.zones.size());
-  options.share_quotas = settings.shares;
-  options.evacuate_zones = settings.zones;
+  options.share_quotas = settings.share_quotas;
+  options.evacuate_zones = settings.evacuate_zones;
   options.evacuation.slow_start_initial_share = config.settings.slow_start_initial_share;
   options.evacuation.slow_start_duration = config.settings.slow_start_duration;
   return options;
 }
 
 MembershipHost::MembershipHost(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
-                               const Operator::Tier& settings, const EndpointTable& endpoints, Owner& owner)
+                               const OperatorSettings::Fleet& settings, const EndpointTable& endpoints,
+                               Owner& owner)
     : loop_(loop),
       clock_(clock),
       config_(config),
       endpoints_(endpoints),
       owner_(owner),
       file_(config.state_folder),
-      saved_(file_.Load(config.name, config.zones, clock.Micros(), config.limits.tier_kept)),
+      saved_(file_.Load(config.name, config.zones, clock.Micros(), config.limits.zone_state_max_age)),
       incarnation_(NewIncarnation(clock.Micros(), saved_.incarnation)),
       failover_(OptionsOf(config, settings), incarnation_, config.settings.seed, loop.Now(), saved_.zones),
       share_count_(static_cast<double>(config.peers.size())) {
--- a/src/relay/membership_host.h
+++ b/src/relay/membership_host.h
@@ -35,7 +35,7 @@
 
   // Reads the state file and writes the new incarnation to it. All references must outlive the host.
   MembershipHost(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
-                 const Operator::Tier& settings, const EndpointTable& endpoints, Owner& owner);
+                 const OperatorSettings::Fleet& settings, const EndpointTable& endpoints, Owner& owner);
   ~MembershipHost();
   MembershipHost(const MembershipHost&) = delete;
   MembershipHost& operator=(const MembershipHost&) = delete;
@@ -66,7 +66,8 @@
   nlohmann::ordered_json Print() const;
 
  private:
-  static zone_failover::FailoverOptions OptionsOf(const Config& config, const Operator::Tier& settings);
+  static zone_failover::FailoverOptions OptionsOf(const Config& config,
+                                                  const OperatorSettings::Fleet& settings);
   void Tick();
   void Apply(zone_failover::ZoneFailover::Actions& actions);
   void PostEvent(Event& event);
--- a/src/relay/operations_metrics.cpp
+++ b/src/relay/operations_metrics.cpp
@@ -10,10 +10,10 @@
 std::string ClassLines(const Config& config, const Counters& counters) {
   std::string text;
   for (std::size_t i = 0; i < config.classes.size(); ++i) {
-    const Counters::OfClass& of_class = counters.classes[i];
-    text += Line("passed." + config.classes[i], of_class.passed);
-    text += Line("dropped." + config.classes[i], of_class.dropped);
-    text += Line("bad_gateway." + config.classes[i], of_class.bad_gateway);
+    const Counters::ClassCounters& of_class = counters.classes[i];
+    text += Line("passed." + config.classes[i], of_class.delivered);
+    text += Line("dropped." + config.classes[i], of_class.rejected);
+    text += Line("bad_gateway." + config.classes[i], of_class.failed);
   }
   return text;
 }
@@ -29,7 +29,7 @@
     if (!decisions.router().MaySend(now, id)) ++skipped;
   }
   std::string text = ClassLines(config, counters);
-  text += Line("upstream_tries", counters.upstream_tries);
+  text += Line("upstream_tries", counters.requests_written);
   text += Line("in_progress", requests.open());
   text += Line("known_endpoints", known);
   text += Line("skipped_endpoints", skipped);
--- a/src/relay/peer_network.cpp
+++ b/src/relay/peer_network.cpp
@@ -31,7 +31,7 @@
 
 void PeerNetwork::Open() {
   socket_ = std::make_unique<net::DatagramSocket>(
-      loop_, *config_.peer_listen, config_.limits.datagram_bytes,
+      loop_, *config_.peer_listen, config_.limits.peer_datagram_bytes,
       [this](const sockaddr_in& from, std::string payload) {
         if (const auto peer = PeerAt(from)) handler_.OnPeerDatagram(*peer, std::move(payload));
       },
@@ -47,8 +47,8 @@
 
 void PeerNetwork::Broadcast(const std::string& payload, bool one_by_one) {
   if (!socket_) return;
-  if (config_.peers_all) {
-    socket_->Send(*config_.peers_all, payload);
+  if (config_.broadcast_address) {
+    socket_->Send(*config_.broadcast_address, payload);
     return;
   }
   if (!one_by_one) return;
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -13,7 +13,7 @@
 
 namespace opalroute {
 
-Relay::Relay(net::EventLoop& loop, const Config& config, const Operator& settings)
+Relay::Relay(net::EventLoop& loop, const Config& config, const OperatorSettings& settings)
     : loop_(loop),
       config_(config),
       settings_(settings),
@@ -40,7 +40,7 @@
                  merged_source_ ? static_cast<EndpointSource::Listener&>(*merged_source_) : *this),
       notifier_(loop, platform_client_, config.discovery, config.limits,
                 [this](const std::string& request) {
-                  ++counters_.notices_arrived;
+                  ++counters_.notifications_acknowledged;
                   if (!journal_.RecordEnd(request)) ++counters_.journal_failures;
                   CheckStopped();
                 }),
@@ -70,8 +70,9 @@
   ApplyCachedList();
   // Started before recovered requests are sent: their endpoints may still be failing, and other relays know
   // which.
-  if (settings.learn.on()) StartUnlessUnsupported("state transfer", [this] { StartStateTransfer(); });
-  if (settings.tier.on()) JoinFleet();
+  if (settings.state_transfer.enabled())
+    StartUnlessUnsupported("state transfer", [this] { StartStateTransfer(); });
+  if (settings.fleet.enabled()) JoinFleet();
   recovery_.RecoverAll();
   has_list_ = !endpoints_.empty();
   if (IsHotRestart()) PollStateFolder();
@@ -83,7 +84,7 @@
 void Relay::StartAdminServer() {
   AdminServer::Pages pages;
   pages.push_back({"/pool", [this] { return PrintEndpoints(); }});
-  pages.push_back({"/counters", [this] { return counters_.Print(); }});
+  pages.push_back({"/counters", [this] { return counters_.ToJsonText(); }});
   pages.push_back({"/zones", [this] { return PrintZones(); }});
   AdminServer::Commands commands;
   commands.push_back({"/zones", [this](const std::string& body) { return OnZoneCommand(body); }});
@@ -98,8 +99,8 @@
 }
 
 void Relay::StartStateTransfer() {
-  state_transfer_ = std::make_unique<state_transfer::StateTransfer>(loop_, clock_, config_, settings_.learn,
-                                                                    transfer_host_);
+  state_transfer_ = std::make_unique<state_transfer::StateTransfer>(loop_, clock_, config_,
+                                                                    settings_.state_transfer, transfer_host_);
 }
 
 // Membership needs gossip with all other relays, and this relay's index in `peers`.
@@ -107,7 +108,7 @@
   const char* missing = nullptr;
   if (!peers_.available()) {
     missing = "'peer_listen' is not set";
-  } else if (!config_.may_tell_peers) {
+  } else if (!config_.may_gossip) {
     missing = "the settings do not allow gossip between relays";
   } else if (config_.peers.size() < 2) {
     missing = "'peers' lists no other relay";
@@ -121,14 +122,14 @@
     return;
   }
   MembershipHost::Owner& owner = *this;
-  membership_ = std::make_unique<MembershipHost>(loop_, clock_, config_, settings_.tier, endpoints_, owner);
+  membership_ = std::make_unique<MembershipHost>(loop_, clock_, config_, settings_.fleet, endpoints_, owner);
 }
 
 // ---- the endpoint list ---------------------------------------------------------------------------
 
 // Applies the endpoint list that the configuration caches from an earlier process of this relay.
 void Relay::ApplyCachedList() {
-  const auto known = config_.known.is_null() ? std::nullopt : ParseEndpointList(config_.known);
+  const auto known = config_.cached_list.is_null() ? std::nullopt : ParseEndpointList(config_.cached_list);
   if (known) discovery_.Resume(known->generation);
   EndpointListUpdate list;
   list.complete = true;
@@ -138,7 +139,7 @@
 }
 
 void Relay::OnEndpointList(const EndpointListUpdate& update) {
-  ++counters_.pool_news;
+  ++counters_.list_updates;
   if (update.from_list) {
     log::Info("endpoint_list_updated", {{"generation", update.generation},
                                         {"complete", update.complete},
@@ -159,7 +160,7 @@
 void Relay::OnListConfirmed() { decisions_.Post(ListConfirmed{}); }
 
 void Relay::OnWatchFailed() {
-  ++counters_.pool_failures;
+  ++counters_.watch_failures;
   decisions_.Post(ListUpdate{ListScope::kWatchFailed, {}, true});
 }
 
@@ -169,7 +170,7 @@
   try {
     const Config fresh = read();
     ++counters_.reloads;
-    for (const std::string& key : config::KeysForRestart(config_, fresh)) {
+    for (const std::string& key : config::KeysNeedingRestart(config_, fresh)) {
       log::Warn("reload_key_waits", {{"key", key}, {"why", "takes effect at the next start"}});
     }
     MoveDiscovery(fresh.discovery);
@@ -223,7 +224,7 @@
 
 net::HttpResponse Relay::OnZoneCommand(const std::string& body) {
   constexpr int kConflict = 409;
-  if (!membership_ || !settings_.tier.zones)
+  if (!membership_ || !settings_.fleet.evacuate_zones)
     return net::PlainTextResponse(kConflict, "tier.zones is not enabled on this relay");
   return HandleZoneCommand(body, [this](const ZoneCommand& command) {
     return membership_->ApplyCommand(command.zone, command.override_kind, command.duration);
@@ -307,7 +308,7 @@
 // Picks up what another process of this relay has written to the state folder, and takes over from it if it
 // has ended.
 void Relay::PollStateFolder() {
-  poll_timer_.Start(loop_.Now() + config_.limits.state_poll, [this] { PollStateFolder(); });
+  poll_timer_.Start(loop_.Now() + config_.limits.state_poll_interval, [this] { PollStateFolder(); });
   suspension_.Refresh();
   if (stopping_) return;
   recovery_.RecoverFromOtherProcess();
@@ -326,9 +327,9 @@
   }
   // In a hot restart the next process takes over the waiting requests as soon as this one ends, so this one
   // sends nothing more.
-  const Seconds time_left = IsHotRestart() ? 0 : config_.limits.stop_time;
+  const Seconds time_left = IsHotRestart() ? 0 : config_.limits.shutdown_timeout;
   decisions_.Post(ShutdownStarted{time_left});
-  stop_timer_.Start(loop_.Now() + config_.limits.stop_take_on, [this] { EndAcceptPeriod(); });
+  stop_timer_.Start(loop_.Now() + config_.limits.shutdown_accept_period, [this] { EndAcceptPeriod(); });
 }
 
 void Relay::EndAcceptPeriod() {
@@ -337,7 +338,7 @@
   // from the journal.
   if (!IsHotRestart()) intake_.StopAccepting();
   server_.http().CloseIdle();
-  const Seconds rest = config_.limits.stop_time - config_.limits.stop_take_on;
+  const Seconds rest = config_.limits.shutdown_timeout - config_.limits.shutdown_accept_period;
   stop_timer_.Start(loop_.Now() + rest, [this] { Shutdown(); });
   CheckStopped();
 }
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -52,10 +52,10 @@
   // Starts listening, recovers the requests that an earlier process had accepted, and starts watching the
   // endpoint list. `config` must outlive the relay. Throws std::system_error if an address or the state
   // folder can't be used, and std::runtime_error if no process slot is free.
-  Relay(net::EventLoop& loop, const Config& config, const Operator& settings = {});
+  Relay(net::EventLoop& loop, const Config& config, const OperatorSettings& settings = {});
 
   // Starts the graceful shutdown: completes the work in flight and calls `on_stopped` when that is done or
-  // Limits::stop_time is over.
+  // Limits::shutdown_timeout is over.
   void Stop(std::function<void()> on_stopped);
 
   // Reads the configuration again and applies the one setting that can change at run time, the address of
@@ -122,7 +122,7 @@
 
   net::EventLoop& loop_;
   const Config& config_;
-  const Operator settings_;
+  const OperatorSettings settings_;
   Counters counters_;
   hot_restart::ProcessLock process_lock_;
   PersistentClock clock_;
@@ -154,7 +154,7 @@
   bool has_list_ = false;         // from discovery, the cached list or another endpoint source
   bool list_is_current_ = false;  // discovery has sent a list since the start
   bool stopping_ = false;
-  bool accept_period_over_ = false;  // Limits::stop_take_on has passed since Stop
+  bool accept_period_over_ = false;  // Limits::shutdown_accept_period has passed since Stop
   std::function<void()> on_stopped_;
   net::Timer stop_timer_;
   net::Timer poll_timer_;
--- a/src/relay/request_ending.cpp
+++ b/src/relay/request_ending.cpp
@@ -45,18 +45,18 @@
 }
 
 void RequestEnding::Count(int request_class, FinalOutcome outcome) {
-  Counters::OfClass& of_class = counters_.Of(request_class);
+  Counters::ClassCounters& of_class = counters_.ForClass(request_class);
   if (outcome == FinalOutcome::kFailed) {
-    ++counters_.given_up;
-    ++of_class.bad_gateway;
+    ++counters_.failed;
+    ++of_class.failed;
   } else {
-    ++counters_.handed_back;
-    ++of_class.dropped;
+    ++counters_.rejected_after_accept;
+    ++of_class.rejected;
   }
 }
 
 void RequestEnding::LogEnd(const AcceptedRequest& request, FinalOutcome outcome) const {
-  if (!log::Writes(log::Level::debug)) return;
+  if (!log::IsEnabled(log::Level::debug)) return;
   log::Debug("request_ended",
              {{"id", request.id},
               {"outcome", NameOf(outcome)},
--- a/src/relay/request_intake.cpp
+++ b/src/relay/request_intake.cpp
@@ -23,7 +23,7 @@
   if (!dependencies_.endpoints.Serves(request.destination)) {
     return list_is_current_ ? AcceptResult::kUnknownDestination : AcceptResult::kListNotYetCurrent;
   }
-  if (dependencies_.requests.open() >= dependencies_.config.limits.open_transactions)
+  if (dependencies_.requests.open() >= dependencies_.config.limits.open_requests)
     return AcceptResult::kAtCapacity;
   NewRequest accepted;
   accepted.request_class = request.request_class;
@@ -33,7 +33,7 @@
   accepted.request_id = dependencies_.requests.Accept(std::move(request));
   const bool recorded = accepted.request_id != 0;
   if (!recorded) return AcceptResult::kNotRecorded;
-  ++dependencies_.counters.taken_on;
+  ++dependencies_.counters.accepted;
   ticket = accepted.request_id;
   dependencies_.decisions.Post(std::move(accepted));
   return AcceptResult::kAccepted;
@@ -42,7 +42,7 @@
 void RequestIntake::Abort(std::uint64_t ticket) {
   const AcceptedRequest* request = dependencies_.requests.Find(ticket);
   if (request == nullptr || request->ended) return;
-  ++dependencies_.counters.withdrawn;
+  ++dependencies_.counters.aborted;
   dependencies_.calls.EndWithoutOutcome(ticket);
 }
 
--- a/src/relay/request_recovery.cpp
+++ b/src/relay/request_recovery.cpp
@@ -27,10 +27,11 @@
   return process_slot == 0 ? "journal" : "journal." + std::to_string(process_slot);
 }
 
-std::size_t JournalBudget(const Config& config, const Operator& settings) {
-  const std::size_t snapshot = settings.learn.state ? config.limits.learn_file_bytes : 0;
-  const std::size_t membership = settings.tier.on() ? MembershipFile::kMaxDiskBytes : 0;
-  const std::size_t suspended = 2 * config.limits.ban_bytes;  // the file and its replacement
+std::size_t JournalBudget(const Config& config, const OperatorSettings& settings) {
+  const std::size_t snapshot =
+      settings.state_transfer.use_state_folder ? config.limits.snapshot_file_bytes : 0;
+  const std::size_t membership = settings.fleet.enabled() ? MembershipFile::kMaxDiskBytes : 0;
+  const std::size_t suspended = 2 * config.limits.suspended_file_bytes;  // the file and its replacement
   const std::size_t other_files = snapshot + membership + PersistentClock::kMostBytes + suspended;
   const std::size_t disk = config.limits.disk_bytes;
   const std::size_t rest = disk - std::min(disk / 2, other_files);
@@ -49,7 +50,7 @@
   // A copy, since recovering an entry may write to the journal and change its entries.
   const auto entries = dependencies_.journal.entries();
   for (const auto& [number, entry] : entries) Recover(entry);
-  dependencies_.counters.restored = static_cast<long>(entries.size());
+  dependencies_.counters.recovered = static_cast<long>(entries.size());
   if (!entries.empty()) log::Info("requests_recovered", {{"requests", entries.size()}});
 }
 
@@ -104,7 +105,7 @@
   const int tenant = IndexOf(dependencies_.config.tenants, entry.tenant);
   if (tenant >= 0) request.tenant = tenant;
   request.remaining_time = std::clamp(static_cast<double>(entry.deadline - now) / kMicrosecondsPerSecond, 0.0,
-                                      dependencies_.config.limits.longest_remaining);
+                                      dependencies_.config.limits.max_remaining_time);
   request.request_id = dependencies_.requests.Recover(entry, request.remaining_time);
   return request;
 }
--- a/src/relay/request_recovery.h
+++ b/src/relay/request_recovery.h
@@ -27,7 +27,7 @@
 
 // The disk space, in bytes, for the journal of one process. With hot restart, where two processes may run at
 // once, each gets half.
-std::size_t JournalBudget(const Config& config, const Operator& settings);
+std::size_t JournalBudget(const Config& config, const OperatorSettings& settings);
 
 class RequestRecovery {
  public:
--- a/src/relay/retry_after_sharing.cpp
+++ b/src/relay/retry_after_sharing.cpp
@@ -28,7 +28,7 @@
       clock_(clock),
       endpoints_(endpoints),
       decisions_(decisions),
-      table_(config.state_folder, own_process_slot, other_process_slot, config.limits.shared_waits) {}
+      table_(config.state_folder, own_process_slot, other_process_slot, config.limits.shared_retry_afters) {}
 
 void RetryAfterSharing::Publish(EndpointId id, Seconds retry_after) {
   const EndpointTable::Endpoint& endpoint = endpoints_.At(id);
--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -116,7 +116,7 @@
 
 void UpstreamCalls::LogSendDecision(const char* event, const UpstreamCall& call,
                                     const UpstreamCall::Member& member, const char* why) const {
-  if (!log::Writes(log::Level::debug)) return;
+  if (!log::IsEnabled(log::Level::debug)) return;
   const EndpointTable::ListVersion& list = endpoints_.version();
   log::Debug(event, {{"id", member.id},
                      {"attempt", member.attempt},
@@ -129,7 +129,7 @@
 bool UpstreamCalls::MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) {
   const char* why = ReasonNotToSend(call, member, requests_.At(member.request_id));
   if (why == nullptr) return true;
-  ++counters_.not_left;
+  ++counters_.withheld;
   LogSendDecision("attempt_not_sent", call, member, why);
   return false;
 }
@@ -154,7 +154,7 @@
     case Outcome::kError:
       return counters_.errors;
     case Outcome::kRejected:
-      return counters_.full;
+      return counters_.rejections;
     case Outcome::kTimeout:
       return counters_.timeouts;
     case Outcome::kConnectFailed:
@@ -164,7 +164,7 @@
     case Outcome::kCancelled:
       return counters_.cancelled;
     case Outcome::kOutOfConnections:
-      return counters_.crowded;
+      return counters_.out_of_connections;
     case Outcome::kNotSent:
     case Outcome::kLocalShortage:
       break;
@@ -183,7 +183,7 @@
   AttemptOutcome event = outcome;
   event.request_ended = outcome.request_ended || request.ended;
   if (!request.ended && outcome.request_ended) {
-    if (outcome.outcome == Outcome::kServed) counters_.Passed(request.request_class);
+    if (outcome.outcome == Outcome::kServed) counters_.CountDelivered(request.request_class);
     requests_.End(request);
   } else if (!request.ended && decision::ProvesNeverRan(outcome.outcome)) {
     requests_.RecordNotExecuted(request, member.attempt);
@@ -193,7 +193,7 @@
 }
 
 void UpstreamCalls::LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const {
-  if (!log::Writes(log::Level::debug)) return;
+  if (!log::IsEnabled(log::Level::debug)) return;
   log::Debug("attempt_ended",
              {{"id", request.id},
               {"attempt", outcome.attempt},
@@ -206,7 +206,7 @@
 
 void UpstreamCalls::OnServedLate(RequestId id) {
   const AcceptedRequest* request = requests_.Find(id);
-  if (request != nullptr && !request->ended) counters_.Passed(request->request_class);
+  if (request != nullptr && !request->ended) counters_.CountDelivered(request->request_class);
   EndWithoutOutcome(id);
 }
 
@@ -228,7 +228,7 @@
 }
 
 void UpstreamCalls::StartHealthCheck(EndpointId endpoint) {
-  ++counters_.probes;
+  ++counters_.health_checks;
   EndpointTable::Endpoint& to = endpoints_.At(endpoint);
   ++to.calls_in_flight;
   const auto may_send = [this, endpoint] { return decisions_.router().MaySend(loop_.Now(), endpoint); };
@@ -240,7 +240,7 @@
     decisions_.Post(outcome);
   };
   auto owned = std::make_unique<HealthCheckCall>(loop_, client_, endpoint, to.address,
-                                                 config_.limits.connect_time, may_send, done);
+                                                 config_.limits.upstream_connect_timeout, may_send, done);
   HealthCheckCall* check = owned.get();
   health_checks_.emplace(check, std::move(owned));
   check->Start();
--- a/src/relay/upstream_calls.h
+++ b/src/relay/upstream_calls.h
@@ -49,7 +49,7 @@
   bool RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) override;
   void OnOutcome(const UpstreamCall& call, const UpstreamCall::Member& member,
                  const AttemptOutcome& outcome) override;
-  void OnWritten(int requests) override { counters_.upstream_tries += requests; }
+  void OnWritten(int requests) override { counters_.requests_written += requests; }
   void OnServedLate(RequestId request) override;
   void OnCallEnded(UpstreamCall& call) override;
   void StartCall(EndpointId endpoint, Batch members);
--- a/src/simulator/adapter.cpp
+++ b/src/simulator/adapter.cpp
@@ -9,7 +9,7 @@
 
 using config::Get;
 using config::GetOr;
-using config::Need;
+using config::Require;
 using nlohmann::json;
 
 namespace {
@@ -18,7 +18,7 @@
   try {
     return json::parse(line);
   } catch (const json::parse_error& error) {
-    throw WireError("no JSON at byte " + std::to_string(error.byte));
+    throw InputError("invalid JSON at byte " + std::to_string(error.byte));
   }
 }
 
@@ -27,24 +27,24 @@
 std::string Adapter::Reply(const std::string& line) {
   const json batch = ParseBatch(line);
   const auto now = Get<double>(batch, "tsS");
-  const json& events = Need(batch, "in");
-  if (!events.is_array()) throw WireError("field 'in' is no array");
-  std::vector<std::string> reached;  // in the order of their first events
+  const json& events = Require(batch, "in");
+  if (!events.is_array()) throw InputError("field 'in' is not an array");
+  std::vector<std::string> affected;  // instances, in the order of their first events
   std::set<std::string> seen;
   for (std::size_t i = 0; i < events.size(); ++i) {
     try {
       const std::string name = HandleEvent(now, events[i]);
-      if (!name.empty() && seen.insert(name).second) reached.push_back(name);
-    } catch (const WireError& error) {
-      throw WireError("event " + std::to_string(i) + ": " + error.what());
+      if (!name.empty() && seen.insert(name).second) affected.push_back(name);
+    } catch (const InputError& error) {
+      throw InputError("event " + std::to_string(i) + ": " + error.what());
     }
   }
   json decisions = json::array();
-  for (const std::string& name : reached) {
+  for (const std::string& name : affected) {
     const auto instance = instances_.find(name);
     if (instance == instances_.end()) continue;
     instance->second.EndBatch(now);
-    instance->second.WriteActions(decisions);
+    instance->second.AppendActions(decisions);
   }
   return json{{"decisions", std::move(decisions)}}.dump();
 }
@@ -52,19 +52,19 @@
 std::string Adapter::HandleEvent(Seconds now, const json& event) {
   const auto type = Get<std::string>(event, "type");
   if (type == "MANIFEST") {
-    lists_[Get<int>(event, "sheet")] = Need(event, "records");
+    lists_[Get<int>(event, "sheet")] = Require(event, "records");
     return {};
   }
   auto name = Get<std::string>(event, "who");
   if (type == "ATTACH") {
     instances_.insert_or_assign(name, Instance(name, event));
   } else if (type == "CRASH_NOW") {
-    if (instances_.erase(name) == 0) throw WireError("unknown instance '" + name + "'");
+    if (instances_.erase(name) == 0) throw InputError("unknown instance '" + name + "'");
     return {};
   } else {
     Instance& instance = Find(name);
-    const bool names_list = type == "MEMBERS";
-    const auto list = names_list ? lists_.find(GetOr(event, "sheet", 0)) : lists_.end();
+    const bool refers_to_list = type == "MEMBERS";
+    const auto list = refers_to_list ? lists_.find(GetOr(event, "sheet", 0)) : lists_.end();
     instance.HandleEvent(now, event, list == lists_.end() ? nullptr : &list->second);
   }
   return name;
@@ -72,7 +72,7 @@
 
 Instance& Adapter::Find(const std::string& name) {
   const auto it = instances_.find(name);
-  if (it == instances_.end()) throw WireError("unknown instance '" + name + "'");
+  if (it == instances_.end()) throw InputError("unknown instance '" + name + "'");
   return it->second;
 }
 
--- a/src/simulator/instance.cpp
+++ b/src/simulator/instance.cpp
@@ -11,31 +11,31 @@
 
 namespace opalroute::simulator {
 
+using config::EnumNames;
 using config::Find;
 using config::Get;
+using config::GetEnum;
 using config::GetOr;
 using config::NamesIn;
-using config::Need;
-using config::Word;
-using config::Words;
+using config::Require;
 using nlohmann::json;
 
 namespace {
 
 constexpr double kMillisecondsPerSecond = 1000;
 
-const Words<Outcome> kOutcomes = {
+const EnumNames<Outcome> kOutcomes = {
     {"completed", Outcome::kServed},           {"errored", Outcome::kError},
     {"saturated", Outcome::kRejected},         {"overdue", Outcome::kTimeout},
     {"refused_conn", Outcome::kConnectFailed}, {"severed", Outcome::kReset},
     {"recalled", Outcome::kCancelled},         {"superseded", Outcome::kNotSent}};
-const Words<EndpointStatus> kStatuses = {{"in_service", EndpointStatus::kInService},
-                                         {"terminating", EndpointStatus::kDraining},
-                                         {"terminated", EndpointStatus::kRemoved}};
-const Words<ListScope> kScopes = {{"all", ListScope::kComplete},
-                                  {"remembered", ListScope::kCached},
-                                  {"changes", ListScope::kChanges},
-                                  {"refused", ListScope::kWatchFailed}};
+const EnumNames<EndpointStatus> kStatuses = {{"in_service", EndpointStatus::kInService},
+                                             {"terminating", EndpointStatus::kDraining},
+                                             {"terminated", EndpointStatus::kRemoved}};
+const EnumNames<ListScope> kScopes = {{"all", ListScope::kComplete},
+                                      {"remembered", ListScope::kCached},
+                                      {"changes", ListScope::kChanges},
+                                      {"refused", ListScope::kWatchFailed}};
 
 LoadReport ParseLoadReport(const json& event) {
   LoadReport report;
@@ -46,8 +46,8 @@
   return report;
 }
 
-// The request that an action names; none for actions that name no request, and for Send, whose request goes
-// on.
+// The request that the action refers to; nothing for actions without a request, and for Send, whose request
+// is not over yet.
 std::optional<RequestId> RequestOf(const Action& action) {
   if (const auto* reject = std::get_if<Reject>(&action)) return reject->request_id;
   if (const auto* fail = std::get_if<Fail>(&action)) return fail->request_id;
@@ -58,7 +58,7 @@
 }  // namespace
 
 Instance::Instance(std::string name, const json& attach) : name_(std::move(name)) {
-  const json& options = Need(attach, "options");
+  const json& options = Require(attach, "options");
   classes_ = NamesIn(options, "classes", "name");
   tenants_ = NamesIn(options, "realms", "name");
   zones_ = NamesIn(options, "zones", nullptr);
@@ -88,7 +88,7 @@
   } else if (type == "FLOWING") {
     OnResponseStarted(now, event);
   } else {
-    throw WireError("unknown event '" + type + "'");
+    throw InputError("unknown event '" + type + "'");
   }
 }
 
@@ -96,9 +96,9 @@
 
 void Instance::OnEndpointList(Seconds now, const json& event, const json* list) {
   ListUpdate update;
-  update.scope = Word(kScopes, event, "scope");
+  update.scope = GetEnum(kScopes, event, "scope");
   if (update.scope != ListScope::kWatchFailed) {
-    if (list == nullptr) throw WireError("field 'sheet' names a list that was not declared");
+    if (list == nullptr) throw InputError("field 'sheet' refers to a list that was not declared");
     for (const json& row : *list) update.entries.push_back(ParseListedEndpoint(row));
   }
   router_->Handle(now, update, actions_);
@@ -111,7 +111,7 @@
   endpoint.zone = IndexOf(zones_, row, "dc");
   endpoint.kind = IndexOf(kinds_, row, "kind");
   endpoint.destination = Get<std::int64_t>(row, "destination");
-  endpoint.status = Word(kStatuses, row, "mode");
+  endpoint.status = GetEnum(kStatuses, row, "mode");
   endpoint.listed_rate = GetOr(row, "rating", 0.0);
   endpoint.name_hash = decision::HashName(name);
   return endpoint;
@@ -129,14 +129,14 @@
   const auto name = Get<std::string>(event, "corr");
   request.request_id = next_request_id_++;
   const bool is_new = request_ids_.emplace(name, request.request_id).second;
-  if (!is_new) throw WireError("field 'corr' repeats the id '" + name + "'");
+  if (!is_new) throw InputError("field 'corr' repeats the id '" + name + "'");
   requests_[request.request_id].name = name;
   router_->Handle(now, request, actions_);
 }
 
 void Instance::OnAttemptOutcome(Seconds now, const json& event) {
   AttemptOutcome outcome;
-  outcome.outcome = Word(kOutcomes, event, "outcome");
+  outcome.outcome = GetEnum(kOutcomes, event, "outcome");
   outcome.attempt = Get<int>(event, "shot");
   outcome.duration = GetOr(event, "durationS", 0.0);
   outcome.request_ended = GetOr(event, "terminal", false);
@@ -159,7 +159,7 @@
 void Instance::OnHealthCheckOutcome(Seconds now, const json& event) {
   HealthCheckOutcome check;
   check.endpoint = endpoints_.Intern(Get<std::string>(event, "endpoint"));
-  check.outcome = Word(kOutcomes, event, "outcome");
+  check.outcome = GetEnum(kOutcomes, event, "outcome");
   check.duration = GetOr(event, "durationS", 0.0);
   check.load_report = ParseLoadReport(event);
   router_->Handle(now, check, actions_);
@@ -167,7 +167,7 @@
 
 void Instance::OnGossip(Seconds now, const json& event) {
   auto payload = net::DecodeBase64(GetOr(event, "body", std::string()));
-  if (!payload) throw WireError("field 'body' is no base64");
+  if (!payload) throw InputError("field 'body' is not Base64");
   GossipReceived gossip;
   gossip.from = Get<int>(event, "srcPeer");
   gossip.payload = std::move(*payload);
@@ -193,93 +193,93 @@
   const auto name = Get<std::string>(event, field);
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) {
-    throw WireError(std::string("field '") + field + "' names the unknown '" + name + "'");
+    throw InputError(std::string("field '") + field + "' has the unknown value '" + name + "'");
   }
   return static_cast<int>(it - names.begin());
 }
 
 // ---- actions -------------------------------------------------------------------------------------
 
-void Instance::WriteActions(json& decisions) {
-  std::vector<RequestId> named;
+void Instance::AppendActions(json& decisions) {
+  std::vector<RequestId> referred_to;
   for (const Action& action : actions_) {
-    json written = WriteOrTrace(action);
-    written["who"] = name_;
-    decisions.push_back(std::move(written));
-    if (const auto id = RequestOf(action)) named.push_back(*id);
+    json decision = ToJsonOrTrace(action);
+    decision["who"] = name_;
+    decisions.push_back(std::move(decision));
+    if (const auto id = RequestOf(action)) referred_to.push_back(*id);
   }
   actions_.clear();
-  for (const RequestId id : named) ForgetIfDone(id);
+  for (const RequestId id : referred_to) ForgetIfDone(id);
 }
 
-json Instance::WriteOrTrace(const Action& action) {
+json Instance::ToJsonOrTrace(const Action& action) {
   try {
-    return std::visit([this](const auto& typed_action) { return Write(typed_action); }, action);
+    return std::visit([this](const auto& typed_action) { return ToJson(typed_action); }, action);
   } catch (const UnknownRequestError& error) {
-    return Write(Log{error.what()});
+    return ToJson(Log{error.what()});
   }
 }
 
-Instance::KnownRequest& Instance::Known(RequestId id) {
+Instance::KnownRequest& Instance::FindRequest(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) throw UnknownRequestError(id);
   return it->second;
 }
 
-json Instance::Write(const Send& send) {
-  KnownRequest& request = Known(send.request_id);
+json Instance::ToJson(const Send& send) {
+  KnownRequest& request = FindRequest(send.request_id);
   json out = {{"type", "PLACE"}, {"corr", request.name}, {"endpoint", endpoints_.NameOf(send.endpoint)}};
   if (send.timeout_at > 0) out["untilS"] = send.timeout_at;
   ++request.attempts_in_flight;
   return out;
 }
 
-json Instance::Write(const Reject& reject) {
-  KnownRequest& request = Known(reject.request_id);
+json Instance::ToJson(const Reject& reject) {
+  KnownRequest& request = FindRequest(reject.request_id);
   json out = {{"type", "REFUSE"}, {"corr", request.name}};
   if (reject.retry_after > 0) out["waitS"] = reject.retry_after;
   request.ended = true;
   return out;
 }
 
-json Instance::Write(const Fail& fail) {
-  KnownRequest& request = Known(fail.request_id);
+json Instance::ToJson(const Fail& fail) {
+  KnownRequest& request = FindRequest(fail.request_id);
   request.ended = true;
   return {{"type", "ERROR"}, {"corr", request.name}};
 }
 
-json Instance::Write(const CancelAttempt& cancel) {
-  const KnownRequest& request = Known(cancel.request_id);
+json Instance::ToJson(const CancelAttempt& cancel) {
+  const KnownRequest& request = FindRequest(cancel.request_id);
   return {{"type", "CANCEL"}, {"corr", request.name}, {"shot", cancel.attempt}};
 }
 
-json Instance::Write(const HealthCheck& check) {
+json Instance::ToJson(const HealthCheck& check) {
   return {{"type", "CHECK"}, {"endpoint", endpoints_.NameOf(check.endpoint)}};
 }
 
-json Instance::Write(const SetTimer& timer) {
+json Instance::ToJson(const SetTimer& timer) {
   return {{"type", "SET_TIMER"}, {"dueAtS", timer.due}, {"label", timer.timer_id}};
 }
 
-json Instance::Write(const WatchEndpointList& watch) {
+json Instance::ToJson(const WatchEndpointList& watch) {
   return {{"type", "STREAM_CHANGES"}, {"active", watch.enabled}};
 }
 
-json Instance::Write(const CloseIdleConnections& close) {
+json Instance::ToJson(const CloseIdleConnections& close) {
   return {{"type", "DISCONNECT"}, {"endpoint", endpoints_.NameOf(close.endpoint)}};
 }
 
-json Instance::Write(const SendGossip& gossip) {
+json Instance::ToJson(const SendGossip& gossip) {
   json out = {{"type", "ANNOUNCE"}, {"body", net::EncodeBase64(gossip.payload)}};
   out["recipient"] = gossip.peer ? json(*gossip.peer) : json(nullptr);
   return out;
 }
 
-json Instance::Write(const Log& line) { return {{"type", "TRACE"}, {"message", line.text}}; }
+json Instance::ToJson(const Log& line) { return {{"type", "TRACE"}, {"message", line.text}}; }
 
-// ---- names that are no longer needed -------------------------------------------------------------
+// ---- removal of requests --------------------------------------------------------------------
 
-bool Instance::IsNamedByAction(RequestId id) const {
+bool Instance::IsReferredToByAction(RequestId id) const {
   return std::any_of(actions_.begin(), actions_.end(),
                      [id](const Action& action) { return RequestOf(action) == id; });
 }
@@ -287,8 +287,8 @@
 void Instance::ForgetIfDone(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !it->second.ended || it->second.attempts_in_flight > 0) return;
-  // Actions that are not written yet may still name it; WriteActions tries again.
-  if (IsNamedByAction(id)) return;
+  // Actions that are not output yet may still refer to it; AppendActions tries again.
+  if (IsReferredToByAction(id)) return;
   request_ids_.erase(it->second.name);
   requests_.erase(it);
 }
--- a/src/simulator/instance.h
+++ b/src/simulator/instance.h
@@ -1,5 +1,6 @@
-// One relay of the simulator: maps the simulator's events to the decision library's and its actions back. The
-// words of the simulator's JSON stand in instance.cpp and adapter.cpp alone.
+// One relay of the simulator: translates the simulator's events into those of the decision library, and its
+// actions back. Apart from the settings (config/settings.h), only instance.cpp and adapter.cpp know the
+// names in the simulator's JSON.
 #pragma once
 
 #include <map>
@@ -16,28 +17,28 @@
 
 namespace opalroute::simulator {
 
-// Says in one line what is wrong with the input, and where.
-using WireError = config::FieldError;
+// Its text says in one line what is wrong with the input, and where.
+using InputError = config::FieldError;
 
-// An action names a request that the instance does not know, or has forgotten.
+// An action refers to a request that the instance does not know, or has forgotten.
 class UnknownRequestError : public std::runtime_error {
  public:
   explicit UnknownRequestError(RequestId id)
       : std::runtime_error("an action names the unknown request " + std::to_string(id)) {}
 };
 
-// A router with the names of its requests and endpoints. Shares nothing with other instances.
+// A RequestRouter, and the names of its requests and endpoints. Shares no state with other instances.
 class Instance {
  public:
-  // `attach`: the event that starts the instance. Throws WireError, as all functions that read JSON do.
+  // `attach`: the event that starts the instance. Throws InputError, as all functions that read JSON do.
   Instance(std::string name, const nlohmann::json& attach);
 
   // `list`: the endpoint list that the event refers to; null if it was not declared.
   void HandleEvent(Seconds now, const nlohmann::json& event, const nlohmann::json* list);
   void EndBatch(Seconds now);
-  // Appends the actions since the last call to a JSON array. An action that names an unknown request is left
-  // out, and a trace line stands in its place.
-  void WriteActions(nlohmann::json& decisions);
+  // Appends the actions since the last call to a JSON array. An action for an unknown request is replaced by
+  // a trace line.
+  void AppendActions(nlohmann::json& decisions);
 
  private:
   // A request whose name is still needed.
@@ -58,21 +59,21 @@
   ListedEndpoint ParseListedEndpoint(const nlohmann::json& row);
   int IndexOf(const std::vector<std::string>& names, const nlohmann::json& event, const char* field) const;
 
-  nlohmann::json Write(const Send& send);
-  nlohmann::json Write(const Reject& reject);
-  nlohmann::json Write(const Fail& fail);
-  nlohmann::json Write(const CancelAttempt& cancel);
-  nlohmann::json Write(const HealthCheck& check);
-  nlohmann::json Write(const SetTimer& timer);
-  nlohmann::json Write(const WatchEndpointList& watch);
-  nlohmann::json Write(const CloseIdleConnections& close);
-  nlohmann::json Write(const SendGossip& gossip);
-  nlohmann::json Write(const Log& line);
+  nlohmann::json ToJson(const Send& send);
+  nlohmann::json ToJson(const Reject& reject);
+  nlohmann::json ToJson(const Fail& fail);
+  nlohmann::json ToJson(const CancelAttempt& cancel);
+  nlohmann::json ToJson(const HealthCheck& check);
+  nlohmann::json ToJson(const SetTimer& timer);
+  nlohmann::json ToJson(const WatchEndpointList& watch);
+  nlohmann::json ToJson(const CloseIdleConnections& close);
+  nlohmann::json ToJson(const SendGossip& gossip);
+  nlohmann::json ToJson(const Log& line);
 
-  nlohmann::json WriteOrTrace(const Action& action);
+  nlohmann::json ToJsonOrTrace(const Action& action);
   // Throws UnknownRequestError.
-  KnownRequest& Known(RequestId id);
-  bool IsNamedByAction(RequestId id) const;
+  KnownRequest& FindRequest(RequestId id);
+  bool IsReferredToByAction(RequestId id) const;
   void ForgetIfDone(RequestId id);
 
   std::string name_;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,4 +1,5 @@
-// The adapter's main loop: one batch a line from standard input, one reply a line to standard output.
+// Runs the adapter: reads a batch per line from standard input and writes a reply per line to standard
+// output.
 #include <exception>
 #include <iostream>
 #include <string>
--- a/src/simulator/name_table.h
+++ b/src/simulator/name_table.h
@@ -1,4 +1,4 @@
-// Numbers for names that come as text.
+// Maps names to numbers and back.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 class NameTable {
  public:
-  // The number of the name, for good. Numbers count from 0.
+  // Returns the number of the name, which never changes. Numbers are assigned from 0 on.
   std::uint32_t Intern(const std::string& name);
-  // `number` was given by Intern.
+  // `number` must have been returned by Intern.
   const std::string& NameOf(std::uint32_t number) const { return names_[number]; }
 
  private:
--- a/src/state_transfer/snapshot_client.cpp
+++ b/src/state_transfer/snapshot_client.cpp
@@ -58,7 +58,7 @@
     }
     report().bytes = reader_.frame_bytes();
     if (reader_.broken()) return End(SnapshotResult::kCorrupt);
-    if (reader_.frame_bytes() > client_.limits_.learn_bytes) End(SnapshotResult::kLimitExceeded);
+    if (reader_.frame_bytes() > client_.limits_.snapshot_bytes) End(SnapshotResult::kLimitExceeded);
   }
 
   void OnClosed(net::Connection&, net::Connection::CloseReason how) override {
@@ -86,7 +86,7 @@
       ++report().route_count;
       client_.owner_.OnRouteState(server_, route, observed_at);
     }
-    if (report().route_count > client_.limits_.learn_lanes) End(SnapshotResult::kLimitExceeded);
+    if (report().route_count > client_.limits_.snapshot_routes) End(SnapshotResult::kLimitExceeded);
   }
 
   void OnSnapshotEnd(const SnapshotEnd& end) {
--- a/src/state_transfer/snapshot_server.cpp
+++ b/src/state_transfer/snapshot_server.cpp
@@ -30,7 +30,8 @@
   bool Open(int fd) {
     connection_ = net::Connection::Adopt(server_.loop_, fd, *this, kReadBufferBytes, kWriteBufferBytes);
     // For a client that asks for nothing, or does not read.
-    timer_.Start(server_.loop_.Now() + server_.limits_.learn_session, [this] { server_.Drop(*this); });
+    timer_.Start(server_.loop_.Now() + server_.limits_.snapshot_session_timeout,
+                 [this] { server_.Drop(*this); });
     return connection_ != nullptr;
   }
 
@@ -123,7 +124,7 @@
 SnapshotServer::~SnapshotServer() = default;
 
 void SnapshotServer::Accept(int fd) {
-  if (static_cast<int>(sessions_.size()) >= limits_.learn_sessions) {
+  if (static_cast<int>(sessions_.size()) >= limits_.snapshot_sessions) {
     close(fd);
     return;
   }
--- a/src/state_transfer/state_transfer.cpp
+++ b/src/state_transfer/state_transfer.cpp
@@ -33,7 +33,7 @@
 }  // namespace
 
 StateTransfer::StateTransfer(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
-                             const Operator::Learn& settings, Host& host)
+                             const OperatorSettings::StateTransfer& settings, Host& host)
     : loop_(loop),
       clock_(clock),
       config_(config),
@@ -41,26 +41,26 @@
       host_(host),
       source_([this](std::optional<DestinationId>& from, int most) { return Export(from, most); }),
       save_timer_(loop) {
-  if (settings.state) StartFile();
+  if (settings.use_state_folder) StartFile();
   if (settings.listen) {
     server_ = std::make_unique<SnapshotServer>(loop, *settings.listen, config.name, source_, config.limits);
   }
-  if (settings.notes && config.peer_listen && config.may_tell_peers) StartDatagrams();
-  if (!settings.from.empty()) StartClient();
+  if (settings.use_datagrams && config.peer_listen && config.may_gossip) StartDatagrams();
+  if (!settings.donors.empty()) StartClient();
 }
 
 StateTransfer::~StateTransfer() = default;
 
 void StateTransfer::StartFile() {
-  file_ = std::make_unique<SnapshotFile>(config_.state_folder, config_.limits.learn_file_bytes);
+  file_ = std::make_unique<SnapshotFile>(config_.state_folder, config_.limits.snapshot_file_bytes);
   LoadState();
   ScheduleSave();
 }
 
 void StateTransfer::StartDatagrams() {
   const Limits& limits = config_.limits;
-  const DatagramExchange::Bounds bounds{limits.learn_note_peers, limits.learn_note_answers,
-                                        limits.learn_note_time};
+  const DatagramExchange::Bounds bounds{limits.transfer_datagram_peers, limits.transfer_datagram_answers,
+                                        limits.transfer_datagram_timeout};
   const auto nonce = static_cast<std::uint32_t>(config_.settings.seed ^ config_.settings.seed >> 32);
   datagrams_ = std::make_unique<DatagramExchange>(
       bounds, nonce, [this](int peer, const std::string& bytes) { host_.SendDatagram(peer, bytes); });
@@ -68,14 +68,14 @@
 }
 
 void StateTransfer::StartClient() {
-  merger_ = std::make_unique<SnapshotMerger>(MergeOptionsOf(), config_.limits.learn_lanes);
+  merger_ = std::make_unique<SnapshotMerger>(MergeOptionsOf(), config_.limits.snapshot_routes);
   SnapshotClient::Owner& owner = *this;
-  client_ = std::make_unique<SnapshotClient>(loop_, settings_.from, config_.name, settings_.time,
+  client_ = std::make_unique<SnapshotClient>(loop_, settings_.donors, config_.name, settings_.timeout,
                                              config_.limits, owner);
 }
 
 MergeOptions StateTransfer::MergeOptionsOf() const {
-  return {settings_.longest_wait, config_.settings.slow_start_duration};
+  return {settings_.max_retry_after, config_.settings.slow_start_duration};
 }
 
 std::optional<sockaddr_in> StateTransfer::snapshot_address() const {
@@ -99,7 +99,7 @@
 }
 
 void StateTransfer::ScheduleSave() {
-  save_timer_.Start(loop_.Now() + config_.limits.learn_file_every, [this] {
+  save_timer_.Start(loop_.Now() + config_.limits.snapshot_save_interval, [this] {
     ScheduleSave();
     if (!exporting_) ExportForSave();
   });
@@ -111,7 +111,7 @@
       loop_, source_,
       [this](std::vector<NamedRouteState> slice) {
         AppendMostUrgent(exported_, std::move(slice));
-        return exported_.size() < config_.limits.learn_lanes;
+        return exported_.size() < config_.limits.snapshot_routes;
       },
       [this] {
         Save();
@@ -181,7 +181,7 @@
   // The time that no process ran counts as age. After a boot with a wall clock that is behind it counts as
   // none.
   const double age = std::max(0.0, static_cast<double>(clock_.Micros() - saved.written_at) / 1e6);
-  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  SnapshotMerger merger(MergeOptionsOf(), config_.limits.snapshot_routes);
   merger.CountOutOfRange(saved.out_of_range);
   for (const NamedRouteState& route : saved.routes) merger.Add(0, route, loop_.Now() - age);
   log::Info("snapshot_received", {{"carrier", "state"},
@@ -207,7 +207,7 @@
 }
 
 void StateTransfer::OnAnswer(int peer, const Datagram& answer) {
-  SnapshotMerger merger(MergeOptionsOf(), config_.limits.learn_lanes);
+  SnapshotMerger merger(MergeOptionsOf(), config_.limits.snapshot_routes);
   merger.CountOutOfRange(answer.out_of_range);
   for (const NamedRouteState& route : answer.routes) merger.Add(peer, route, loop_.Now());
   Apply(merger, "note");
@@ -237,9 +237,9 @@
   for (NamedRouteState& route : merger.Merge(loop_.Now())) {
     if (Resolve(route, state)) continue;
     ++not_listed;
-    if (pending_.size() < config_.limits.learn_lanes) pending_.push_back({std::move(route), loop_.Now()});
+    if (pending_.size() < config_.limits.snapshot_routes) pending_.push_back({std::move(route), loop_.Now()});
   }
-  pending_until_ = loop_.Now() + config_.limits.learn_pending;
+  pending_until_ = loop_.Now() + config_.limits.pending_routes_lifetime;
   const MergeTally& tally = merger.tally();
   log::Info("state_merged", {{"carrier", carrier},
                              {"routes", route_count},
--- a/src/state_transfer/state_transfer.h
+++ b/src/state_transfer/state_transfer.h
@@ -41,7 +41,7 @@
   // Applies the saved state, and begins to ask other relays. All references must outlive this object. Throws
   // std::system_error if it can't listen where the settings say.
   StateTransfer(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
-                const Operator::Learn& settings, Host& host);
+                const OperatorSettings::StateTransfer& settings, Host& host);
   ~StateTransfer() override;
 
   // Whether all relays asked by TCP have answered or time is up: the relay may become ready.
@@ -84,7 +84,7 @@
   net::EventLoop& loop_;
   const PersistentClock& clock_;
   const Config& config_;
-  const Operator::Learn settings_;
+  const OperatorSettings::StateTransfer settings_;
   Host& host_;
   const RouteStateSource source_;
 
--- a/tests/config/settings_test.cpp
+++ b/tests/config/settings_test.cpp
@@ -1,4 +1,4 @@
-// The operators' settings, the check of the platform's configuration, and the form of log lines.
+// Tests of the operators' settings, of the validation of the configuration, and of the format of log lines.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -14,99 +14,100 @@
 
 namespace fs = std::filesystem;
 
-std::optional<std::string> Variable(const char* name) {
+std::optional<std::string> EnvironmentVariable(const char* name) {
   const char* value = std::getenv(name);
   return value == nullptr ? std::nullopt : std::optional<std::string>(value);
 }
 
-struct Read {
-  Operator settings;
-  std::vector<std::string> faults;
+struct ParsedSettings {
+  OperatorSettings settings;
+  std::vector<std::string> errors;
 };
 
-Read ReadSettings(const std::string& file, std::vector<std::string> flags = {}) {
+ParsedSettings ReadSettings(const std::string& file, std::vector<std::string> flags = {}) {
   const fs::path path =
       fs::temp_directory_path() / ("opalroute-operator-" + std::to_string(getpid()) + ".json");
   std::ofstream(path) << file;
   CLI::App app;
-  const config::OperatorOptions options(app, Variable);
+  const config::OperatorOptions options(app, EnvironmentVariable);
   flags.insert(flags.begin(), {"--operator-file", path.string()});
-  std::reverse(flags.begin(), flags.end());  // CLI11 takes them from the back
+  std::reverse(flags.begin(), flags.end());  // CLI11 expects them in reverse order
   app.parse(flags);
   fs::remove(path);
-  Read read;
-  read.settings = options.Finish(read.faults);
+  ParsedSettings read;
+  read.settings = options.Finish(read.errors);
   return read;
 }
 
 TEST_CASE("operators' settings: flag, then variable, then file, then default") {
-  CHECK(ReadSettings("{}").settings.learn.time == 0.3);
-  CHECK(!ReadSettings("{}").settings.learn.state);
+  CHECK(ReadSettings("{}").settings.state_transfer.timeout == 0.3);
+  CHECK(!ReadSettings("{}").settings.state_transfer.use_state_folder);
   const char* file = R"({"learn":{"time_ms":400,"state":true,"from":["127.0.0.1:1","127.0.0.1:2"]}})";
-  CHECK(ReadSettings(file).settings.learn.time == doctest::Approx(0.4));
-  CHECK(ReadSettings(file).settings.learn.state);
-  CHECK(ReadSettings(file).settings.learn.from.size() == 2);
+  CHECK(ReadSettings(file).settings.state_transfer.timeout == doctest::Approx(0.4));
+  CHECK(ReadSettings(file).settings.state_transfer.use_state_folder);
+  CHECK(ReadSettings(file).settings.state_transfer.donors.size() == 2);
   setenv("OPALROUTE_LEARN_TIME_MS", "500", 1);
-  CHECK(ReadSettings(file).settings.learn.time == doctest::Approx(0.5));
-  CHECK(ReadSettings(file, {"--learn-time-ms", "600"}).settings.learn.time == doctest::Approx(0.6));
+  CHECK(ReadSettings(file).settings.state_transfer.timeout == doctest::Approx(0.5));
+  CHECK(ReadSettings(file, {"--learn-time-ms", "600"}).settings.state_transfer.timeout ==
+        doctest::Approx(0.6));
   unsetenv("OPALROUTE_LEARN_TIME_MS");
-  CHECK(!ReadSettings(file, {"--learn-state=false"}).settings.learn.state);
+  CHECK(!ReadSettings(file, {"--learn-state=false"}).settings.state_transfer.use_state_folder);
 }
 
-TEST_CASE("operators' settings: every fault is told with its key's full name") {
-  const auto fault = [](const char* file, const char* says) {
-    const Read read = ReadSettings(file);
-    REQUIRE(read.faults.size() == 1);
-    CHECK_MESSAGE(read.faults[0].find(says) != std::string::npos, read.faults[0]);
+TEST_CASE("operators' settings: each error names the full key") {
+  const auto check_error = [](const char* file, const char* expected) {
+    const ParsedSettings read = ReadSettings(file);
+    REQUIRE(read.errors.size() == 1);
+    CHECK_MESSAGE(read.errors[0].find(expected) != std::string::npos, read.errors[0]);
   };
-  fault(R"({"learn":{"bogus":1}})", "'learn.bogus' of the operators' file is not known");
-  fault(R"({"learn":3})", "'learn' of the operators' file must hold an object");
-  fault(R"({"learn":{"state":"yes"}})", "'learn.state' of the operators' file must hold true or false");
-  fault(R"({"learn":{"time_ms":9}})", "'learn.time_ms'");
-  fault(R"({"learn":{"time_ms":10001}})", "a number from 10.0 to 10000.0, not '10001'");
-  fault(R"({"learn":{"listen":"here"}})", "an address like 127.0.0.1:80, not 'here'");
-  fault(R"({"learn":{"from":["127.0.0.1:0"]}})", "'learn.from'");
-  fault(R"({"log":{"format":"xml"}})", "one of text, json, not 'xml'");
-  fault("{", "no JSON at byte");
-  CHECK(ReadSettings(R"({"a":1,"b":2,"learn":{"time_ms":"x"}})").faults.size() == 3);
+  check_error(R"({"learn":{"bogus":1}})", "'learn.bogus' of the operators' file is unknown");
+  check_error(R"({"learn":3})", "'learn' of the operators' file must be an object");
+  check_error(R"({"learn":{"state":"yes"}})", "'learn.state' of the operators' file must be true or false");
+  check_error(R"({"learn":{"time_ms":9}})", "'learn.time_ms'");
+  check_error(R"({"learn":{"time_ms":10001}})", "a number from 10.0 to 10000.0, not '10001'");
+  check_error(R"({"learn":{"listen":"here"}})", "an address like 127.0.0.1:80, not 'here'");
+  check_error(R"({"learn":{"from":["127.0.0.1:0"]}})", "'learn.from'");
+  check_error(R"({"log":{"format":"xml"}})", "one of text, json, not 'xml'");
+  check_error("{", "not valid JSON at byte");
+  CHECK(ReadSettings(R"({"a":1,"b":2,"learn":{"time_ms":"x"}})").errors.size() == 3);
 }
 
-TEST_CASE("configuration: all faults are told at once") {
+TEST_CASE("configuration: all errors are reported at once") {
   try {
     config::Parse(
         nlohmann::json::parse(
             R"({"listen":"x","settings":{"limits":{"openCap":"many"},"rules":{},"discovery":"push"}})"),
         [](const char*) { return std::nullopt; });
-    FAIL("a broken configuration was taken");
-  } catch (const config::Faults& faults) {
-    const std::string all = faults.what();
+    FAIL("an invalid configuration was accepted");
+  } catch (const config::FieldErrors& errors) {
+    const std::string all = errors.what();
     for (const char* part :
-         {"key 'listen'", "key 'name'", "key 'state'", "in 'limits': field 'openCap' has the wrong form",
+         {"key 'listen'", "key 'name'", "key 'state'", "in 'limits': field 'openCap' has the wrong type",
           "missing field 'familyInfo'", "in 'rules': missing field 'rampTimeS'", "missing field 'classes'"})
-      CHECK_MESSAGE(all.find(part) != std::string::npos, part, " is lacking in ", all);
+      CHECK_MESSAGE(all.find(part) != std::string::npos, part, " is missing in ", all);
   }
 }
 
-// Guards against a client whose text begins a log line of its own.
+// Guards against a client that forges a log line by sending text with a newline.
 TEST_CASE("log lines escape what others send") {
   const std::string text = "a\nb\"\xff";
-  CHECK(log::Format(log::Form::kText, "bad_request", {{"why", text}, {"n", 3}}) ==
+  CHECK(log::FormatLine(log::LineFormat::kText, "bad_request", {{"why", text}, {"n", 3}}) ==
         "bad_request why=\"a\\nb\\\"\\ufffd\" n=3");
-  const std::string json = log::Format(log::Form::kJson, "bad_request", {{"why", text}, {"n", 3}});
+  const std::string json = log::FormatLine(log::LineFormat::kJson, "bad_request", {{"why", text}, {"n", 3}});
   const auto read = nlohmann::json::parse("{" + json);
   CHECK(read["event"] == "bad_request");
   CHECK(read["why"] == "a\nb\"\xef\xbf\xbd");
   CHECK(json.find('\n') == std::string::npos);
 }
 
-TEST_CASE("the tier is off unless the operators' settings turn it on") {
-  CHECK(!ReadSettings("{}").settings.tier.on());
-  const Read both = ReadSettings(R"({"tier": {"shares": true}})", {"--tier-zones"});
-  CHECK(both.faults.empty());
-  CHECK(both.settings.tier.shares);
-  CHECK(both.settings.tier.zones);
-  CHECK(ReadSettings(R"({"tier": {"zones": "yes"}})").faults ==
-        std::vector<std::string>{"key 'tier.zones' of the operators' file must hold true or false"});
+TEST_CASE("fleet features are off unless the operators' settings turn them on") {
+  CHECK(!ReadSettings("{}").settings.fleet.enabled());
+  const ParsedSettings both = ReadSettings(R"({"tier": {"shares": true}})", {"--tier-zones"});
+  CHECK(both.errors.empty());
+  CHECK(both.settings.fleet.share_quotas);
+  CHECK(both.settings.fleet.evacuate_zones);
+  CHECK(ReadSettings(R"({"tier": {"zones": "yes"}})").errors ==
+        std::vector<std::string>{"key 'tier.zones' of the operators' file must be true or false"});
 }
 
 }  // namespace
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -31,7 +31,7 @@
     const config::OperatorOptions options(app, [](const char*) { return std::nullopt; });
     std::reverse(flags.begin(), flags.end());
     app.parse(flags);
-    std::pair<Operator, std::vector<std::string>> result;
+    std::pair<OperatorSettings, std::vector<std::string>> result;
     result.first = options.Finish(result.second);
     return result;
   };
@@ -40,9 +40,9 @@
       {"--dns-server", "127.0.0.1:53", "--srv", kSrvName + "=7,_b._tcp.x=8", "--srv-own", "7=127.0.0.1:80"});
   CHECK(valid.second.empty());
   CHECK(valid.first.srv_names.size() == 2);
-  CHECK(valid.first.srv_own[0].first == 7);
+  CHECK(valid.first.own_addresses[0].first == 7);
   CHECK(read({"--srv", kSrvName + "=7"}).second ==
-        std::vector<std::string>{"'dns.server' must name a server where 'srv' names what to ask for"});
+        std::vector<std::string>{"'dns.server' must name a server, as 'srv' names SRV records to query"});
   for (const char* invalid : {"x", "x=", "=7", "x=7x", "a..b=7", "x=7,y=7", ".=7"})
     CHECK(read({"--dns-server", "127.0.0.1:53", "--srv", invalid}).second.size() == 1);
   for (const char* invalid : {"7", "7=127.0.0.1", "x=127.0.0.1:80", "7=127.0.0.1:0"})
@@ -103,7 +103,7 @@
   const auto file = ConfigJson(folder / "state", platform.address(), list);
   fs::create_directories(folder / "state");
   const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
-  Operator settings;
+  OperatorSettings settings;
   settings.dns.servers = {server.address()};
   settings.srv_names = {{kSrvName, kSrvDestination}};
   Relay relay(loop, config, settings);
@@ -158,7 +158,7 @@
   CHECK(queried["members"][1]["why"] == "srv names others");
   CHECK(queried["members"][1]["in_service"] == false);
   const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
-  Operator settings;
+  OperatorSettings settings;
   settings.admin_listen = *net::ParseAddress("127.0.0.1:0");
   settings.dns.servers = {server.address()};
   settings.srv_names = {{kSrvName, kSrvDestination}};
--- a/tests/discovery/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -57,7 +57,7 @@
   net::EventLoop loop;
   NameServer server;
   Config config;
-  Operator settings;
+  OperatorSettings settings;
   std::unique_ptr<MergedEndpointSource> source;
   std::map<std::string, EndpointRecord> published;
 };
@@ -93,7 +93,7 @@
   scenario.server.Set(
       SrvQuestion(),
       SrvAnswer({{"a.example", 80}, {"b.example", 80}, {"c.example", 80}, {"c.example", 81}}, 5));
-  scenario.settings.srv_own = {{kSrvDestination, *net::ParseAddress("127.0.0.3:81")}};
+  scenario.settings.own_addresses = {{kSrvDestination, *net::ParseAddress("127.0.0.3:81")}};
   scenario.Start();
   scenario.Advance(1);
   std::set<std::string> addresses;
@@ -123,7 +123,7 @@
 TEST_CASE("srv: an address with a shorter TTL is refreshed without the SRV record, and its change applies") {
   Scenario scenario;
   scenario.server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}, {"b.example", 80}}, 3600));
-  scenario.settings.srv_own = {{kSrvDestination, *net::ParseAddress("127.0.0.9:80")}};
+  scenario.settings.own_addresses = {{kSrvDestination, *net::ParseAddress("127.0.0.9:80")}};
   scenario.Start();
   scenario.Advance(1);
   CHECK(scenario.published.size() == 2);
@@ -184,7 +184,7 @@
 
 TEST_CASE("srv: once the last answer has expired, only the list counts") {
   Scenario scenario;
-  scenario.settings.dns.stale = 60;
+  scenario.settings.dns.max_stale = 60;
   scenario.server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}}, 5));
   scenario.Start();
   scenario.Advance(1);
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -400,7 +400,7 @@
   entry.fault = Fault::kWrongSource;
   f.server.Set(f.q, entry);
   CHECK(!f.Ask(f.q).answer);
-  CHECK(f.resolver->counters().ignored == f.limits.dns_tries);
+  CHECK(f.resolver->counters().ignored == f.limits.dns_attempts);
 }
 
 TEST_CASE("dns: upper-case names, a server without EDNS0 and a long datagram are handled") {
@@ -429,7 +429,7 @@
   CHECK(f.Ask(f.q, true).answer->services.size() == 200);
   CHECK(f.Ask(f.q, true).answer->services.size() == 200);
   CHECK(f.server.connections() == 1);
-  lab::PlayUntil(f.loop, f.clock, f.clock.Now() + f.limits.dns_tcp_rest + 0.1);
+  lab::PlayUntil(f.loop, f.clock, f.clock.Now() + f.limits.dns_tcp_idle_timeout + 0.1);
   CHECK(f.Ask(f.q, true).answer);
   CHECK(f.server.connections() == 2);
 }
@@ -470,7 +470,7 @@
   f.server.SetSilent(true);
   f.clock.Advance(600);
   CHECK(f.Ask(f.q).stale);
-  f.clock.Advance(10 + f.limits.dns_stale);
+  f.clock.Advance(10 + f.limits.dns_max_stale);
   CHECK(!f.Ask(f.q).answer);
   f.server.SetSilent(false);
   f.server.Remove(f.q);
@@ -501,7 +501,7 @@
     f.server.Set(f.q, entry);
     const Outcome outcome = f.Ask(f.q, true);
     CHECK(outcome.answer->ttl == 0);
-    CHECK(outcome.refresh_at <= f.clock.Now() + f.limits.dns_least_lifetime);
+    CHECK(outcome.refresh_at <= f.clock.Now() + f.limits.dns_min_ttl);
   }
   auto many = f.Entry(20);  // more than 512 bytes
   many.fault = Fault::kNoEdns;
@@ -542,7 +542,7 @@
 
 TEST_CASE("dns: 5,000 concurrent lookups run in limited numbers and all finish") {
   ResolverFixture f;
-  f.limits.dns_flights = 64;
+  f.limits.dns_concurrent_lookups = 64;
   f.Start();
   int finished = 0;
   for (int i = 0; i < 5000; ++i)
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -102,10 +102,10 @@
   n.RunFor(kOutage);
   CHECK(n.acknowledged.empty());
   const auto attempts = static_cast<double>(n.client.opened());
-  CHECK(attempts >= kOutage / (n.limits.notice_backoff_most + kStep));
-  CHECK(attempts <= kOutage / n.limits.notice_backoff_most + 20);  // plus the quick retries at the start
+  CHECK(attempts >= kOutage / (n.limits.notification_max_backoff + kStep));
+  CHECK(attempts <= kOutage / n.limits.notification_max_backoff + 20);  // plus the quick retries at the start
   n.Listen();
-  n.RunFor(n.limits.notice_backoff_most + 0.1);
+  n.RunFor(n.limits.notification_max_backoff + 0.1);
   n.CheckAllArrivedInOrder();
 }
 
@@ -121,7 +121,7 @@
   }
   CHECK(n.acknowledged.empty());
   CHECK(most >= 2);
-  CHECK(most <= static_cast<int>(n.limits.notice_tries));
+  CHECK(most <= static_cast<int>(n.limits.concurrent_notification_attempts));
 }
 
 }  // namespace
--- a/tests/relay/parts_test.cpp
+++ b/tests/relay/parts_test.cpp
@@ -146,8 +146,8 @@
   });
   CHECK(ntohs(config.discovery.sin_port) == 9);
   CHECK(config.state_folder == "/somewhere");
-  CHECK(config.limits.upstream_idle < 15);
-  CHECK(config.limits.open_transactions == 40);
+  CHECK(config.limits.upstream_idle_timeout < 15);
+  CHECK(config.limits.open_requests == 40);
 }
 
 }  // namespace
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -46,7 +46,7 @@
     CHECK(program.Says("reload_done discovery=127.0.0.1:2 before=127.0.0.1:1"));
     write("{\"name\":");
     program.Signal(SIGHUP);
-    CHECK(program.Says("reload_refused why=\"the configuration is no JSON"));
+    CHECK(program.Says("reload_refused why=\"the configuration is not valid JSON"));
     program.Signal(SIGTERM);
     CHECK(program.Says("counters"));
     CHECK(program.ExitStatus() == 0);
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -1,4 +1,4 @@
-// The adapter as text: batches in, replies and complaints out.
+// Tests of the adapter through its text protocol: batches in, replies and error messages out.
 #include "simulator/adapter.h"
 
 #include <gtest/gtest.h>
@@ -38,21 +38,21 @@
          R"(","grade":"order","patienceLeftS":16,"destination":7})";
 }
 
-std::string Complaint(Adapter& adapter, const std::string& line) {
+std::string ErrorOf(Adapter& adapter, const std::string& line) {
   try {
     adapter.Reply(line);
-  } catch (const WireError& error) {
+  } catch (const InputError& error) {
     return error.what();
   }
   return "";
 }
 
-TEST(WireTest, AnEmptyBatchGetsAnEmptyReply) {
+TEST(AdapterTest, AnEmptyBatchGetsAnEmptyReply) {
   Adapter adapter;
   EXPECT_EQ(adapter.Reply(Batch("1", "")), R"({"decisions":[]})");
 }
 
-TEST(WireTest, AMessageIsPlacedUnderItsOwnNames) {
+TEST(AdapterTest, ARequestIsPlacedUnderItsOwnNames) {
   Adapter adapter;
   adapter.Reply(Batch("1", Attach("courier-3")));
   const auto reply = nlohmann::json::parse(adapter.Reply(Batch("2", Inbound("courier-3", "r-a"))));
@@ -63,7 +63,7 @@
   EXPECT_EQ(first.at("endpoint"), "e-1");
 }
 
-TEST(WireTest, AnInstanceActsTheSameAloneAndAmongOthers) {
+TEST(AdapterTest, AnInstanceActsTheSameAloneAndNextToOthers) {
   Adapter alone;
   Adapter shared;
   alone.Reply(Batch("1", Attach("courier-1")));
@@ -76,7 +76,7 @@
   }
 }
 
-TEST(WireTest, AKilledInstanceKnowsNothingAfterItsReturn) {
+TEST(AdapterTest, AKilledInstanceForgetsItsRequests) {
   Adapter adapter;
   adapter.Reply(Batch("1", Attach("courier-1")));
   adapter.Reply(Batch("2", Inbound("courier-1", "r-a")));
@@ -84,35 +84,35 @@
       Batch("3", R"({"type":"CRASH_NOW","who":"courier-1"})" + std::string(",") + Attach("courier-1")));
   const auto late = R"({"type":"RESULT","who":"courier-1","corr":"r-a","shot":0,"endpoint":"e-1",)"
                     R"("outcome":"completed","durationS":1,"terminal":true})";
-  EXPECT_EQ(Complaint(adapter, Batch("4", late)), "");
+  EXPECT_EQ(ErrorOf(adapter, Batch("4", late)), "");
 }
 
-TEST(WireTest, AWithdrawnMessageThatEndedIsPassedOver) {
+TEST(AdapterTest, AnAbortOfAnUnknownRequestIsIgnored) {
   Adapter adapter;
   adapter.Reply(Batch("1", Attach("courier-1")));
-  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"ABORTED","who":"courier-1","corr":"r-gone"})")), "");
+  EXPECT_EQ(ErrorOf(adapter, Batch("2", R"({"type":"ABORTED","who":"courier-1","corr":"r-gone"})")), "");
 }
 
-// The end of a message may come in the batch of the outcome on which the courier has just ended it.
-TEST(WireTest, AMessageWithdrawnInTheBatchThatEndsItIsAnsweredOnce) {
+// The client may abort a request in the same batch as the outcome with which the instance ends it.
+TEST(AdapterTest, ARequestAbortedInTheBatchThatEndsItIsAnsweredOnce) {
   Adapter adapter;
   std::string attach = Attach("courier-1");
   attach.replace(attach.find("idempotent"), 10, "at_most_once");
   adapter.Reply(Batch("1", attach));
   adapter.Reply(Batch("2", Inbound("courier-1", "r-a")));
-  const std::string lost = R"({"type":"RESULT","who":"courier-1","corr":"r-a","shot":0,"endpoint":"e-1",)"
-                           R"("outcome":"errored","durationS":1})";
-  const std::string gone = R"({"type":"ABORTED","who":"courier-1","corr":"r-a"})";
-  const auto reply = nlohmann::json::parse(adapter.Reply(Batch("3", lost + "," + gone)));
+  const std::string errored = R"({"type":"RESULT","who":"courier-1","corr":"r-a","shot":0,"endpoint":"e-1",)"
+                              R"("outcome":"errored","durationS":1})";
+  const std::string aborted = R"({"type":"ABORTED","who":"courier-1","corr":"r-a"})";
+  const auto reply = nlohmann::json::parse(adapter.Reply(Batch("3", errored + "," + aborted)));
   std::vector<std::string> answers;
   for (const auto& decision : reply.at("decisions"))
     if (decision.contains("corr")) answers.push_back(decision.at("type"));
   EXPECT_EQ(answers, std::vector<std::string>{"ERROR"});
 }
 
-// Guards against a cancel that names a request of a batch which has had its outcome: the adapter has
-// forgotten it, and ended on the look-up.
-TEST(WireTest, AnOverdueBatchIsCancelledForItsPendingRequestsAlone) {
+// Guards against a cancellation for a request of a call that already has its outcome: the adapter has
+// forgotten the request, and stopped with an error when it looked it up.
+TEST(AdapterTest, AnOverdueCallIsCancelledOnlyForItsPendingRequests) {
   Adapter adapter;
   std::string attach = Attach("courier-1");
   attach.replace(attach.find("[1]"), 3, "[2]");
@@ -126,7 +126,7 @@
                              R"("outcome":"completed","durationS":0.1,"terminal":true})";
   adapter.Reply(Batch("2.1", served));
   std::string reply;
-  ASSERT_EQ(Complaint(adapter, Batch("17", Inbound("courier-1", "r-c"))), "");
+  ASSERT_EQ(ErrorOf(adapter, Batch("17", Inbound("courier-1", "r-c"))), "");
   for (int tick = 0; tick < 3; ++tick) {
     const std::string time = std::to_string(17.1 + tick);
     ASSERT_NO_THROW(reply += adapter.Reply(Batch(time, Inbound("courier-1", "r-d" + std::to_string(tick)))));
@@ -134,19 +134,19 @@
   EXPECT_EQ(reply.find("r-a"), std::string::npos);
 }
 
-TEST(WireTest, BadInputIsNamed) {
+TEST(AdapterTest, InvalidInputIsDescribed) {
   Adapter adapter;
   adapter.Reply(Batch("1", Attach("courier-1")));
-  EXPECT_EQ(Complaint(adapter, "{"), "no JSON at byte 2");
-  EXPECT_EQ(Complaint(adapter, R"({"in":[]})"), "missing field 'tsS'");
-  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"HELLO","who":"courier-1"})")),
+  EXPECT_EQ(ErrorOf(adapter, "{"), "invalid JSON at byte 2");
+  EXPECT_EQ(ErrorOf(adapter, R"({"in":[]})"), "missing field 'tsS'");
+  EXPECT_EQ(ErrorOf(adapter, Batch("2", R"({"type":"HELLO","who":"courier-1"})")),
             "event 0: unknown event 'HELLO'");
-  EXPECT_EQ(Complaint(adapter, Batch("2", Inbound("courier-9", "r-b"))),
+  EXPECT_EQ(ErrorOf(adapter, Batch("2", Inbound("courier-9", "r-b"))),
             "event 0: unknown instance 'courier-9'");
-  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"INBOUND","who":"courier-1","corr":"r-c"})")),
+  EXPECT_EQ(ErrorOf(adapter, Batch("2", R"({"type":"INBOUND","who":"courier-1","corr":"r-c"})")),
             "event 0: missing field 'grade'");
-  EXPECT_EQ(Complaint(adapter, Batch("2", R"({"type":"REMINDER","who":"courier-1","label":"x"})")),
-            "event 0: field 'label' has the wrong form");
+  EXPECT_EQ(ErrorOf(adapter, Batch("2", R"({"type":"REMINDER","who":"courier-1","label":"x"})")),
+            "event 0: field 'label' has the wrong type");
 }
 
 }  // namespace
--- a/tests/state_transfer/snapshot_transfer_test.cpp
+++ b/tests/state_transfer/snapshot_transfer_test.cpp
@@ -119,7 +119,7 @@
   play(EncodeFrame(SnapshotHeader{kVersion, "me", 5, 0}) + some, true, "itself", 0);
   play(header + EncodeFrame(SnapshotHeader{kVersion, "server", 0, 0}) + EncodeFrame(SnapshotEnd{0}), true,
        "whole", 0);  // it has no routes
-  net.limits.learn_lanes = 25;
+  net.limits.snapshot_routes = 25;
   play(header + some + some + some + some, true, "too_much", 30);
   const int closed = net::OpenListener(net.any);
   const sockaddr_in nobody = net::BoundAddress(closed);
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -51,10 +51,10 @@
     const std::string name = "n" + std::to_string(i);
     configs.push_back(std::make_unique<Config>(
         config::Parse(BaseConfig(folder / name, name), [](const char*) { return std::nullopt; })));
-    Operator settings;
-    settings.learn.listen = reserved[i].address();
+    OperatorSettings settings;
+    settings.state_transfer.listen = reserved[i].address();
     for (const auto& any : reserved)  // itself too
-      settings.learn.from.push_back(any.address());
+      settings.state_transfer.donors.push_back(any.address());
     fleet.push_back(std::make_unique<Relay>(net.loop, *configs.back(), settings));
   }
   const auto ready = [&] {
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -245,7 +245,7 @@
   CHECK(order.duration == 600);
   CHECK(ParseZoneCommand(R"({"zone":"first","order":"none"})").override_kind == OverrideKind::kNone);
   const std::pair<const char*, const char*> faults[] = {
-      {"", "no JSON"},
+      {"", "not valid JSON"},
       {"[]", "zone"},
       {R"({"order":"leave","for_s":1})", "zone"},
       {R"({"zone":7,"order":"leave","for_s":1})", "zone"},
