--- a/src/admin/operations_server.h
+++ b/src/admin/operations_server.h
@@ -1,4 +1,4 @@
-// The operators' HTTP interface (`ops` of the configuration, EDGE_OPS), on an address of its own. It
+// The operators' HTTP interface (`ops` of the configuration, EDGE_OPS), on a separate address. It
 // answers one request per connection, however busy the relay is with clients:
 //   GET  /v1/readyz                200 if the relay accepts clients, else 503
 //   GET  /v1/metrics               lines of `name=number`
--- a/src/admin/suspended_endpoints.h
+++ b/src/admin/suspended_endpoints.h
@@ -1,6 +1,6 @@
 // Endpoints that operators have suspended, in a file that outlives the process.
 //
-// The file `bans` holds one endpoint id a line, sorted, each line ended by a newline; it is replaced
+// The file `bans` holds sorted endpoint ids, each followed by a newline; it is replaced
 // atomically. The empty file `bans.lock` is locked while one of the relay's two processes changes `bans`.
 // Later versions must be able to read `bans`.
 #pragma once
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -20,7 +20,7 @@
   double request_timeout = 2;                // from the start of a later request to its end
   double client_idle_timeout = 10;           // between requests
   double client_crowded_idle_timeout = 0.5;  // the same, while more than half of the connections are in use
-  // Once all connections are in use, one that has sent no request for so long since it was accepted may be
+  // Once all connections are in use, one that has sent no request for this long since it was accepted may be
   // closed to make room.
   double client_silent_timeout = 0.05;
   double client_linger_timeout = 0.5;  // after the last response, for the client to read it
@@ -35,19 +35,19 @@
   int open_requests = 0;            // set from Settings::request_capacity
   double reject_retry_after = 0.5;  // the Retry-After of a request or connection rejected on arrival
   double max_remaining_time = 3600;
-  // A destination that has lost its last endpoint is still accepted for so long.
+  // A destination that has lost its last endpoint is still accepted for this long.
   double empty_destination_grace_period = 60;
   // State folder
   std::size_t disk_bytes = 3'000'000;
   // Discovery and notifications
   double watch_heartbeat_interval = 2;   // a working watch delivers a line at least this often
-  double watch_silence_timeout = 3.5;    // without a line for so long, a watch has failed
+  double watch_silence_timeout = 3.5;    // without a line for this long, a watch has failed
   double platform_response_timeout = 3;  // for the first line of a watch, and for a response to notifications
   std::size_t concurrent_watches = 3;    // including the one that has delivered the current list
-  // If complete lists have been older than the newest one for so long, discovery is assumed to have restarted
-  // its generation numbers.
+  // If complete lists have been older than the newest one for this long, discovery is assumed to have
+  // restarted its generation numbers.
   double generation_restart_timeout = 30;
-  // If an attempt has no response for so long, another one starts in parallel.
+  // If an attempt has no response for this long, another one starts in parallel.
   double notification_attempt_interval = 0.2;
   double notification_attempt_timeout = 1;  // also for the connection to be established
   std::size_t concurrent_notification_attempts = 3;
@@ -63,12 +63,12 @@
   double snapshot_session_timeout = 5;                 // for one of them
   std::size_t snapshot_routes = 50'000;                // route states per snapshot, and in any buffer of them
   std::size_t snapshot_bytes = std::size_t{16} << 20;  // read from one relay
-  double pending_routes_lifetime = 10;  // route states wait so long for the list to name their endpoints
+  double pending_routes_lifetime = 10;  // route states wait this long for the list to name their endpoints
   std::size_t snapshot_file_bytes = std::size_t{64} * 1024;  // in the state folder, with its replacement
   double snapshot_save_interval = 0.5;
   int transfer_datagram_peers = 2;       // asked by datagrams at the start ...
   int transfer_datagram_answers = 4;     // ... of which each sends at most this many datagrams
-  double transfer_datagram_timeout = 2;  // answers are accepted for so long after the question
+  double transfer_datagram_timeout = 2;  // answers are accepted for this long after the question
   // DNS
   int dns_attempts = 4;  // of a question, over all servers
   std::size_t dns_concurrent_lookups = 64;
@@ -79,7 +79,7 @@
   double dns_min_ttl = 1;                                      // a shorter TTL counts as this ...
   double dns_max_ttl = 3600;                                   // ... and a longer one as this
   double dns_max_negative_ttl = 60;  // the same for 'no such name' and 'no such record'
-  double dns_max_stale = 3600;       // an answer may be used for so long after its TTL while servers fail
+  double dns_max_stale = 3600;       // an answer may be used for this long after its TTL while servers fail
   double dns_retry_delay = 5;        // until a question that no server has answered is asked again ...
   double dns_retry_rate = 40;        // ... with at most this many such retries per second
   std::size_t dns_cache_entries = 50'000;
