--- a/src/state_transfer/state_transfer.h
+++ b/src/state_transfer/state_transfer.h
@@ -45,7 +45,7 @@
   // Applies the saved state and sends requests to other relays. All references must outlive this object.
   // Throws std::system_error if it can't listen on the address from the settings.
   StateTransfer(net::EventLoop& loop, const PersistentClock& clock, const Config& config,
-                const Operator::Learn& settings, Host& host);
+                const OperatorSettings::StateTransfer& settings, Host& host);
   ~StateTransfer() override;
 
   // Whether all TCP transfers have ended or the timeout has passed, so that the relay may become ready.
@@ -88,7 +88,7 @@
   net::EventLoop& loop_;
   const PersistentClock& clock_;
   const Config& config_;
-  const Operator::Learn settings_;
+  const OperatorSettings::StateTransfer settings_;
   Host& host_;
   const RouteStateSource source_;
 
--- a/tests/state_transfer/snapshot_transfer_test.cpp
+++ b/tests/state_transfer/snapshot_transfer_test.cpp
@@ -122,7 +122,7 @@
   check_fetch(EncodeFrame(SnapshotHeader{kVersion, "me", 5, 0}) + ten, true, "itself", 0);
   check_fetch(header + EncodeFrame(SnapshotHeader{kVersion, "server", 0, 0}) + EncodeFrame(SnapshotEnd{0}),
               true, "whole", 0);  // a snapshot without routes
-  scripted.limits.learn_lanes = 25;
+  scripted.limits.snapshot_routes = 25;
   check_fetch(header + ten + ten + ten + ten, true, "too_much", 30);
   const int closed = net::OpenListener(scripted.any_port);
   const sockaddr_in closed_port = net::BoundAddress(closed);
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -52,10 +52,10 @@
     const std::string name = "n" + std::to_string(i);
     configs.push_back(std::make_unique<Config>(
         config::Parse(BaseConfig(folder / name, name), [](const char*) { return std::nullopt; })));
-    Operator settings;
-    settings.learn.listen = reserved[i].address();
+    OperatorSettings settings;
+    settings.state_transfer.listen = reserved[i].address();
     for (const auto& server : reserved)  // including the relay itself
-      settings.learn.from.push_back(server.address());
+      settings.state_transfer.donors.push_back(server.address());
     fleet.push_back(std::make_unique<Relay>(scripted.loop, *configs.back(), settings));
   }
   const auto all_done = [&] {
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -252,7 +252,7 @@
   CHECK(command.duration == 600);
   CHECK(ParseZoneCommand(R"({"zone":"first","order":"none"})").override_kind == OverrideKind::kNone);
   const std::pair<const char*, const char*> invalid_bodies[] = {
-      {"", "no JSON"},
+      {"", "not valid JSON"},
       {"[]", "zone"},
       {R"({"order":"leave","for_s":1})", "zone"},
       {R"({"zone":7,"order":"leave","for_s":1})", "zone"},
