--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// opalroute-lab: the laboratory's command line.
+// The command line of opalroute-lab.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -37,7 +37,7 @@
   return usage.ru_maxrss / 1024;
 }
 
-void Print(const RunResult& r) {
+void PrintResult(const RunResult& r) {
   std::printf("%s, seed %llu: worth %.4f, worst ten seconds %.4f\n", r.scenario.c_str(),
               static_cast<unsigned long long>(r.seed), r.ValueShare(), r.WorstTenSeconds());
   std::printf("%-16s %8s %10s %8s %8s %8s %8s %8s\n", "class", "asked", "delivered", "in aim", "p50 s",
@@ -67,61 +67,61 @@
                 b.relay, static_cast<unsigned long long>(b.message), static_cast<unsigned>(b.endpoint),
                 b.trace.c_str());
   }
-  if (r.breaches.size() > 10) std::printf("... %zu breaches in all\n", r.breaches.size());
+  if (r.breaches.size() > 10) std::printf("... %zu breaches in total\n", r.breaches.size());
 }
 
 volatile std::sig_atomic_t g_interrupted = 0;
 
-std::string SelfPath() {
+std::string OwnPath() {
   std::error_code error;
   return std::filesystem::read_symlink("/proc/self/exe", error).string();
 }
 
-// The relay's program: the one that was named, or that beside this one.
-std::string RelayProgram(const std::string& named) {
+// Returns the relay program: the given path, or the program `opalroute` in this program's folder.
+std::string FindRelayProgram(const std::string& path) {
   const std::string program =
-      named.empty() ? (std::filesystem::path(SelfPath()).parent_path() / "opalroute").string() : named;
+      path.empty() ? (std::filesystem::path(OwnPath()).parent_path() / "opalroute").string() : path;
   if (access(program.c_str(), X_OK) != 0)
     throw std::runtime_error("there is no relay program at '" + program + "' (see --relay)");
   return program;
 }
 
-// For what nobody keeps. It goes with the run, however that ends.
-class ScratchFolder {
+// A folder for files that are not kept. It is removed at scope exit, also after an exception.
+class TemporaryFolder {
  public:
-  ScratchFolder()
+  TemporaryFolder()
       : path_((std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid())))
                   .string()) {}
-  ~ScratchFolder() {
+  ~TemporaryFolder() {
     std::error_code error;
     std::filesystem::remove_all(path_, error);
   }
-  ScratchFolder(const ScratchFolder&) = delete;
-  ScratchFolder& operator=(const ScratchFolder&) = delete;
+  TemporaryFolder(const TemporaryFolder&) = delete;
+  TemporaryFolder& operator=(const TemporaryFolder&) = delete;
   const std::string& path() const { return path_; }
 
  private:
   const std::string path_;
 };
 
-struct SocketOrder {
-  bool on = false;
+struct SocketRunOptions {
+  bool enabled = false;
   std::string program, arguments;
 };
 
-RunResult PlayOnce(const Scenario& scenario, std::uint64_t seed, const SocketOrder& sockets,
-                   const std::string& out) {
-  const bool shows = isatty(STDERR_FILENO) != 0;
+RunResult RunScenario(const Scenario& scenario, std::uint64_t seed, const SocketRunOptions& sockets,
+                      const std::string& out) {
+  const bool show_progress = isatty(STDERR_FILENO) != 0;
   const auto progress = [&](double second) {
-    if (shows) std::fprintf(stderr, "\r%.0f of %.0f s", second, scenario.duration);
+    if (show_progress) std::fprintf(stderr, "\r%.0f of %.0f s", second, scenario.duration);
   };
   RunResult result;
-  if (sockets.on) {
+  if (sockets.enabled) {
     SocketOptions options;
-    options.program = RelayProgram(sockets.program);
+    options.program = FindRelayProgram(sockets.program);
     options.relay_arguments = CLI::detail::split_up(sockets.arguments);
-    const ScratchFolder scratch;
-    options.folder = out.empty() ? scratch.path() : out + "/relays";
+    const TemporaryFolder temporary;
+    options.folder = out.empty() ? temporary.path() : out + "/relays";
     options.progress = progress;
     options.interrupted = [] { return g_interrupted != 0; };
     std::signal(SIGINT, [](int) { g_interrupted = 1; });
@@ -131,19 +131,19 @@
   } else {
     result = Simulation(scenario, seed).Run(progress);
   }
-  if (shows) std::fprintf(stderr, "\r                    \r");
+  if (show_progress) std::fprintf(stderr, "\r                    \r");
   return result;
 }
 
-int Run(const std::string& what, const std::vector<std::string>& sets, std::uint64_t seed,
-        const std::string& out, const SocketOrder& sockets) {
-  const Scenario scenario = ReadScenarioWithOverrides(what, sets);
-  const double began = WallSeconds();
+int Run(const std::string& source, const std::vector<std::string>& sets, std::uint64_t seed,
+        const std::string& out, const SocketRunOptions& sockets) {
+  const Scenario scenario = ReadScenarioWithOverrides(source, sets);
+  const double start = WallSeconds();
   if (!out.empty()) std::filesystem::create_directories(out);
-  const RunResult result = PlayOnce(scenario, seed, sockets, out);
-  Print(result);
-  if (!sockets.on)
-    std::printf("%ld events in %.2f s, peak memory %ld MB\n", result.events, WallSeconds() - began,
+  const RunResult result = RunScenario(scenario, seed, sockets, out);
+  PrintResult(result);
+  if (!sockets.enabled)
+    std::printf("%ld events in %.2f s, peak memory %ld MB\n", result.events, WallSeconds() - start,
                 PeakMegabytes());
   if (!out.empty()) std::ofstream(out + "/result.json") << result.ToJson().dump(1) << '\n';
   if (!result.void_reason.empty()) return 3;
@@ -161,14 +161,14 @@
 }
 
 int Capacity(CapacityOptions options) {
-  options.program = RelayProgram(options.program);
-  const ScratchFolder scratch;
-  options.folder = scratch.path();
+  options.program = FindRelayProgram(options.program);
+  const TemporaryFolder temporary;
+  options.folder = temporary.path();
   std::signal(SIGPIPE, SIG_IGN);
   const CapacityResult r = MeasureCapacity(options);
-  const auto median = [](const std::vector<Throughput>& all, double Throughput::*field) {
+  const auto median = [](const std::vector<Throughput>& rounds, double Throughput::*field) {
     std::vector<double> values;
-    for (const Throughput& one : all) values.push_back(one.*field);
+    for (const Throughput& one : rounds) values.push_back(one.*field);
     return Median(values);
   };
   std::printf("one core each, payments of 200 bytes, medians of %d rounds\n\n", options.rounds);
@@ -198,38 +198,38 @@
   return 0;
 }
 
-int Soak(SoakOrder order, bool bare) {
+int Soak(SoakOrder order, bool no_system_call_faults) {
   std::signal(SIGPIPE, SIG_IGN);
-  order.program = RelayProgram(order.program);
-  if (!bare)
-    order.library = (std::filesystem::path(SelfPath()).parent_path() / "libopalroute_faults.so").string();
-  const ScratchFolder scratch;
-  if (order.folder.empty()) order.folder = scratch.path();
+  order.program = FindRelayProgram(order.program);
+  if (!no_system_call_faults)
+    order.library = (std::filesystem::path(OwnPath()).parent_path() / "libopalroute_faults.so").string();
+  const TemporaryFolder temporary;
+  if (order.folder.empty()) order.folder = temporary.path();
   return SoakTable(order);
 }
 
-// The hold model of the literature on event queues: each event that leaves puts one in, at a drawn time after
-// it.
+// The hold model, a standard benchmark of event queues: each event that is removed inserts another, a random
+// delay later. Returns nanoseconds per removal and insertion.
 template <typename Queue>
-double Hold(std::size_t events, bool clumped) {
+double MeasureHold(std::size_t events, bool clustered) {
   Queue queue;
   pcg32 random(7, 5);
-  // As in a run: most go to the next few milliseconds, some seconds ahead.
-  const auto ahead = [&] {
+  // Clustered as in a run: most events are due within milliseconds, one in eight only after seconds.
+  const auto draw_delay = [&] {
     const std::uint32_t draw = random();
-    return clumped ? Micros(draw % 8 == 0 ? draw % 8'000'000 : draw % 5'000) : Micros(draw % 1'000'000);
+    return clustered ? Micros(draw % 8 == 0 ? draw % 8'000'000 : draw % 5'000) : Micros(draw % 1'000'000);
   };
-  for (std::size_t i = 0; i < events; ++i) queue.Push(ahead(), static_cast<std::uint32_t>(i));
+  for (std::size_t i = 0; i < events; ++i) queue.Push(draw_delay(), static_cast<std::uint32_t>(i));
   constexpr int kHolds = 2'000'000;
-  const double began = WallSeconds();
+  const double start = WallSeconds();
   for (int i = 0; i < kHolds; ++i) {
     const auto event = queue.Pop();
-    queue.Push(event.at + ahead(), event.payload);
+    queue.Push(event.at + draw_delay(), event.payload);
   }
-  return (WallSeconds() - began) / kHolds * 1e9;
+  return (WallSeconds() - start) / kHolds * 1e9;
 }
 
-int Queues() {
+int QueueTable() {
   struct Large {
     std::uint64_t words[4];
     Large(std::uint32_t value = 0) : words{value, 0, 0, 0} {}
@@ -238,109 +238,122 @@
       "ns for one event out and one in\n| events | times | binary heap | calendar queue "
       "|\n|---|---|---|---|\n");
   for (const std::size_t events : {1000U, 10000U, 100000U, 1000000U})
-    for (const bool clumped : {false, true})
-      std::printf("| %zu | %s | %.0f | %.0f |\n", events, clumped ? "as in a run" : "even",
-                  Hold<HeapQueue<Large>>(events, clumped), Hold<CalendarQueue<Large>>(events, clumped));
+    for (const bool clustered : {false, true})
+      std::printf("| %zu | %s | %.0f | %.0f |\n", events, clustered ? "as in a run" : "even",
+                  MeasureHold<HeapQueue<Large>>(events, clustered),
+                  MeasureHold<CalendarQueue<Large>>(events, clustered));
   return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"The laboratory: plays scenarios in simulated time and says what came of them."};
+  CLI::App app{
+      "The laboratory: runs scenarios in simulated time or with relay processes and reports the results."};
   app.name("opalroute-lab");
   app.require_subcommand(1);
-  std::string what, other, out, key;
+  std::string source, other_source, out, key;
   std::vector<std::string> sets, values;
   std::uint64_t seed = 1;
   int seeds = 20, jobs = 0;
   CLI::App* run = app.add_subcommand(
-      "run", "play a scenario once; exit status 1 on a breach or a crash, 3 if the run is void");
-  run->add_option("SCENARIO", what, "a file, or FILE,key=value,...")->required();
-  run->add_option("--seed", seed, "of everything drawn");
-  run->add_option("--set", sets, "key=value, like load.rate=30");
-  run->add_option("--out", out, "folder for result.json, and for the relays' folders and logs");
-  SocketOrder sockets;
-  run->add_flag("--sockets", sockets.on, "real relay processes on loopback instead of simulated time");
-  run->add_option("--relay", sockets.program, "the relay's program; else the one beside this");
-  run->add_option("--relay-arguments", sockets.arguments, "for it, in one text, like '--log-level warn'");
+      "run", "run a scenario once; exit status 1 on a breach or a crash, 3 if the run is void");
+  run->add_option("SCENARIO", source, "a file, or FILE,key=value,...")->required();
+  run->add_option("--seed", seed, "seed of all random draws");
+  run->add_option("--set", sets, "set a key of the scenario: key=value, like load.rate=30");
+  run->add_option("--out", out, "folder for result.json and for the relays' state and logs");
+  SocketRunOptions sockets;
+  run->add_flag("--sockets", sockets.enabled,
+                "run real relay processes on loopback instead of simulated time");
+  run->add_option("--relay", sockets.program,
+                  "path of the relay program (default: in this program's folder)");
+  run->add_option("--relay-arguments", sockets.arguments,
+                  "arguments for the relays as one string, like '--log-level warn'");
   CLI::App* compare =
-      app.add_subcommand("compare", "play two scenarios, settings or builds on the same seeds");
-  compare->add_option("A", what, "a file, or FILE,key=value,...")->required();
-  compare->add_option("B", other, "the same")->required();
+      app.add_subcommand("compare", "run two scenarios, settings or builds on the same seeds");
+  compare->add_option("A", source, "a file, or FILE,key=value,...")->required();
+  compare->add_option("B", other_source, "as A")->required();
   compare->add_option("--seeds", seeds)->check(CLI::Range(2, 10000));
-  compare->add_option("--set", sets, "for both");
+  compare->add_option("--set", sets, "key=value, for both");
   std::string build_a, build_b;
-  compare->add_option("--build-a", build_a, "A's build folder; else this program's own");
-  compare->add_option("--build-b", build_b, "B's");
-  CLI::App* sweep = app.add_subcommand("sweep", "play a scenario with several values of a key");
-  sweep->add_option("SCENARIO", what)->required();
+  compare->add_option("--build-a", build_a, "build folder of A (default: that of this program)");
+  compare->add_option("--build-b", build_b, "build folder of B");
+  CLI::App* sweep = app.add_subcommand("sweep", "run a scenario with several values of a key");
+  sweep->add_option("SCENARIO", source)->required();
   sweep->add_option("KEY", key)->required();
   sweep->add_option("VALUES", values)->required();
   sweep->add_option("--seeds", seeds)->check(CLI::Range(1, 10000));
-  for (CLI::App* many : {compare, sweep}) {
-    many->add_option("--jobs", jobs, "runs at once; else one a core, on sockets one")
+  for (CLI::App* command : {compare, sweep}) {
+    command->add_option("--jobs", jobs, "concurrent runs (default: one per core, with --sockets one)")
         ->check(CLI::Range(1, 256));
-    many->add_flag("--sockets", sockets.on, "real relay processes, in real time");
-    many->add_option("--relay-arguments", sockets.arguments, "for the relays, in one text");
+    command->add_flag("--sockets", sockets.enabled, "run real relay processes, in real time");
+    command->add_option("--relay-arguments", sockets.arguments, "arguments for the relays as one string");
   }
-  CLI::App* check = app.add_subcommand("check", "read a scenario and print every fault");
-  check->add_option("SCENARIO", what)->required();
+  CLI::App* check = app.add_subcommand("check", "validate a scenario and print every error");
+  check->add_option("SCENARIO", source)->required();
   std::vector<std::string> folders;
-  std::string page = "report.html";
-  CLI::App* report = app.add_subcommand("report", "one page of HTML on runs that were kept with --out");
-  report->add_option("DIR", folders, "a run's folder; several stand side by side")->required();
-  report->add_option("--out", page, "the page")->capture_default_str();
+  std::string report_path = "report.html";
+  CLI::App* report =
+      app.add_subcommand("report", "write one HTML page about runs that were stored with --out");
+  report->add_option("DIR", folders, "folder of a run; several are shown side by side")->required();
+  report->add_option("--out", report_path, "path of the page")->capture_default_str();
   CapacityOptions capacity;
-  CLI::App* cost = app.add_subcommand("capacity", "measure the relay's cost against a bare forwarder's");
-  cost->add_option("--relay", capacity.program, "the relay's program; else the one beside this");
-  cost->add_option("--seconds", capacity.seconds, "of each measurement")->check(CLI::Range(0.2, 600.0));
-  cost->add_option("--rounds", capacity.rounds)->check(CLI::Range(1, 100));
+  CLI::App* capacity_command =
+      app.add_subcommand("capacity", "measure the relay's cost against a bare forwarder's");
+  capacity_command->add_option("--relay", capacity.program,
+                               "path of the relay program (default: in this program's folder)");
+  capacity_command->add_option("--seconds", capacity.seconds, "duration of each measurement")
+      ->check(CLI::Range(0.2, 600.0));
+  capacity_command->add_option("--rounds", capacity.rounds)->check(CLI::Range(1, 100));
   int destinations = 20000, rounds = 9;
-  CLI::App* learning =
-      app.add_subcommand("learning", "measure learning from a running instance; exit status 1 if it fails");
-  learning->add_option("--seeds", seeds, "runs of each arm")->check(CLI::Range(1, 1000));
-  CLI::App* snapshot = app.add_subcommand("snapshot", "measure one snapshot between two processes");
+  CLI::App* learning = app.add_subcommand(
+      "learning", "measure the state transfer from a running instance; exit status 1 if it fails");
+  learning->add_option("--seeds", seeds, "runs of each variant")->check(CLI::Range(1, 1000));
+  CLI::App* snapshot =
+      app.add_subcommand("snapshot", "measure the transfer of one snapshot between two processes");
   snapshot->add_option("--destinations", destinations)->check(CLI::Range(1, 50000));
   snapshot->add_option("--runs", rounds)->check(CLI::Range(1, 100));
   int changes = 200;
-  CLI::App* srv = app.add_subcommand("srv", "measure SRV beside the partner list; exit status 1 if it fails");
-  srv->add_option("--changes", changes, "machines replaced")->check(CLI::Range(1, 250));
+  CLI::App* srv =
+      app.add_subcommand("srv", "measure SRV records next to the endpoint list; exit status 1 if it fails");
+  srv->add_option("--changes", changes, "number of machines to replace")->check(CLI::Range(1, 250));
   int scripts = 1000;
   bool print = false;
   CLI::App* script =
-      app.add_subcommand("scripts", "play drawn scripts of faults; exit status 1 if one breaks a rule");
-  script->add_option("--seed", seed, "of the first");
+      app.add_subcommand("scripts", "run random fault scripts; exit status 1 if one breaks a rule");
+  script->add_option("--seed", seed, "seed of the first script");
   script->add_option("--count", scripts)->check(CLI::Range(1, 1000000));
-  script->add_option("--jobs", jobs, "at once; else one a core")->check(CLI::Range(1, 256));
-  script->add_flag("--print", print, "the first one as a scenario's file, and play none");
+  script->add_option("--jobs", jobs, "concurrent runs (default: one per core)")->check(CLI::Range(1, 256));
+  script->add_flag("--print", print, "print the first script as a scenario file and run none");
   SoakOrder soak_order;
   std::string follow;
   CLI::App* soak = app.add_subcommand(
       "soak",
-      "play seeds with real processes under faults; exit status 1 if one breaks a rule, 3 if one is void");
-  soak->add_option("--seed", soak_order.first, "of the first");
+      "run seeds with real processes under faults; exit status 1 if one breaks a rule, 3 if one is void");
+  soak->add_option("--seed", soak_order.first, "first seed");
   soak->add_option("--count", soak_order.count)->check(CLI::Range(1, 100000));
-  soak->add_option("--jobs", soak_order.jobs, "at once")->check(CLI::Range(1, 16));
-  soak->add_option("--relay", soak_order.program, "the relay's program; else the one beside this");
-  soak->add_option("--out", soak_order.folder, "folder for logs; else they go with the run");
+  soak->add_option("--jobs", soak_order.jobs, "concurrent runs")->check(CLI::Range(1, 16));
+  soak->add_option("--relay", soak_order.program,
+                   "path of the relay program (default: in this program's folder)");
+  soak->add_option("--out", soak_order.folder, "folder for logs (default: they are removed after the run)");
   soak->add_option("--follow", follow,
-                   "play nothing; print what the logs under --out's run say of a message");
-  bool bare = false;
-  soak->add_flag("--no-system-call-faults", bare, "leave the relays' system calls and clocks alone");
-  soak->add_flag("--print", print, "the first seed's scenario as a file, and play none");
+                   "run nothing; print what the logs of the run under --out contain about a message");
+  bool no_system_call_faults = false;
+  soak->add_flag("--no-system-call-faults", no_system_call_faults,
+                 "inject no faults into the relays' system calls and clocks");
+  soak->add_flag("--print", print, "print the first seed's scenario as a file and run none");
   CLI::App* queues = app.add_subcommand("queues", "measure the event queues");
   CLI11_PARSE(app, argc, argv);
   try {
-    if (*run) return Run(what, sets, seed, out, sockets);
+    if (*run) return Run(source, sets, seed, out, sockets);
     if (*compare || *sweep) {
-      const ScratchFolder scratch;
-      std::filesystem::create_directories(scratch.path());
+      const TemporaryFolder temporary;
+      std::filesystem::create_directories(temporary.path());
       if (jobs == 0)
-        jobs = sockets.on ? 1 : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-      const PlayOrder order{seeds, jobs, sockets.on, sockets.arguments, SelfPath(), scratch.path()};
-      return *compare ? Compare({what, sets, build_a}, {other, sets, build_b}, order)
-                      : Sweep({what, {}, {}}, key, values, order);
+        jobs = sockets.enabled ? 1 : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
+      const PlayOrder order{seeds, jobs, sockets.enabled, sockets.arguments, OwnPath(), temporary.path()};
+      return *compare ? Compare({source, sets, build_a}, {other_source, sets, build_b}, order)
+                      : Sweep({source, {}, {}}, key, values, order);
     }
     if (*script && print) {
       std::printf("%s\n", DrawFaultScript(seed).dump(1).c_str());
@@ -358,15 +371,15 @@
       std::fputs(FollowMessage(soak_order.folder, follow).c_str(), stdout);
       return 0;
     }
-    if (*soak) return Soak(soak_order, bare);
+    if (*soak) return Soak(soak_order, no_system_call_faults);
     if (*learning) return LearningTable(seeds);
     if (*snapshot) return SnapshotTable(destinations, rounds);
     if (*srv) return SrvTable(changes);
-    if (*cost) return Capacity(capacity);
-    if (*report) return Report(folders, page);
-    if (*queues) return Queues();
-    ReadScenarioWithOverrides(what, {});
-    std::printf("the scenario is sound\n");
+    if (*capacity_command) return Capacity(capacity);
+    if (*report) return Report(folders, report_path);
+    if (*queues) return QueueTable();
+    ReadScenarioWithOverrides(source, {});
+    std::printf("the scenario is valid\n");
     return 0;
   } catch (const opalroute::config::Faults& faults) {
     for (const std::string& fault : faults.all()) std::fprintf(stderr, "%s\n", fault.c_str());
--- a/lab/report/plot.cpp
+++ b/lab/report/plot.cpp
@@ -21,7 +21,8 @@
   TemporaryFile() {
     path_ = (std::filesystem::temp_directory_path() / "opalroute-plot-XXXXXX").string();
     const int fd = mkstemp(path_.data());
-    if (fd < 0) throw std::runtime_error("no temporary file: " + std::string(std::strerror(errno)));
+    if (fd < 0)
+      throw std::runtime_error("can't create a temporary file: " + std::string(std::strerror(errno)));
     close(fd);
   }
   ~TemporaryFile() { unlink(path_.c_str()); }
@@ -33,7 +34,7 @@
   std::string path_;
 };
 
-// In gnuplot's double quotes.
+// Returns the text as a double-quoted gnuplot string; newlines become spaces.
 std::string Quoted(const std::string& text) {
   std::string quoted = "\"";
   for (const char c : text) {
@@ -43,7 +44,7 @@
   return quoted + '"';
 }
 
-std::string Script(const Plot& plot, const std::string& name, const std::string& output) {
+std::string GnuplotScript(const Plot& plot, const std::string& name, const std::string& output) {
   std::ostringstream s;
   s << "set terminal svg size 520,300 dynamic font 'sans-serif,14' name '" << name << "'\n"
     << "set output " << Quoted(output) << "\nset encoding utf8\n"
@@ -53,7 +54,7 @@
   if (!plot.y2_label.empty())
     s << "set border 11\nset y2tics nomirror\nset y2range [0:*]\nset y2label " << Quoted(plot.y2_label)
       << '\n';
-  s << plot.more;
+  s << plot.extra_commands;
   for (std::size_t i = 0; i < plot.series.size(); ++i) {
     s << "$data" << i << " << EOD\n";
     for (const auto& [x, y] : plot.series[i].points) s << x << ' ' << y << '\n';
@@ -72,19 +73,19 @@
 
 std::string DrawSvg(const Plot& plot, const std::string& name) {
   const TemporaryFile output, script;
-  std::ofstream(script.path()) << Script(plot, name, output.path());
+  std::ofstream(script.path()) << GnuplotScript(plot, name, output.path());
   const std::string command = "gnuplot '" + script.path() + "' 2>&1";
   FILE* const pipe = popen(command.c_str(), "r");
   if (pipe == nullptr) throw std::runtime_error("gnuplot can't be started");
-  std::string said;
-  char part[512];
-  while (fgets(part, sizeof(part), pipe) != nullptr) said += part;
+  std::string output_text;
+  char buffer[512];
+  while (fgets(buffer, sizeof(buffer), pipe) != nullptr) output_text += buffer;
   const int status = pclose(pipe);
   std::ifstream file(output.path());
   std::string svg((std::istreambuf_iterator<char>(file)), std::istreambuf_iterator<char>());
   const std::size_t begin = svg.find("<svg");
   if (status != 0 || begin == std::string::npos)
-    throw std::runtime_error("gnuplot has drawn nothing (is it installed?): " + said.substr(0, 500));
+    throw std::runtime_error("gnuplot produced no SVG (is it installed?): " + output_text.substr(0, 500));
   return svg.substr(begin);
 }
 
--- a/lab/report/plot.h
+++ b/lab/report/plot.h
@@ -1,4 +1,4 @@
-// Plots as SVG, drawn by gnuplot.
+// Draws plots as SVG with gnuplot.
 #pragma once
 
 #include <string>
@@ -10,18 +10,19 @@
 struct Series {
   std::string title;
   std::vector<std::pair<double, double>> points;
-  std::string style;  // gnuplot's, as "lines lw 2 lc rgb '#0b6'"
+  std::string style;  // for gnuplot's `with`, like "lines lw 2 lc rgb '#0b6'"
   bool second_axis = false;
 };
 
 struct Plot {
-  std::string x_label, y_label, y2_label;  // y2: none where empty
-  std::string more;                        // further gnuplot settings, one a line
+  std::string x_label, y_label, y2_label;  // empty y2_label: no second axis
+  std::string extra_commands;              // further gnuplot commands, one per line
   std::vector<Series> series;
 };
 
-// Returns an <svg> element that scales with its container. `name` keeps the ids of several in one page apart:
-// letters and digits. Throws std::runtime_error if gnuplot is not there or draws nothing.
+// Returns an <svg> element that scales with its container. `name` (letters and digits) makes the element ids
+// unique among several plots on one page. Throws std::runtime_error if gnuplot is not installed or draws
+// nothing.
 std::string DrawSvg(const Plot& plot, const std::string& name);
 
 }  // namespace opalroute::lab
--- a/lab/report/report.cpp
+++ b/lab/report/report.cpp
@@ -22,14 +22,14 @@
 using ctemplate::TemplateDictionary;
 using nlohmann::json;
 
-constexpr std::size_t kMostBreaches = 100;
+constexpr std::size_t kMaxBreaches = 100;
 
-std::string Number(double value, int places) {
+std::string NumberText(double value, int decimals) {
   char text[32];
-  std::snprintf(text, sizeof(text), "%.*f", places, value);
+  std::snprintf(text, sizeof(text), "%.*f", decimals, value);
   return text;
 }
-std::string Whole(const json& value) { return std::to_string(value.get<long>()); }
+std::string IntegerText(const json& value) { return std::to_string(value.get<long>()); }
 
 std::vector<std::pair<double, double>> Points(const json& values) {
   std::vector<std::pair<double, double>> points;
@@ -46,7 +46,7 @@
 
 // ---- plots ------------------------------------------------------------------------------------------------
 
-Plot Flow(const json& result) {
+Plot FlowPlot(const json& result) {
   const json& seconds = result["seconds"];
   return {"seconds",
           "messages a second",
@@ -58,8 +58,8 @@
            {"failed", Points(seconds["failed"]), "lines lw 2 lc rgb '#d98c00' dt 2"}}};
 }
 
-// Calls into each zone, and how many relays have left it, where the times of their stages are known.
-Plot Zones(const json& result) {
+// Calls into each zone, and how many relays have evacuated it, if the times of the phase changes are known.
+Plot ZonesPlot(const json& result) {
   const char* const colours[] = {"#1f4e9c", "#d98c00", "#14692f", "#6b3fa0", "#a3161f", "#555555"};
   const json& calls = result["seconds"].value("zone_calls", json::array());
   std::size_t zones = 0;
@@ -72,37 +72,37 @@
     plot.series.push_back({"zone " + std::to_string(zone + 1), points,
                            std::string("lines lw 2 lc rgb '") + colours[zone % 6] + "'"});
   }
-  std::map<int, std::map<int, bool>> out;  // by zone, by relay
-  std::map<int, std::vector<std::pair<double, double>>> left;
+  std::map<int, std::map<int, bool>> evacuated;  // by zone, by relay
+  std::map<int, std::vector<std::pair<double, double>>> counts;
   for (const json& c : result.value("stages", json::array())) {
-    if (c["at_s"].get<double>() <= 0) continue;  // of real processes the order is known, and no time
+    if (c["at_s"].get<double>() <= 0) continue;  // on sockets only the order of phase changes is known
     const int zone = c["zone"].get<int>();
-    auto& relays = out[zone];
+    auto& relays = evacuated[zone];
     relays[c["relay"].get<int>()] = c["step"] == "out";
-    left[zone].emplace_back(
+    counts[zone].emplace_back(
         c["at_s"].get<double>(),
         std::count_if(relays.begin(), relays.end(), [](const auto& relay) { return relay.second; }));
   }
-  for (const auto& [zone, points] : left) {
-    plot.y2_label = "relays that have left it";
-    plot.series.push_back({"have left zone " + std::to_string(zone + 1), points,
+  for (const auto& [zone, points] : counts) {
+    plot.y2_label = "relays that have evacuated it";
+    plot.series.push_back({"evacuated zone " + std::to_string(zone + 1), points,
                            std::string("steps lw 1 dt 2 lc rgb '") + colours[zone % 6] + "'", true});
   }
   return plot;
 }
 
-Plot Partner(const json& result) {
+Plot PartnerPlot(const json& result) {
   const json& seconds = result["seconds"];
   return {"seconds",
           "calls a second",
           "",
           "",
-          {{"what it could do", Points(seconds["watched_capacity"]), "filledcurves x1 lc rgb '#dbe7f5'"},
-           {"calls that reached it", Points(seconds["watched_calls"]), "lines lw 2 lc rgb '#1f4e9c'"}}};
+          {{"capacity", Points(seconds["watched_capacity"]), "filledcurves x1 lc rgb '#dbe7f5'"},
+           {"calls received", Points(seconds["watched_calls"]), "lines lw 2 lc rgb '#1f4e9c'"}}};
 }
 
-// x: how many nines, so that the last of them are as wide as the first.
-Plot Latency(const json& result) {
+// The x axis counts nines (-log10(1 - quantile)), so that the tail is shown as wide as the rest.
+Plot LatencyPlot(const json& result) {
   Plot plot{"percentile",
             "seconds since due",
             "",
@@ -121,8 +121,8 @@
   return plot;
 }
 
-// Of hundreds the middle one and the largest, second by second.
-Plot MemoryOfMany(const json& processes) {
+// For many relays: the median and the maximum of all processes, by second.
+Plot MemorySummaryPlot(const json& processes) {
   Plot plot{"seconds", "MB resident", "descriptors", "", {}};
   for (const char* key : {"rss_kb", "descriptors"}) {
     const bool memory = key == std::string("rss_kb");
@@ -131,25 +131,25 @@
       for (std::size_t i = 0; i < p["at_s"].size(); ++i)
         by_second[static_cast<int>(p["at_s"][i].get<double>())].push_back(p[key][i].get<double>() /
                                                                           (memory ? 1024 : 1));
-    Series middle{memory ? "middle, MB" : "middle, descriptors",
+    Series median{memory ? "median, MB" : "median, descriptors",
                   {},
                   memory ? "lines lw 2" : "lines lw 1 dt 2",
                   !memory};
-    Series largest = middle;
+    Series largest = median;
     largest.title.replace(0, 6, "largest");
     for (auto& [second, values] : by_second) {
-      middle.points.emplace_back(second, Median(values));
+      median.points.emplace_back(second, Median(values));
       largest.points.emplace_back(second, *std::max_element(values.begin(), values.end()));
     }
-    plot.series.push_back(middle);
+    plot.series.push_back(median);
     plot.series.push_back(largest);
   }
   return plot;
 }
 
-Plot Memory(const json& result) {
-  constexpr std::size_t kMostLines = 12;
-  if (result["processes"].size() > kMostLines) return MemoryOfMany(result["processes"]);
+Plot MemoryPlot(const json& result) {
+  constexpr std::size_t kMaxRelays = 12;
+  if (result["processes"].size() > kMaxRelays) return MemorySummaryPlot(result["processes"]);
   Plot plot{"seconds", "MB resident", "descriptors", "", {}};
   int relay = 0;
   for (const json& p : result["processes"]) {
@@ -164,19 +164,23 @@
 struct Chart {
   const char* id;
   const char* name;
-  const char* note;
+  const char* description;
   Plot (*draw)(const json&);
   bool sockets_only;
 };
 const std::vector<Chart> kCharts = {
-    {"flow", "Offered, delivered, refused", "By the second in which a message was due, or was refused.", Flow,
+    {"flow", "Offered, delivered, refused",
+     "Offered and delivered by the second when a message was due; refused and failed by the second when it "
+     "ended.",
+     FlowPlot, false},
+    {"zones", "Calls by zone",
+     "And how many relays have evacuated each zone, if the times are known (in simulated time).", ZonesPlot,
      false},
-    {"zones", "Calls by zone", "And how many relays have left each, where that has a time.", Zones, false},
     {"partner", "A partner's load against its capacity",
-     "The busiest partner that a trouble strikes, or else the busiest of all.", Partner, false},
-    {"latency", "Latency", "From when a message was due to its delivery; retries of its client are within.",
-     Latency, false},
-    {"memory", "Memory and descriptors", "Of each relay's process.", Memory, true}};
+     "The busiest partner that a fault affects, or else the busiest of all.", PartnerPlot, false},
+    {"latency", "Latency", "From when a message was due to its delivery, with all retries of its client.",
+     LatencyPlot, false},
+    {"memory", "Memory and descriptors", "Of each relay process.", MemoryPlot, true}};
 
 // ---- tables -----------------------------------------------------------------------------------------------
 
@@ -185,31 +189,32 @@
   std::function<std::string(const json&)> of;
 };
 std::vector<Figure> Figures() {
-  const auto whole = [](const char* key) { return [key](const json& r) { return Whole(r[key]); }; };
-  return {
-      {"worth", [](const json& r) { return Number(r["worth"].get<double>(), 4); }},
-      {"worst ten seconds", [](const json& r) { return Number(r["worst_ten_seconds"].get<double>(), 4); }},
-      {"handed in", whole("handed_in")},
-      {"refused", whole("refused")},
-      {"failed", whole("failed")},
-      {"calls", whole("calls")},
-      {"calls answered full", whole("full")},
-      {"calls that failed", whole("errors")},
-      {"calls reset", whole("resets")},
-      {"calls given up", whole("timeouts")},
-      {"probes", whole("probes")},
-      {"partners that fell over", whole("collapses")},
-      {"broken rules", [](const json& r) { return std::to_string(r["breaches"].size()); }},
-      {"crashes", [](const json& r) { return std::to_string(r["crashes"].size()); }},
-      {"202 after, p99.9 ms",
-       [](const json& r) {
-         return r.contains("answer_time_s") ? Number(r["answer_time_s"]["p99_9"].get<double>() * 1e3, 1)
-                                            : std::string("simulated");
-       }},
-      {"laboratory late, p99 ms", [](const json& r) {
-         return r["played"] == "sockets" ? Number(r["lateness_s"]["p99"].get<double>() * 1e3, 1)
-                                         : std::string("simulated");
-       }}};
+  const auto whole = [](const char* key) { return [key](const json& r) { return IntegerText(r[key]); }; };
+  return {{"worth", [](const json& r) { return NumberText(r["worth"].get<double>(), 4); }},
+          {"worst ten seconds",
+           [](const json& r) { return NumberText(r["worst_ten_seconds"].get<double>(), 4); }},
+          {"handed in", whole("handed_in")},
+          {"refused", whole("refused")},
+          {"failed", whole("failed")},
+          {"calls", whole("calls")},
+          {"calls answered full", whole("full")},
+          {"calls that failed", whole("errors")},
+          {"calls reset", whole("resets")},
+          {"calls given up", whole("timeouts")},
+          {"probes", whole("probes")},
+          {"partners that fell over", whole("collapses")},
+          {"broken rules", [](const json& r) { return std::to_string(r["breaches"].size()); }},
+          {"crashes", [](const json& r) { return std::to_string(r["crashes"].size()); }},
+          {"202 after, p99.9 ms",
+           [](const json& r) {
+             return r.contains("answer_time_s")
+                        ? NumberText(r["answer_time_s"]["p99_9"].get<double>() * 1e3, 1)
+                        : std::string("simulated");
+           }},
+          {"laboratory late, p99 ms", [](const json& r) {
+             return r["played"] == "sockets" ? NumberText(r["lateness_s"]["p99"].get<double>() * 1e3, 1)
+                                             : std::string("simulated");
+           }}};
 }
 
 void FillVerdict(const ReportRun& run, TemplateDictionary& page) {
@@ -217,9 +222,9 @@
   verdict->SetValue("LABEL", run.label);
   const std::size_t breaches = run.result["breaches"].size(), crashes = run.result["crashes"].size();
   const std::string void_because = run.result.value("void_because", "");
-  const bool good = breaches + crashes == 0 && void_because.empty();
-  TemplateDictionary* says = verdict->AddSectionDictionary(good ? "GOOD" : "BAD");
-  says->SetValue("SAYS", good ? "all rules kept, worth " + Number(run.result["worth"].get<double>(), 4)
+  const bool passed = breaches + crashes == 0 && void_because.empty();
+  TemplateDictionary* text = verdict->AddSectionDictionary(passed ? "GOOD" : "BAD");
+  text->SetValue("SAYS", passed ? "all rules kept, worth " + NumberText(run.result["worth"].get<double>(), 4)
                          : !void_because.empty() ? "void: " + void_because
                                                  : std::to_string(breaches) + " broken rules, " +
                                                        std::to_string(crashes) + " crashes");
@@ -231,12 +236,12 @@
   for (const auto& [name, c] : run.result["classes"].items()) {
     TemplateDictionary* row = table->AddSectionDictionary("CLASS");
     row->SetValue("NAME", name);
-    row->SetValue("ASKED", Whole(c["asked"]));
-    row->SetValue("DELIVERED", Whole(c["delivered"]));
-    row->SetValue("IN_AIM", Whole(c["in_aim"]));
-    row->SetValue("P50", Number(c["latency_s"]["p50"].get<double>(), 3));
-    row->SetValue("P99", Number(c["latency_s"]["p99"].get<double>(), 3));
-    row->SetValue("P99_9", Number(c["latency_s"]["p99_9"].get<double>(), 3));
+    row->SetValue("ASKED", IntegerText(c["asked"]));
+    row->SetValue("DELIVERED", IntegerText(c["delivered"]));
+    row->SetValue("IN_AIM", IntegerText(c["in_aim"]));
+    row->SetValue("P50", NumberText(c["latency_s"]["p50"].get<double>(), 3));
+    row->SetValue("P99", NumberText(c["latency_s"]["p99"].get<double>(), 3));
+    row->SetValue("P99_9", NumberText(c["latency_s"]["p99_9"].get<double>(), 3));
   }
 }
 
@@ -247,12 +252,12 @@
   for (std::size_t i = 0; i < std::min<std::size_t>(10, partners.size()); ++i) {
     const json& p = partners[i];
     TemplateDictionary* row = table->AddSectionDictionary("DESTINATION");
-    row->SetValue("NUMBER", Whole(p["number"]));
-    row->SetValue("LIMIT", p["limit"].get<double>() > 0 ? Number(p["limit"].get<double>(), 1) : "none");
-    row->SetValue("ASKED", Whole(p["asked"]));
-    row->SetValue("DELIVERED", Whole(p["delivered"]));
-    row->SetValue("SHARE", Number(p["delivered"].get<double>() / p["asked"].get<double>(), 3));
-    row->SetValue("CALLS", Whole(p["calls"]));
+    row->SetValue("NUMBER", IntegerText(p["number"]));
+    row->SetValue("LIMIT", p["limit"].get<double>() > 0 ? NumberText(p["limit"].get<double>(), 1) : "none");
+    row->SetValue("ASKED", IntegerText(p["asked"]));
+    row->SetValue("DELIVERED", IntegerText(p["delivered"]));
+    row->SetValue("SHARE", NumberText(p["delivered"].get<double>() / p["asked"].get<double>(), 3));
+    row->SetValue("CALLS", IntegerText(p["calls"]));
   }
 }
 
@@ -261,20 +266,20 @@
   table->SetValue("LABEL", run.label);
   const json& breaches = run.result["breaches"];
   if (breaches.empty()) return table->ShowSection("NONE");
-  TemplateDictionary* some = table->AddSectionDictionary("SOME");
-  for (std::size_t i = 0; i < std::min(kMostBreaches, breaches.size()); ++i) {
+  TemplateDictionary* shown = table->AddSectionDictionary("SOME");
+  for (std::size_t i = 0; i < std::min(kMaxBreaches, breaches.size()); ++i) {
     const json& b = breaches[i];
-    TemplateDictionary* row = some->AddSectionDictionary("BREACH");
+    TemplateDictionary* row = shown->AddSectionDictionary("BREACH");
     row->SetValue("KIND", b["kind"].get<std::string>());
-    row->SetValue("AT", Number(b["at_s"].get<double>(), 3));
-    row->SetValue("RELAY", Whole(b["relay"]));
-    row->SetValue("MESSAGE", Whole(b["message"]));
-    row->SetValue("ENDPOINT", Whole(b["endpoint"]));
+    row->SetValue("AT", NumberText(b["at_s"].get<double>(), 3));
+    row->SetValue("RELAY", IntegerText(b["relay"]));
+    row->SetValue("MESSAGE", IntegerText(b["message"]));
+    row->SetValue("ENDPOINT", IntegerText(b["endpoint"]));
     row->SetValue("TRACE", b["trace"].get<std::string>());
   }
-  if (breaches.size() > kMostBreaches)
-    some->AddSectionDictionary("MORE")->SetValue("TEXT", "The first " + std::to_string(kMostBreaches) +
-                                                             " of " + std::to_string(breaches.size()) + ".");
+  if (breaches.size() > kMaxBreaches)
+    shown->AddSectionDictionary("MORE")->SetValue(
+        "TEXT", "The first " + std::to_string(kMaxBreaches) + " of " + std::to_string(breaches.size()) + ".");
 }
 
 void FillCrashes(const std::vector<ReportRun>& runs, TemplateDictionary& page) {
@@ -284,8 +289,8 @@
       if (section == nullptr) section = page.AddSectionDictionary("CRASHES");
       TemplateDictionary* row = section->AddSectionDictionary("CRASH");
       row->SetValue("LABEL", run.label);
-      row->SetValue("RELAY", Whole(c["relay"]));
-      row->SetValue("AT", Number(c["at_s"].get<double>(), 3));
+      row->SetValue("RELAY", IntegerText(c["relay"]));
+      row->SetValue("AT", NumberText(c["at_s"].get<double>(), 3));
       row->SetValue("HOW", c["how"].get<std::string>());
       row->SetValue("LOG", c["last_log"].get<std::string>());
     }
@@ -305,7 +310,7 @@
         section = page.AddSectionDictionary("CHART");
         section->SetValue("ID", chart.id);
         section->SetValue("NAME", chart.name);
-        section->AddSectionDictionary("NOTE")->SetValue("TEXT", chart.note);
+        section->AddSectionDictionary("NOTE")->SetValue("TEXT", chart.description);
       }
       TemplateDictionary* picture = section->AddSectionDictionary("PICTURE");
       picture->SetValue("LABEL", runs[i].label);
@@ -322,7 +327,7 @@
   if (!file) throw config::FieldError("there is no '" + path + "': `run --out DIR` writes it");
   ReportRun run;
   run.result = json::parse(file, nullptr, false);
-  if (!run.result.is_object()) throw config::FieldError("'" + path + "' is no JSON object");
+  if (!run.result.is_object()) throw config::FieldError("'" + path + "' is not a JSON object");
   for (const char* key : {"scenario", "seed", "played", "worth", "seconds", "classes", "partners",
                           "processes", "breaches", "crashes"})
     if (!run.result.contains(key))
@@ -360,7 +365,7 @@
   ctemplate::StringToTemplateCache(kName, kReportTemplate, ctemplate::DO_NOT_STRIP);
   std::string html;
   if (!ctemplate::ExpandTemplate(kName, ctemplate::DO_NOT_STRIP, &page, &html))
-    throw std::runtime_error("the report's template is not sound");
+    throw std::runtime_error("the report's template could not be expanded");
   return html;
 }
 
--- a/lab/report/report.h
+++ b/lab/report/report.h
@@ -1,4 +1,4 @@
-// One self-contained page on one run or several, side by side.
+// Writes one self-contained HTML page about one run, or about several runs side by side.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,14 +8,14 @@
 namespace opalroute::lab {
 
 struct ReportRun {
-  std::string label;      // what readers know it by
-  nlohmann::json result;  // as `run --out` has written it
+  std::string label;      // identifies the run on the page
+  nlohmann::json result;  // the result.json that `run --out` wrote
 };
 
-// Reads DIR/result.json. Throws config::FieldError that names what is lacking.
+// Reads result.json in the folder. Throws config::FieldError that names what is missing.
 ReportRun ReadRun(const std::string& folder);
 
-// Throws std::runtime_error if a plot can't be drawn.
+// Returns the HTML. Throws std::runtime_error if a plot can't be drawn.
 std::string WriteReport(const std::vector<ReportRun>& runs);
 
 }  // namespace opalroute::lab
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -244,7 +244,7 @@
   });
 }
 
-void ReadTroubles(Reader& root, Scenario& s) {
+void ReadFaultsAndChanges(Reader& root, Scenario& s) {
   root.ForEach("troubles", [&](Reader& r) {
     PartnerFault t;
     r.Enum<TroubleKind>("kind", t.kind,
@@ -419,7 +419,7 @@
     root.Number("handshake_s", s.handshake_time, 0, 10);
     root.Interval("list_late_s", s.list_delay, 0, 60);
     ReadSettings(root, s);
-    ReadTroubles(root, s);
+    ReadFaultsAndChanges(root, s);
     ReadLinks(root, s);
     CheckShares(root, "classes", s.classes);
     CheckShares(root, "tenants", s.tenants);
