--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -173,14 +173,14 @@
   };
   std::printf("one core each, payments of 200 bytes, medians of %d rounds\n\n", options.rounds);
   std::printf("| | messages a second | CPU a message, us | refused | broken |\n|---|---|---|---|---|\n");
-  const auto row = [&](const char* name, const std::vector<Throughput>& all) {
+  const auto row = [&](const char* name, const std::vector<Throughput>& rounds) {
     long refused = 0, broken = 0;
-    for (const Throughput& one : all) {
+    for (const Throughput& one : rounds) {
       refused += one.refused;
       broken += one.broken;
     }
-    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(all, &Throughput::delivered),
-                median(all, &Throughput::cpu_us), refused, broken);
+    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(rounds, &Throughput::delivered),
+                median(rounds, &Throughput::cpu_us), refused, broken);
   };
   row("bare forwarder", r.forwarder);
   row("relay, journal on", r.relay);
@@ -193,7 +193,7 @@
   for (const CapacityResult::Answer& a : r.answers)
     std::printf("| %.0f%% | %.0f | %.2f | %.2f | %.2f | %ld | %ld |\n", a.share * 100, a.rate, a.p50 * 1e3,
                 a.p99 * 1e3, a.p99_9 * 1e3, a.refused, a.broken);
-  std::printf("\nmemory: %.0f bytes an open transaction (of %ld), %.0f bytes an idle destination (of %ld)\n",
+  std::printf("\nmemory: %.0f bytes per open request (of %ld), %.0f bytes per idle destination (of %ld)\n",
               r.bytes_per_transaction, r.transactions, r.bytes_per_destination, r.destinations);
   return 0;
 }
--- a/lab/report/report.cpp
+++ b/lab/report/report.cpp
@@ -189,20 +189,20 @@
   std::function<std::string(const json&)> of;
 };
 std::vector<Figure> Figures() {
-  const auto whole = [](const char* key) { return [key](const json& r) { return IntegerText(r[key]); }; };
+  const auto integer = [](const char* key) { return [key](const json& r) { return IntegerText(r[key]); }; };
   return {{"worth", [](const json& r) { return NumberText(r["worth"].get<double>(), 4); }},
           {"worst ten seconds",
            [](const json& r) { return NumberText(r["worst_ten_seconds"].get<double>(), 4); }},
-          {"handed in", whole("handed_in")},
-          {"refused", whole("refused")},
-          {"failed", whole("failed")},
-          {"calls", whole("calls")},
-          {"calls answered full", whole("full")},
-          {"calls that failed", whole("errors")},
-          {"calls reset", whole("resets")},
-          {"calls given up", whole("timeouts")},
-          {"probes", whole("probes")},
-          {"partners that fell over", whole("collapses")},
+          {"handed in", integer("handed_in")},
+          {"refused", integer("refused")},
+          {"failed", integer("failed")},
+          {"calls", integer("calls")},
+          {"calls answered full", integer("full")},
+          {"calls that failed", integer("errors")},
+          {"calls reset", integer("resets")},
+          {"calls given up", integer("timeouts")},
+          {"probes", integer("probes")},
+          {"partners that fell over", integer("collapses")},
           {"broken rules", [](const json& r) { return std::to_string(r["breaches"].size()); }},
           {"crashes", [](const json& r) { return std::to_string(r["crashes"].size()); }},
           {"202 after, p99.9 ms",
@@ -223,11 +223,12 @@
   const std::size_t breaches = run.result["breaches"].size(), crashes = run.result["crashes"].size();
   const std::string void_because = run.result.value("void_because", "");
   const bool passed = breaches + crashes == 0 && void_because.empty();
-  TemplateDictionary* text = verdict->AddSectionDictionary(passed ? "GOOD" : "BAD");
-  text->SetValue("SAYS", passed ? "all rules kept, worth " + NumberText(run.result["worth"].get<double>(), 4)
-                         : !void_because.empty() ? "void: " + void_because
-                                                 : std::to_string(breaches) + " broken rules, " +
-                                                       std::to_string(crashes) + " crashes");
+  TemplateDictionary* summary = verdict->AddSectionDictionary(passed ? "GOOD" : "BAD");
+  summary->SetValue(
+      "SAYS", passed ? "all rules kept, worth " + NumberText(run.result["worth"].get<double>(), 4)
+              : !void_because.empty()
+                  ? "void: " + void_because
+                  : std::to_string(breaches) + " broken rules, " + std::to_string(crashes) + " crashes");
 }
 
 void FillClasses(const ReportRun& run, TemplateDictionary& page) {
--- a/lab/result.cpp
+++ b/lab/result.cpp
@@ -62,7 +62,7 @@
   return worst;
 }
 
-std::vector<PartnerOutcome> RunResult::WorstPartners(std::size_t most) const {
+std::vector<PartnerOutcome> RunResult::WorstPartners(std::size_t max_count) const {
   std::vector<PartnerOutcome> worst;
   for (const PartnerOutcome& p : partners)
     if (p.offered > 0) worst.push_back(p);
@@ -71,7 +71,7 @@
   };
   std::stable_sort(worst.begin(), worst.end(),
                    [&](const PartnerOutcome& a, const PartnerOutcome& b) { return share(a) < share(b); });
-  if (worst.size() > most) worst.resize(most);
+  if (worst.size() > max_count) worst.resize(max_count);
   return worst;
 }
 
--- a/lab/result.h
+++ b/lab/result.h
@@ -115,7 +115,7 @@
 
   double ValueShare() const;       // delivered value over offered value
   double WorstTenSeconds() const;  // the lowest delivered over offered messages
-  std::vector<PartnerOutcome> WorstPartners(std::size_t most) const;  // lowest share delivered first
+  std::vector<PartnerOutcome> WorstPartners(std::size_t max_count) const;  // lowest share delivered first
   bool Passed() const { return breaches.empty() && crashes.empty() && void_reason.empty(); }
   nlohmann::json ToJson() const;
 };
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -208,7 +208,7 @@
     r.Number("zipf", p.zipf_exponent, 0, 5);
     r.Number("apart", p.separate_routes_share, 0, 1);
     r.Integer("bundle", p.max_batch, 1, 64);
-    r.Interval("latency_s", p.latency, 0.0001, 60);
+    r.Interval("latency_s", p.mean_latency, 0.0001, 60);
     r.Number("latency_cv", p.latency_cv, 0, 5);
     r.Interval("headroom", p.headroom, 0, 1000);
     r.Number("least_limit", p.min_limit, 0.01, 1e6);
@@ -216,9 +216,9 @@
     r.Number("window_s", p.window, 0.01, 60);
     r.Interval("tells_wait", p.retry_after_share, 0, 1);
     r.Interval("wait_s", p.retry_after, 0, 60);
-    r.Boolean("refused_count", p.rejections_count);
+    r.Boolean("refused_count", p.rejected_calls_count);
     r.Number("spare", p.capacity_over_limit, 1, 100);
-    r.Integer("queue", p.queue, -1, 1000000);
+    r.Integer("queue", p.max_queued_calls, -1, 1000000);
     r.Interval("connections", p.max_connections, 0, 100000);
   });
 }
@@ -264,7 +264,7 @@
     r.Number("from_s", t.start, 0, kDay);
     r.Number("lasts_s", t.duration, 0, kDay);
     r.Number("chance", t.probability, 0, 1);
-    r.Number("factor", t.factor, 0.01, 1000);
+    r.Number("factor", t.latency_factor, 0.01, 1000);
     if (t.share <= 0 && t.partner < 0) r.AddError("share", "or 'partner' must say which partners it affects");
     s.partner_faults.push_back(t);
   });
@@ -434,9 +434,10 @@
   // the messages of 9 s.
   const double rate_per_relay = s.load.rate / s.relays;
   if (s.settings.concurrency_limit == 0)
-    s.settings.concurrency_limit = std::max(
-        3,
-        static_cast<int>(2.1 * rate_per_relay * (s.partners.latency.min + s.partners.latency.max) / 2) + 1);
+    s.settings.concurrency_limit =
+        std::max(3, static_cast<int>(2.1 * rate_per_relay *
+                                     (s.partners.mean_latency.min + s.partners.mean_latency.max) / 2) +
+                        1);
   if (s.settings.request_capacity == 0)
     s.settings.request_capacity = std::max(16, static_cast<int>(9 * rate_per_relay));
   return s;
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -22,8 +22,8 @@
   int partner = -1;  // ... this partner
   int zone = -1;     // only endpoints in this zone; -1: all
   Seconds start = 0, duration = 0;
-  double probability = 1;  // per call, for the kinds that strike single calls (ByChance)
-  double factor = 1;       // kSlow
+  double probability = 1;     // per call, for the kinds that strike single calls (ByChance)
+  double latency_factor = 1;  // kSlow
 };
 
 struct Burst {
@@ -108,22 +108,22 @@
     int count = 10;
     Range endpoints{1, 4};
     double zipf_exponent = 1;  // of their shares of the load
-    double separate_routes_share =
-        0;                      // of partners where each endpoint is a route with its own limit and outages
-    int max_batch = 1;          // messages in one call to those
-    Range latency{0.18, 0.45};  // mean of a call, drawn for each partner
-    double latency_cv = 0.4;    // coefficient of variation of single calls (log-normal)
-    Range headroom{1.3, 2.3};   // rate limit over the partner's part of the load; 0: no limit
-    double min_limit = 2;       // calls a second
+    // Share of partners where each endpoint is a route with its own limit and outages.
+    double separate_routes_share = 0;
+    int max_batch = 1;               // messages in one call to those
+    Range mean_latency{0.18, 0.45};  // of calls, drawn for each partner
+    double latency_cv = 0.4;         // coefficient of variation of single calls (log-normal)
+    Range headroom{1.3, 2.3};        // rate limit over the partner's part of the load; 0: no limit
+    double min_limit = 2;            // calls a second
     double window_share = 0.5;  // share of partners whose limit is a count per window instead of a plain rate
     Seconds window = 1;
     Range retry_after_share{0.1, 0.99};  // share of a partner's rejections that carry Retry-After
     Range retry_after{0.3, 1};
-    bool rejections_count = true;  // rejected calls use up the limit
+    bool rejected_calls_count = true;  // rejected calls use up the limit
     double capacity_over_limit = 1.4;
-    int queue = -1;  // calls that may wait for a slot, per route; negative: unlimited slots
-    Range max_connections{
-        0, 0};  // that an endpoint accepts from all relays together, idle ones included; 0: no limit
+    int max_queued_calls = -1;  // calls that may wait for a slot, per route; negative: unlimited slots
+    // That an endpoint accepts from all relays together, idle ones included; 0: no limit.
+    Range max_connections{0, 0};
   } partners;
   struct Load {
     double rate = 20;              // messages a second, over all relays
--- a/lab/script.cpp
+++ b/lab/script.cpp
@@ -13,9 +13,9 @@
 constexpr double kDuration = 20;  // seconds of arrivals
 constexpr int kZones = 3;
 
-class FaultScriptDrawer : private RandomSource {
+class FaultScriptGenerator : private RandomSource {
  public:
-  explicit FaultScriptDrawer(std::uint64_t seed) : RandomSource(seed, 41), relays_(2 + UniformBelow(13)) {}
+  explicit FaultScriptGenerator(std::uint64_t seed) : RandomSource(seed, 41), relays_(2 + UniformBelow(13)) {}
 
   json Draw(std::uint64_t seed) {
     json s = {{"name", "script" + std::to_string(seed)},
@@ -26,14 +26,14 @@
               {"tier", true},
               {"leave", true},
               {"load", {{"rate", UniformRounded(5, 60)}}},
-              {"classes", Classes()},
-              {"partners", Partners()},
+              {"classes", DrawClasses()},
+              {"partners", DrawPartners()},
               {"settings", {{"ramp_s", UniformRounded(1, 8)}, {"most_tries", 2 + UniformBelow(11)}}},
-              {"links", Links()}};
+              {"links", DrawLinks()}};
     if (OneIn(3))
       s["load"]["bursts"] = {{{"from_s", RandomTime()}, {"lasts_s", 4}, {"times", 1 + UniformBelow(3)}}};
-    RepeatUpTo(3, [&] { s["troubles"].push_back(PartnerFault()); });
-    RepeatUpTo(4, [&] { s["relay_faults"].push_back(RelayFault()); });
+    RepeatUpTo(3, [&] { s["troubles"].push_back(DrawPartnerFault()); });
+    RepeatUpTo(4, [&] { s["relay_faults"].push_back(DrawRelayFault()); });
     RepeatUpTo(2, [&] {
       s["pool_changes"].push_back({{"kind", OneIn(2) ? "drain" : "replace"},
                                    {"at_s", RandomTime()},
@@ -57,7 +57,7 @@
     for (int i = UniformBelow(max + 1); i > 0; --i) action();
   }
 
-  json Classes() {
+  json DrawClasses() {
     const json keyed = {{"name", "keyed"},
                         {"effect", "deduplicated"},
                         {"key_window_s", UniformRounded(1, 12)},
@@ -84,7 +84,7 @@
              {"share", 0.3}}};
   }
 
-  json Partners() {
+  json DrawPartners() {
     json p = {{"count", 2 + UniformBelow(7)},
               {"endpoints", {1 + UniformBelow(2), 3 + UniformBelow(3)}},
               {"apart", UniformBelow(3) * 0.5},
@@ -95,7 +95,7 @@
     return p;
   }
 
-  json Links() {
+  json DrawLinks() {
     json links = {{"loss", UniformBelow(4) * 0.2},
                   {"duplicate", UniformBelow(2) * 0.1},
                   {"reorder", UniformBelow(2) * 0.2}};
@@ -116,7 +116,7 @@
     return links;
   }
 
-  json PartnerFault() {
+  json DrawPartnerFault() {
     const char* const kinds[] = {"shut", "refuse", "hang", "reset", "errors", "slow", "spoilt", "vanish"};
     json fault = {{"kind", kinds[UniformBelow(8)]},
                   {"share", OneIn(2) ? 1.0 : UniformRounded(0.2, 1)},
@@ -128,7 +128,7 @@
     return fault;
   }
 
-  json RelayFault() {
+  json DrawRelayFault() {
     const char* const kinds[] = {"kill", "stop", "freeze"};
     const int first = UniformBelow(relays_);
     return {{"kind", kinds[UniformBelow(3)]},
@@ -144,6 +144,6 @@
 
 }  // namespace
 
-json DrawFaultScript(std::uint64_t seed) { return FaultScriptDrawer(seed).Draw(seed); }
+json DrawFaultScript(std::uint64_t seed) { return FaultScriptGenerator(seed).Draw(seed); }
 
 }  // namespace opalroute::lab
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -82,13 +82,13 @@
   LaneSettings s;
   s.limit = limit;
   s.window = Uniform() < plan.window_share ? plan.window : 0;
-  s.refused_count = plan.rejections_count;
+  s.refused_count = plan.rejected_calls_count;
   s.capacity = limit > 0 ? plan.capacity_over_limit * limit : std::max(10.0, 4 * load);
   s.tells_wait = Draw(plan.retry_after_share);
   s.wait = Draw(plan.retry_after);
-  s.latency = Draw(plan.latency);
+  s.latency = Draw(plan.mean_latency);
   s.latency_cv = plan.latency_cv;
-  s.queue = plan.queue;
+  s.queue = plan.max_queued_calls;
   s.cold_from = rules.slow_start_initial_share;
   s.ramp = rules.slow_start_duration;
   s.overload_factor = rules.overload_factor;
@@ -102,7 +102,7 @@
     const PartnerFault& fault = scenario_.partner_faults[t];
     if (!affected_[t][partner] || fault.zone != zone) continue;
     outages.push_back(
-        {fault.kind, fault.start, fault.start + fault.duration, fault.probability, fault.factor});
+        {fault.kind, fault.start, fault.start + fault.duration, fault.probability, fault.latency_factor});
   }
   return outages;
 }
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -87,10 +87,10 @@
     CHECK(r->crashes.empty());
   }
   for (std::size_t c = 0; c < 3; ++c) {
-    CHECK(real.classes[c].asked == simulated.classes[c].asked);  // the same traffic
+    CHECK(real.classes[c].offered == simulated.classes[c].offered);  // the same traffic
     CHECK(real.classes[c].delivered >= simulated.classes[c].delivered * 0.9);
   }
-  CHECK(std::abs(real.Worth() - simulated.Worth()) < 0.1);
+  CHECK(std::abs(real.ValueShare() - simulated.ValueShare()) < 0.1);
   CHECK(std::abs(real.classes[0].latency.Quantile(0.5) - simulated.classes[0].latency.Quantile(0.5)) < 0.05);
   CHECK(real.processes[1].size() >= 6);
   CHECK(real.processes[1].back().rss_kb > 1000);
