--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -137,7 +137,7 @@
                                                   const std::function<EndpointStatus(EndpointId)>& status_of,
                                                   const std::function<double()>& draw) {
   std::vector<ListChange> changes;
-  std::set<EndpointId> drained;
+  std::set<EndpointId> draining;
   const std::size_t count = endpoints_.size();
   for (EndpointId id = 1; id <= count; ++id) {
     if (status_of(id) != EndpointStatus::kInService || draw() >= change.share) continue;
@@ -146,11 +146,11 @@
     } else {
       const PartnerInfo& partner = partners_[static_cast<std::size_t>(endpoint(id).destination - 1)];
       const auto left = std::count_if(partner.endpoints.begin(), partner.endpoints.end(), [&](EndpointId e) {
-        return status_of(e) == EndpointStatus::kInService && drained.count(e) == 0;
+        return status_of(e) == EndpointStatus::kInService && draining.count(e) == 0;
       });
       if (left < 2) continue;  // the last endpoint in service is not drained: the partner would have none
     }
-    drained.insert(id);
+    draining.insert(id);
     changes.push_back({id, EndpointStatus::kDraining});
   }
   return changes;
