--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -113,7 +113,7 @@
       load.destinations = {kDestination};
       load.seed = run.seed * 10 + static_cast<std::uint64_t>(i);
       load.prefix = i == 0 ? "a" : "b";
-      loads_.push_back(std::make_unique<LoadGenerator>(loop_, load));
+      loads_.push_back(std::make_unique<SingleRelayLoad>(loop_, load));
     }
     for (int i = 0; i < kRelays; ++i) peer_ports_.push_back(FreeDatagramPort());
   }
@@ -219,7 +219,7 @@
   net::EventLoop loop_;
   std::vector<std::unique_ptr<Platform>> platforms_;  // one a relay: each has its own addresses
   std::unique_ptr<Partner> partner_;
-  std::vector<std::unique_ptr<LoadGenerator>> loads_;
+  std::vector<std::unique_ptr<SingleRelayLoad>> loads_;
   std::vector<std::string> peer_ports_;
   std::vector<std::unique_ptr<Config>> configs_;
   std::vector<std::unique_ptr<Relay>> relays_;
--- a/lab/load.cpp
+++ b/lab/load.cpp
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-class LoadGenerator::Call : public net::HttpClient::Call {
+class SingleRelayLoad::Call : public net::HttpClient::Call {
  public:
-  Call(LoadGenerator& load, std::string id, std::string request)
+  Call(SingleRelayLoad& load, std::string id, std::string request)
       : load_(load), id_(std::move(id)), request_(std::move(request)) {}
 
  private:
@@ -34,11 +34,11 @@
     load_.loop_.Retire(std::move(it->second));
     load_.calls_.erase(it);
   }
-  LoadGenerator& load_;
+  SingleRelayLoad& load_;
   const std::string id_, request_;
 };
 
-LoadGenerator::LoadGenerator(net::EventLoop& loop, const LoadSettings& settings)
+SingleRelayLoad::SingleRelayLoad(net::EventLoop& loop, const LoadSettings& settings)
     : loop_(loop), s_(settings), random_(settings.seed), client_(loop, Bounds()), next_due_(settings.from) {
   if (s_.initial_burst > 0) {
     burst_timer_ = loop_.At(s_.from, [this] {
@@ -49,13 +49,13 @@
   ScheduleNext();
 }
 
-LoadGenerator::~LoadGenerator() {
+SingleRelayLoad::~SingleRelayLoad() {
   loop_.Cancel(timer_);
   loop_.Cancel(burst_timer_);
   for (const auto& [key, call] : calls_) client_.Abandon(*call);
 }
 
-void LoadGenerator::ScheduleNext() {
+void SingleRelayLoad::ScheduleNext() {
   next_due_ += std::exponential_distribution<double>(s_.rate)(random_);
   if (next_due_ >= s_.to) return;
   timer_ = loop_.At(next_due_, [this] {
@@ -65,7 +65,7 @@
   });
 }
 
-void LoadGenerator::Send(net::Seconds due) {
+void SingleRelayLoad::Send(net::Seconds due) {
   // The mix of the default scenario: 55% board-status, 26% notice-order, 19% payment.
   const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
   const char* message_class = draw < 0.55 ? "board-status" : draw < 0.81 ? "notice-order" : "payment";
--- a/lab/load.h
+++ b/lab/load.h
@@ -26,7 +26,7 @@
   std::string prefix = "m";  // of the request ids
 };
 
-class LoadGenerator {
+class SingleRelayLoad {
  public:
   struct Message {
     net::Seconds due = 0;
@@ -35,8 +35,8 @@
   };
 
   // Messages that are due before SetRelay are dropped and not counted.
-  LoadGenerator(net::EventLoop& loop, const LoadSettings& settings);
-  ~LoadGenerator();
+  SingleRelayLoad(net::EventLoop& loop, const LoadSettings& settings);
+  ~SingleRelayLoad();
   void SetRelay(const sockaddr_in& relay) { relay_ = relay; }
   const std::map<std::string, Message>& messages() const { return messages_; }
 
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -111,7 +111,7 @@
   rate.from = clock.Now();
   rate.to = clock.Now() + 20;
   rate.destinations = {kSrvDestination};
-  lab::LoadGenerator load(loop, rate);
+  lab::SingleRelayLoad load(loop, rate);
   load.SetRelay(relay.address());
   lab::PlayUntil(loop, clock, clock.Now() + 5);
   CHECK(a.model().calls().size() > 10);
