--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -95,9 +95,9 @@
     int attempt = MessageTracker::kVoid;
   };
 
-  std::uint32_t RouteNumber() const { return owner_.world_.endpoint(endpoint_).lane; }
-  std::uint32_t MachineNumber() const { return owner_.world_.endpoint(endpoint_).machine; }
-  LaneModel& MachineModel() const { return owner_.world_.lane(MachineNumber()); }
+  std::uint32_t RouteNumber() const { return owner_.world_.endpoint(endpoint_).route; }
+  std::uint32_t MachineNumber() const { return owner_.world_.endpoint(endpoint_).machine_route; }
+  LaneModel& MachineModel() const { return owner_.world_.route(MachineNumber()); }
 
   void StartCall(const net::HttpMessage& call) {
     is_health_check_ = call.method == "GET" && (call.target == "/health/live" || call.target == "/stats");
@@ -110,12 +110,12 @@
     for (Request& request : requests_)
       request.attempt = owner_.tracker_.OnAttemptArrived(now, relay_, request.id, endpoint_);
     unanswered_ = requests_;
-    owner_.tally_.Call(now, relay_, endpoint_);
-    if (is_health_check_) ++owner_.tally_.result().probes;
+    owner_.tally_.CountCall(now, relay_, endpoint_);
+    if (is_health_check_) ++owner_.tally_.result().health_checks;
     phase_ = Phase::kArriving;
     const Seconds delay = owner_.OneWayDelay(endpoint_, relay_);
     const Seconds handshake =
-        std::exchange(is_first_call_, false) ? 2 * delay + owner_.world_.scenario().handshake : 0;
+        std::exchange(is_first_call_, false) ? 2 * delay + owner_.world_.scenario().handshake_time : 0;
     Schedule(delay + handshake, [this] { HandleArrival(); });
   }
 
@@ -250,12 +250,12 @@
   for (int relay = 0; relay < scenario.relays; ++relay) {
     one_way_delays_.emplace_back();
     for (std::size_t zone = 0; zone < scenario.zones.size(); ++zone)
-      one_way_delays_.back().push_back(DrawFrom(scenario.one_way, random));
+      one_way_delays_.back().push_back(DrawFrom(scenario.one_way_delay, random));
     shared_listeners_.push_back(std::make_unique<net::Listener>(
         loop, ListenOnLoopback(), [this, relay](int fd) { Accept(fd, relay); }));
   }
   for (EndpointId id = 1; id <= world.endpoint_count(); ++id) {
-    const auto& outages = world.lane(world.endpoint(id).machine).outages();
+    const auto& outages = world.route(world.endpoint(id).machine_route).outages();
     const bool is_unreachable_at_times =
         std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
           return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
@@ -274,7 +274,7 @@
 Endpoints::~Endpoints() { is_shutting_down_ = true; }
 
 bool Endpoints::IsAtConnectionLimit(EndpointId endpoint) const {
-  const int limit = world_.endpoint(endpoint).connections;
+  const int limit = world_.endpoint(endpoint).max_connections;
   const auto count = connection_counts_.find(endpoint);
   return limit > 0 && count != connection_counts_.end() && count->second >= limit;
 }
@@ -312,7 +312,7 @@
 }
 
 void Endpoints::OnConnectionEnded(EndpointId endpoint) {
-  if (is_shutting_down_ || world_.endpoint(endpoint).connections == 0) return;
+  if (is_shutting_down_ || world_.endpoint(endpoint).max_connections == 0) return;
   --connection_counts_[endpoint];
 }
 
@@ -321,7 +321,7 @@
   has_begun_ = true;
   for (auto& [key, value] : separate_listeners_) {
     SeparateListener& entry = value;
-    for (const LaneOutage& outage : world_.lane(world_.endpoint(entry.endpoint).machine).outages()) {
+    for (const LaneOutage& outage : world_.route(world_.endpoint(entry.endpoint).machine_route).outages()) {
       if (outage.kind != TroubleKind::kRefuse && outage.kind != TroubleKind::kVanish) continue;
       bool& flag = outage.kind == TroubleKind::kVanish ? entry.vanished : entry.refuses;
       for (const bool is_active : {true, false})
@@ -351,11 +351,11 @@
   const EndpointId endpoint = EndpointIdOf(net::BoundAddress(fd));
   const bool exists = endpoint >= 1 && endpoint <= world_.endpoint_count() &&
                       (endpoint >= removed_.size() || !removed_[endpoint]) &&
-                      !world_.lane(world_.endpoint(endpoint).machine).collapsed();
+                      !world_.route(world_.endpoint(endpoint).machine_route).collapsed();
   if (!exists) return CloseWithReset(fd);
   const bool over_limit = IsAtConnectionLimit(endpoint);
-  if (!over_limit && world_.endpoint(endpoint).connections > 0) ++connection_counts_[endpoint];
-  if (!over_limit) tally_.Connected();
+  if (!over_limit && world_.endpoint(endpoint).max_connections > 0) ++connection_counts_[endpoint];
+  if (!over_limit) tally_.CountConnection();
   sessions_.Adopt(std::make_unique<Session>(*this, endpoint, relay, over_limit), fd);
 }
 
--- a/lab/sockets/front.cpp
+++ b/lab/sockets/front.cpp
@@ -198,7 +198,7 @@
   if (!MaySubmit(message, time - start_)) return;
   auto connection = std::move(race.connections.back());
   race.connections.pop_back();
-  const std::size_t bytes_now = DrawUnit(random_) < kPartiallySentShare ? kBytesSentBefore : 0;
+  const std::size_t bytes_now = DrawUniform(random_) < kPartiallySentShare ? kBytesSentBefore : 0;
   AddCall(message, race.relay, nullptr, time - start_).SendAt(time, bytes_now, std::move(connection));
 }
 
@@ -278,8 +278,8 @@
 }
 
 void LoadGenerator::RetryAfterRejection(std::size_t message, Seconds retry_after) {
-  if (retries_[message]++ >= scenario_.clients.retries) return;
-  const Seconds default_wait = DrawFrom(scenario_.clients.wait, random_);
+  if (retries_[message]++ >= scenario_.clients.max_retries) return;
+  const Seconds default_wait = DrawFrom(scenario_.clients.retry_delay, random_);
   SubmitLater(message,
               retry_after > 0 ? std::min(retry_after, scenario_.settings.max_retry_after) : default_wait,
               "1");
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -22,7 +22,7 @@
 
 std::size_t MessageTracker::AddMessage(const Arrival& arrival) {
   messages_.push_back({arrival, false});
-  tally_.Offered(arrival);
+  tally_.CountOffered(arrival);
   return messages_.size() - 1;
 }
 
@@ -32,7 +32,7 @@
 }
 
 std::uint64_t MessageTracker::Submit(Seconds now, int relay, std::size_t message) {
-  ++tally_.result().handed_in;
+  ++tally_.result().submitted;
   ++open_;
   submissions_.emplace_back();
   submissions_.back().message = message;
@@ -51,9 +51,9 @@
   --open_;
   Message& message = messages_[submission.message];
   if (end == Auditor::End::kDelivered && !std::exchange(message.delivered, true))
-    tally_.Delivered(message.arrival, now);
-  if (end == Auditor::End::kRefused) tally_.Refused(now);
-  if (end == Auditor::End::kFailed) tally_.Failed(now);
+    tally_.CountDelivered(message.arrival, now);
+  if (end == Auditor::End::kRefused) tally_.CountRejected(now);
+  if (end == Auditor::End::kFailed) tally_.CountFailed(now);
 }
 
 void MessageTracker::OnAccepted(Seconds now, std::uint64_t id) {
@@ -136,7 +136,7 @@
 
 void MessageTracker::OnAttemptEnded(Seconds now, std::uint64_t id, int attempt, Outcome outcome) {
   Submission& submission = *Find(id);
-  tally_.AttemptEnded(outcome);
+  tally_.CountAttempt(outcome);
   auditor_.Over(id, attempt, !decision::ProvesNeverRan(outcome));
   if (outcome != Outcome::kServed) return;
   submission.served = true;
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -70,19 +70,19 @@
       CheckClosed(relay, id, may_race_close);
     };
     load_generator_.on_accepted = [this](int relay) { KillAfterAccept(relay); };
-    if (scenario_.notes)
+    if (scenario_.peer_datagrams)
       forwarder_ = std::make_unique<DatagramForwarderThread>(scenario_.relays, scenario_.links, seed);
-    tally_.result().played = "sockets";
+    tally_.result().mode = "sockets";
     tally_.result().processes.resize(static_cast<std::size_t>(scenario_.relays));
     for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
-      auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
+      auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).route);
     for (int i = 0; i < scenario_.relays; ++i) {
       RelayProcess::Options relay_options;
       relay_options.program = options.program;
       relay_options.arguments = options.relay_arguments;
-      if (scenario_.tier) relay_options.arguments.emplace_back("--tier-shares");
-      if (scenario_.leave) relay_options.arguments.emplace_back("--tier-zones");
-      relay_options.has_admin_address = !scenario_.zone_orders.empty();
+      if (scenario_.share_quotas) relay_options.arguments.emplace_back("--tier-shares");
+      if (scenario_.evacuate_zones) relay_options.arguments.emplace_back("--tier-zones");
+      relay_options.has_admin_address = !scenario_.operator_overrides.empty();
       relay_options.folder = options.folder + "/relay" + std::to_string(i);
       std::filesystem::remove_all(relay_options.folder);
       relay_options.config = [this, i](const std::string& listen) { return ConfigOf(i, listen); };
@@ -102,21 +102,21 @@
     endpoints_.Begin(start_);
     platform_server_.Begin(start_);
     load_generator_.Begin(start_);
-    for (const PoolChange& change : scenario_.pool_changes)
+    for (const EndpointChange& change : scenario_.endpoint_changes)
       loop_.At(start_ + change.at, [this, change] { ChangeList(change); });
-    for (const RudePlan& plan : scenario_.rude_clients)
+    for (const StalledClientsPlan& plan : scenario_.stalled_clients)
       loop_.At(start_ + plan.at, [this, plan] {
         stalling_clients_.Connect(plan.relay, RelayAt(plan.relay).address(), plan.kind, plan.count);
       });
     for (const Cut& cut : scenario_.links.cuts) ExcuseAllAt(cut.from);
-    for (const ListFault& fault : scenario_.list_faults) ExcuseAllAt(fault.from);
+    for (const ListFault& fault : scenario_.list_faults) ExcuseAllAt(fault.start);
     for (const RelayFault& fault : scenario_.relay_faults)
       loop_.At(start_ + fault.at, [this, fault] { ApplyFault(fault); });
-    for (const HandGiven& order : scenario_.zone_orders)
+    for (const OperatorOverridePlan& order : scenario_.operator_overrides)
       loop_.At(start_ + order.at, [this, order] { SendOverride(order); });
     Tick(loop_.Now());
     SampleSecond(0);
-    const Seconds ends = start_ + EndOf(scenario_);
+    const Seconds ends = start_ + LatestEnd(scenario_);
     while (loop_.Now() < ends && !AllDone()) {
       loop_.RunOnce(kTickInterval);
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
@@ -159,7 +159,7 @@
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
       if (!tally_.result().crashes.empty()) {
         const Crash& crash = tally_.result().crashes.front();
-        throw std::runtime_error("relay " + std::to_string(crash.relay) + " did not come up: " + crash.how +
+        throw std::runtime_error("relay " + std::to_string(crash.relay) + " did not come up: " + crash.cause +
                                  "; the end of its log:\n" + crash.last_log);
       }
       if (loop_.Now() > deadline) throw std::runtime_error("not all relays became ready in time");
@@ -219,7 +219,7 @@
       if (cut.what == Cut::What::kDiscovery) ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.lasts);
     for (const ListFault& fault : scenario_.list_faults)
       if (fault.kind == ListFault::Kind::kUnreachable)
-        ExcuseWhile(relay, fault.first, fault.last, fault.from, fault.lasts);
+        ExcuseWhile(relay, fault.first_relay, fault.last_relay, fault.start, fault.duration);
   }
   void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds duration) {
     const bool is_active = start_ > 0 && now() >= from && now() < from + duration;
@@ -274,13 +274,13 @@
       case RelayFault::Kind::kReload:
         return RelayAt(fault.relay).Reload();
       case RelayFault::Kind::kFreeze:
-        return Freeze(fault.relay, fault.down);
+        return Freeze(fault.relay, fault.downtime);
       case RelayFault::Kind::kStop:
-        return Stop(fault.relay, fault.down);
+        return Stop(fault.relay, fault.downtime);
       case RelayFault::Kind::kKill:
-        return Kill(fault.relay, fault.down, fault.forgets);
+        return Kill(fault.relay, fault.downtime, fault.loses_saved_state);
       case RelayFault::Kind::kKillAfterAccept:
-        killed_after_accept_[fault.relay] = fault.down;
+        killed_after_accept_[fault.relay] = fault.downtime;
         return;
     }
   }
@@ -313,24 +313,24 @@
     killed_after_accept_.erase(planned);
   }
 
-  void SendOverride(const HandGiven& order) {
+  void SendOverride(const OperatorOverridePlan& order) {
     nlohmann::json body = {{"zone", scenario_.zones[static_cast<std::size_t>(order.zone)]},
-                           {"order", zone_failover::NameOf(order.what)}};
-    if (order.what != zone_failover::OverrideKind::kNone) body["for_s"] = order.lasts;
+                           {"order", zone_failover::NameOf(order.kind)}};
+    if (order.kind != zone_failover::OverrideKind::kNone) body["for_s"] = order.duration;
     RelayAt(order.relay).PostToAdmin("/zones", body.dump());
   }
 
-  void ChangeList(const PoolChange& change) {
-    const auto changes = world_.Change(
+  void ChangeList(const EndpointChange& change) {
+    const auto changes = world_.ApplyChange(
         change, [this](EndpointId id) { return platform_server_.StatusOf(id); },
-        [this] { return DrawUnit(random_); });
+        [this] { return DrawUniform(random_); });
     for (const World::ListChange& entry : changes) {
-      if (entry.listing == EndpointStatus::kInService)
+      if (entry.status == EndpointStatus::kInService)
         auditor_.Listed(entry.endpoint, world_.endpoint(entry.endpoint).destination,
-                        world_.endpoint(entry.endpoint).lane);
-      platform_server_.Publish(entry.endpoint, entry.listing);
-      if (entry.listing != EndpointStatus::kDraining) continue;
-      loop_.At(loop_.Now() + World::kDrainLasts, [this, id = entry.endpoint] {
+                        world_.endpoint(entry.endpoint).route);
+      platform_server_.Publish(entry.endpoint, entry.status);
+      if (entry.status != EndpointStatus::kDraining) continue;
+      loop_.At(loop_.Now() + World::kDrainDuration, [this, id = entry.endpoint] {
         platform_server_.Publish(id, EndpointStatus::kRemoved);
         endpoints_.Remove(id);
       });
@@ -350,7 +350,7 @@
 
   void SampleSecond(int number) {
     auditor_.Until(now());
-    tally_.Sample(now());
+    tally_.SampleCapacity(now());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       auto sample = relays_[i]->Sample();
       if (!sample) continue;
@@ -361,7 +361,9 @@
     loop_.At(start_ + number + 1, [this, number] { SampleSecond(number + 1); });
   }
 
-  bool AllDone() const { return now() > scenario_.lasts && load_generator_.done() && tracker_.open() == 0; }
+  bool AllDone() const {
+    return now() > scenario_.duration && load_generator_.done() && tracker_.open() == 0;
+  }
 
   void StopRelays() {
     for (const auto& relay : relays_) relay->Terminate();
@@ -376,23 +378,23 @@
   RunResult TakeResult() {
     RunResult& result = tally_.result();
     result.breaches = auditor_.breaches();
-    result.client_doubles = auditor_.client_doubles();
+    result.client_duplicates = auditor_.client_doubles();
     result.restarts = restarts_;
-    result.lateness_p99 = lateness_.At(0.99);
-    result.lateness_most = max_lateness_;
+    result.lateness_p99 = lateness_.Quantile(0.99);
+    result.lateness_max = max_lateness_;
     result.answer_time = load_generator_.response_times();
     if (forwarder_) {
       forwarder_->Stop();
       result.lateness_p99 = std::max(result.lateness_p99, forwarder_->lateness_p99());
-      result.lateness_most = std::max(result.lateness_most, forwarder_->max_lateness());
-      result.notes = forwarder_->forwarded();
-      result.note_bytes = forwarder_->bytes();
+      result.lateness_max = std::max(result.lateness_max, forwarder_->max_lateness());
+      result.datagrams = forwarder_->forwarded();
+      result.datagram_bytes = forwarder_->bytes();
     }
     for (int relay = 0; relay < scenario_.relays; ++relay) ReadZonePhases(relay);
-    if (result.lateness_p99 > options_.max_lateness_p99 || result.lateness_most > options_.max_lateness)
-      result.void_because = "the laboratory itself was late: 1% of its timers by " +
-                            std::to_string(result.lateness_p99) + " s or more, one by " +
-                            std::to_string(result.lateness_most) + " s";
+    if (result.lateness_p99 > options_.max_lateness_p99 || result.lateness_max > options_.max_lateness)
+      result.void_reason = "the laboratory itself was late: 1% of its timers by " +
+                           std::to_string(result.lateness_p99) + " s or more, one by " +
+                           std::to_string(result.lateness_max) + " s";
     return std::move(result);
   }
 
@@ -411,9 +413,10 @@
       if (line.find("zone_phase_changed") == std::string::npos) continue;
       const auto zone = std::find(scenario_.zones.begin(), scenario_.zones.end(), field(line, "zone"));
       if (zone == scenario_.zones.end()) continue;
-      tally_.result().stage_changes.push_back({0, relay, static_cast<int>(zone - scenario_.zones.begin()),
-                                               std::strtoull(field(line, "round").c_str(), nullptr, 10),
-                                               field(line, "phase"), field(line, "from_peer") == "true"});
+      tally_.result().zone_phase_changes.push_back(
+          {0, relay, static_cast<int>(zone - scenario_.zones.begin()),
+           std::strtoull(field(line, "round").c_str(), nullptr, 10), field(line, "phase"),
+           field(line, "from_peer") == "true"});
     }
   }
 
@@ -445,7 +448,7 @@
 }  // namespace
 
 RunResult RunOnSockets(const Scenario& scenario, std::uint64_t seed, const SocketOptions& options) {
-  if (scenario.load.order_keys > 0)
+  if (scenario.load.ordering_keys > 0)
     throw config::FieldError(
         "'load.order_keys' is only supported in simulated time: the platform's protocol has no header for "
         "it");
--- a/lab/sockets/post_thread.h
+++ b/lab/sockets/post_thread.h
@@ -35,7 +35,7 @@
   // The following are valid after Stop().
   long forwarded() const { return forwarder_.forwarded(); }
   long bytes() const { return forwarder_.bytes(); }
-  Seconds lateness_p99() const { return lateness_.At(0.99); }
+  Seconds lateness_p99() const { return lateness_.Quantile(0.99); }
   Seconds max_lateness() const { return max_lateness_; }
 
  private:
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -60,7 +60,7 @@
   void SendChanges(std::size_t since) {
     if (silenced_) return;
     const std::string line = Chunk(server_.ChangesSince(relay_, since) + "\n");
-    if (server_.FindActiveFault(relay_, ListFault::Kind::kCutLine) != nullptr) {
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kTruncatedLine) != nullptr) {
       connection_->Write(line.substr(0, line.size() / 2));
       return connection_->CloseWhenWritten();
     }
@@ -94,13 +94,13 @@
     if (request.method == "POST" && request.target == "/v1/notices") return TakeNotifications(request.body);
     const std::string path = "/registry/instances";
     if (request.method != "GET" || request.target.rfind(path, 0) != 0) return Write(404, {});
-    if (server_.FindActiveFault(relay_, ListFault::Kind::kRefuse) != nullptr)
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kResetRequests) != nullptr)
       return server_.sessions_.Drop(*this);
     if (request.target.find("follow=1") == std::string::npos) {
       Write(200, server_.FullList(relay_) + "\n");
       return ReportChangesKnown(0);
     }
-    if (server_.FindActiveFault(relay_, ListFault::Kind::kBusy) != nullptr) {
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kUnavailable) != nullptr) {
       timer_ = server_.loop_.At(server_.loop_.Now() + kBusyDelay, [this] {
         timer_ = 0;
         Write(503, {});
@@ -114,7 +114,7 @@
     const unsigned long generation =
         since == std::string::npos ? 0 : std::strtoul(request.target.c_str() + since + 6, nullptr, 10);
     const RelayView& view = server_.views_[static_cast<std::size_t>(relay_)];
-    if (server_.FindActiveFault(relay_, ListFault::Kind::kOld) != nullptr)
+    if (server_.FindActiveFault(relay_, ListFault::Kind::kOutdatedList) != nullptr)
       connection_->Write(Chunk(server_.OutdatedList(relay_) + "\n"));
     if (generation >= 1 && generation <= view.visible_changes + 1) return SendChanges(generation - 1);
     connection_->Write(Chunk(server_.FullList(relay_) + "\n"));
@@ -201,26 +201,26 @@
 void PlatformServer::Begin(net::Seconds start) {
   start_ = start;
   for (const ListFault& fault : world_.scenario().list_faults)
-    loop_.At(start + fault.from, [this, fault] { StartFault(fault); });
+    loop_.At(start + fault.start, [this, fault] { StartFault(fault); });
 }
 
 void PlatformServer::StartFault(const ListFault& fault) {
-  for (int relay = fault.first; relay <= fault.last; ++relay) {
+  for (int relay = fault.first_relay; relay <= fault.last_relay; ++relay) {
     const std::vector<Session*> watches = WatchesOf(relay);
     switch (fault.kind) {
       case ListFault::Kind::kUnreachable:
-        StopListening(relay, fault.lasts);
+        StopListening(relay, fault.duration);
         break;
-      case ListFault::Kind::kRefuse:
-      case ListFault::Kind::kReset:
-      case ListFault::Kind::kOld:
-      case ListFault::Kind::kBusy:  // the relay has to open its watch again and meets the fault
+      case ListFault::Kind::kResetRequests:
+      case ListFault::Kind::kResetWatches:
+      case ListFault::Kind::kOutdatedList:
+      case ListFault::Kind::kUnavailable:  // the relay has to open its watch again and meets the fault
         for (Session* session : watches) sessions_.Drop(*session);
         break;
-      case ListFault::Kind::kSilent:
+      case ListFault::Kind::kSilentWatches:
         for (Session* session : watches) session->Silence();
         break;
-      case ListFault::Kind::kCutLine:
+      case ListFault::Kind::kTruncatedLine:
         break;
     }
   }
@@ -238,15 +238,15 @@
   if (start_ <= 0) return nullptr;
   const Seconds now = loop_.Now() - start_;
   for (const ListFault& fault : world_.scenario().list_faults)
-    if (fault.kind == kind && relay >= fault.first && relay <= fault.last && now >= fault.from &&
-        now < fault.from + fault.lasts)
+    if (fault.kind == kind && relay >= fault.first_relay && relay <= fault.last_relay && now >= fault.start &&
+        now < fault.start + fault.duration)
       return &fault;
   return nullptr;
 }
 
 bool PlatformServer::IsReachable(int relay) const {
   return !IsCut(relay) && listeners_[static_cast<std::size_t>(relay)] != nullptr &&
-         FindActiveFault(relay, ListFault::Kind::kRefuse) == nullptr;
+         FindActiveFault(relay, ListFault::Kind::kResetRequests) == nullptr;
 }
 
 std::vector<PlatformServer::Session*> PlatformServer::SessionsOf(int relay) const {
@@ -288,7 +288,7 @@
                               {"machineType", endpoint.kind == 1 ? "apart" : "plain"},
                               {"cell", endpoint.destination},
                               {"lifecycle", StatusName(status)},
-                              {"weight", endpoint.rating},
+                              {"weight", endpoint.listed_rate},
                               {"startedAtMs", 0}};
   return row.dump();
 }
@@ -340,7 +340,7 @@
   const std::size_t count = changes_.size();
   for (int relay = 0; relay < static_cast<int>(views_.size()); ++relay) {
     RelayView& view = views_[static_cast<std::size_t>(relay)];
-    const Seconds delay = DrawFrom(world_.scenario().list_late, random_);
+    const Seconds delay = DrawFrom(world_.scenario().list_delay, random_);
     view.last_due = std::max(view.last_due, loop_.Now() + delay);  // changes arrive in order
     loop_.At(view.last_due, [this, relay, count] { DeliverChangesTo(relay, count); });
   }
--- a/lab/sockets/relay_config.cpp
+++ b/lab/sockets/relay_config.cpp
@@ -41,7 +41,7 @@
   }
   json tenants = json::array();
   for (const TenantPlan& tenant : scenario.tenants)
-    tenants.push_back({{"name", tenant.name}, {"share", tenant.share}, {"allowancePerS", tenant.allowance}});
+    tenants.push_back({{"name", tenant.name}, {"share", tenant.share}, {"allowancePerS", tenant.quota}});
   json max_batches = json::array(), limits_per_endpoint = json::array();
   for (const auto& kind : settings.kinds) {
     max_batches.push_back(kind.max_batch);
--- a/lab/sockets/rude_clients.cpp
+++ b/lab/sockets/rude_clients.cpp
@@ -13,13 +13,13 @@
 constexpr net::Seconds kIdleTime = 4;        // of clients that send nothing
 constexpr std::size_t kBufferBytes = 4096;
 
-const char* PartialRequest(RudePlan::Kind kind) {
+const char* PartialRequest(StalledClientsPlan::Kind kind) {
   switch (kind) {
-    case RudePlan::Kind::kIdle:
+    case StalledClientsPlan::Kind::kIdle:
       return "";
-    case RudePlan::Kind::kHalfHead:
+    case StalledClientsPlan::Kind::kPartialHeader:
       return "POST /api HTTP/1.1\r\nHost: lab\r\nX-Txn: ru";
-    case RudePlan::Kind::kHalfBody:
+    case StalledClientsPlan::Kind::kPartialBody:
       return "POST /api HTTP/1.1\r\nHost: lab\r\nContent-Length: 40\r\n\r\nhalf of";
   }
   return "";
@@ -29,7 +29,7 @@
 
 class StallingClients::Client : public Connection::Owner {
  public:
-  Client(StallingClients& owner, int relay, RudePlan::Kind kind)
+  Client(StallingClients& owner, int relay, StalledClientsPlan::Kind kind)
       : loop_(owner.loop_), owner_(owner), relay_(relay), kind_(kind) {}
   ~Client() override { loop_.Cancel(timer_); }  // `owner_` may already be destroyed
 
@@ -41,7 +41,7 @@
  private:
   void OnOpen(Connection& connection) override {
     connection.Write(PartialRequest(kind_));
-    const bool must_be_closed = kind_ != RudePlan::Kind::kIdle;
+    const bool must_be_closed = kind_ != StalledClientsPlan::Kind::kIdle;
     timer_ = owner_.loop_.At(owner_.loop_.Now() + (must_be_closed ? kCloseTimeout : kIdleTime),
                              [this, must_be_closed] {
                                timer_ = 0;
@@ -61,7 +61,7 @@
   net::EventLoop& loop_;
   StallingClients& owner_;
   const int relay_;
-  const RudePlan::Kind kind_;
+  const StalledClientsPlan::Kind kind_;
   std::unique_ptr<Connection> connection_;
   net::EventLoop::TimerId timer_ = 0;
 };
@@ -71,7 +71,8 @@
 
 StallingClients::~StallingClients() = default;
 
-void StallingClients::Connect(int relay, const sockaddr_in& address, RudePlan::Kind kind, int count) {
+void StallingClients::Connect(int relay, const sockaddr_in& address, StalledClientsPlan::Kind kind,
+                              int count) {
   for (int i = 0; i < count; ++i) {
     auto client = std::make_unique<Client>(*this, relay, kind);
     if (client->Open(address)) clients_.push_back(std::move(client));
--- a/lab/sockets/rude_clients.h
+++ b/lab/sockets/rude_clients.h
@@ -22,7 +22,7 @@
   StallingClients(net::EventLoop& loop, std::function<void(int relay)> on_overdue);
   ~StallingClients();
 
-  void Connect(int relay, const sockaddr_in& address, RudePlan::Kind kind, int count);
+  void Connect(int relay, const sockaddr_in& address, StalledClientsPlan::Kind kind, int count);
 
  private:
   class Client;
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -70,8 +70,8 @@
 // Runs the scenario, and repeats the run up to four times while it is void because the machine was busy.
 RunResult RunUntilValid(const Scenario& scenario, const SocketOptions& options) {
   RunResult result = RunOnSockets(scenario, 1, options);
-  for (int i = 0; i < 4 && !result.void_because.empty(); ++i) result = RunOnSockets(scenario, 1, options);
-  REQUIRE(result.void_because.empty());
+  for (int i = 0; i < 4 && !result.void_reason.empty(); ++i) result = RunOnSockets(scenario, 1, options);
+  REQUIRE(result.void_reason.empty());
   return result;
 }
 
@@ -87,11 +87,11 @@
     CHECK(r->crashes.empty());
   }
   for (std::size_t c = 0; c < 3; ++c) {
-    CHECK(real.classes[c].asked == simulated.classes[c].asked);  // the same traffic
+    CHECK(real.classes[c].offered == simulated.classes[c].offered);  // the same traffic
     CHECK(real.classes[c].delivered >= simulated.classes[c].delivered * 0.9);
   }
-  CHECK(std::abs(real.Worth() - simulated.Worth()) < 0.1);
-  CHECK(std::abs(real.classes[0].latency.At(0.5) - simulated.classes[0].latency.At(0.5)) < 0.05);
+  CHECK(std::abs(real.ValueShare() - simulated.ValueShare()) < 0.1);
+  CHECK(std::abs(real.classes[0].latency.Quantile(0.5) - simulated.classes[0].latency.Quantile(0.5)) < 0.05);
   CHECK(real.processes[1].size() >= 6);
   CHECK(real.processes[1].back().rss_kb > 1000);
 }
@@ -124,7 +124,7 @@
   const RunResult frozen = Simulation(ReadScenario(file), 1).Run();
   CHECK(frozen.breaches.empty());
   CHECK(frozen.seconds[2].calls < sound.seconds[2].calls / 4);
-  CHECK(frozen.classes[0].latency.At(0.99) > sound.classes[0].latency.At(0.99) + 0.3);
+  CHECK(frozen.classes[0].latency.Quantile(0.99) > sound.classes[0].latency.Quantile(0.99) + 0.3);
 }
 
 TEST_CASE("lab: a relay that crashes is reported with its log, and the run completes") {
@@ -142,7 +142,7 @@
   REQUIRE(r.crashes.size() == 1);
   CHECK(r.crashes[0].at < 3);
   CHECK(r.crashes[0].last_log.find("listening") != std::string::npos);
-  CHECK(!r.Sound());
+  CHECK(!r.Passed());
 }
 
 // Tries to bind a socket to a relay's address between its reservation and the process's start.
@@ -321,7 +321,7 @@
   json file = SmallScenario();
   file["lasts_s"] = 0.5;
   const RunResult r = RunOnSockets(ReadScenario(file), 1, options);
-  CHECK(r.void_because.find("late") != std::string::npos);
+  CHECK(r.void_reason.find("late") != std::string::npos);
 }
 
 TEST_CASE("lab: neither an interrupt nor SIGKILL leaves a process behind") {
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/ledger_test.cpp
@@ -86,7 +86,7 @@
   f.tracker.OnAccepted(0.1, id);
   f.tracker.OnNotification(1, id, MessageTracker::Notification::kRejected, 0.5);
   CHECK(advised_wait == 0.5);
-  CHECK(f.tally.result().refused == 1);
+  CHECK(f.tally.result().rejected == 1);
   CHECK(f.tracker.open() == 0);
 }
 
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -40,7 +40,7 @@
   const Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/" + name + ".json");
   const RunResult result = RunOnSockets(scenario, 1, options);
   for (const Breach& b : result.breaches) FAIL_CHECK(NameOf(b.kind), " ", b.at, " ", b.trace);
-  for (const Crash& c : result.crashes) FAIL_CHECK(c.relay, " ", c.how, "\n", c.last_log);
+  for (const Crash& c : result.crashes) FAIL_CHECK(c.relay, " ", c.cause, "\n", c.last_log);
   return result;
 }
 
@@ -48,9 +48,9 @@
 // them.
 void CheckOnlyZone1Evacuated(const RunResult& result) {
   std::map<int, std::string> phases;  // of zone 1, by relay, in the order in which they were entered
-  for (const StageChange& c : result.stage_changes) {
-    if (c.zone == 1) phases[c.relay] += c.step + " ";
-    CHECK_MESSAGE((c.zone == 1 || c.step != "out"), "relay ", c.relay, " has evacuated zone ", c.zone);
+  for (const ZonePhaseChange& c : result.zone_phase_changes) {
+    if (c.zone == 1) phases[c.relay] += c.phase + " ";
+    CHECK_MESSAGE((c.zone == 1 || c.phase != "out"), "relay ", c.relay, " has evacuated zone ", c.zone);
   }
   CHECK(phases.size() == 24);
   for (const auto& [relay, order] : phases) {
@@ -62,7 +62,7 @@
     CHECK(returning != std::string::npos);
     CHECK(order.rfind("in ") == order.size() - 3);
   }
-  CHECK(result.notes > 1000);
+  CHECK(result.datagrams > 1000);
 }
 
 // Zone 1's share of the calls from second `from` until second `to`. Counts only calls to destinations that
@@ -70,7 +70,7 @@
 double ZoneShareWithin(const RunResult& result, std::size_t from, std::size_t to) {
   long zone_calls = 0, all_calls = 0;
   for (std::size_t second = from; second < to; ++second) {
-    const std::vector<long>& calls = result.seconds[second].spared_calls;
+    const std::vector<long>& calls = result.seconds[second].multi_zone_partner_calls;
     zone_calls += calls.size() > 1 ? calls[1] : 0;
     all_calls += std::accumulate(calls.begin(), calls.end(), 0L);
   }
