--- a/lab/capacity/capacity.cpp
+++ b/lab/capacity/capacity.cpp
@@ -27,58 +27,60 @@
 
 namespace {
 
-// The measuring process asks from the first core; what is measured has the second for itself.
-constexpr int kDriverCore = 0, kMeasuredCore = 1, kSinkCore = 2, kPlatformCore = 3;
+// The load generator runs on the first core; the process under measurement has the second to itself.
+constexpr int kLoadCore = 0, kMeasuredCore = 1, kEndpointCore = 2, kPlatformCore = 3;
 constexpr int kClientConnections = 64;
-constexpr double kWarmUp = 1;  // seconds, not counted
+constexpr double kWarmUp = 1;  // seconds, excluded from the results
 constexpr int kManyDestinations = 20000;
-constexpr long kTransactions = 4000;
+constexpr long kOpenRequests = 4000;
 
 void PinTo(int core) {
   cpu_set_t cores;
   CPU_ZERO(&cores);
   CPU_SET(core, &cores);
   if (sched_setaffinity(0, sizeof(cores), &cores) != 0)
-    throw std::runtime_error("core " + std::to_string(core) + " is not to be had: four are needed");
+    throw std::runtime_error("cannot run on core " + std::to_string(core) +
+                             ": the measurement needs four cores");
 }
 
-// Runs one of the players in a process of its own.
-class Player {
+// Runs a function in a forked process that is pinned to a core.
+class PinnedProcess {
  public:
-  template <typename Play>
-  Player(int core, const Play& play) {
+  template <typename Function>
+  PinnedProcess(int core, const Function& function) {
     const pid_t parent = getpid();
     pid_ = fork();
     if (pid_ == 0) {
       EndWithParent(parent);
       PinTo(core);
-      play();
+      function();
       _exit(1);
     }
-    if (pid_ < 0) throw std::runtime_error("no process could be forked");
+    if (pid_ < 0) throw std::runtime_error("fork failed");
   }
-  ~Player() {
+  ~PinnedProcess() {
     kill(pid_, SIGKILL);
     waitpid(pid_, nullptr, 0);
   }
-  Player(const Player&) = delete;
-  Player& operator=(const Player&) = delete;
-  double Cpu() const { return SampleOf(pid_).value().cpu; }
+  PinnedProcess(const PinnedProcess&) = delete;
+  PinnedProcess& operator=(const PinnedProcess&) = delete;
+  double CpuSeconds() const { return SampleOf(pid_).value().cpu; }
 
  private:
   pid_t pid_;
 };
 
+// An object in anonymous memory that forked processes share.
 template <typename T>
-class Shared {
+class SharedObject {
  public:
-  Shared() : at_(mmap(nullptr, sizeof(T), PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0)) {
-    if (at_ == MAP_FAILED) throw std::runtime_error("no shared memory");
+  SharedObject() : at_(mmap(nullptr, sizeof(T), PROT_READ | PROT_WRITE, MAP_SHARED | MAP_ANONYMOUS, -1, 0)) {
+    if (at_ == MAP_FAILED) throw std::runtime_error("no shared memory could be mapped");
     new (at_) T();
   }
-  ~Shared() { munmap(at_, sizeof(T)); }
-  Shared(const Shared&) = delete;
-  Shared& operator=(const Shared&) = delete;
+  ~SharedObject() { munmap(at_, sizeof(T)); }
+  SharedObject(const SharedObject&) = delete;
+  SharedObject& operator=(const SharedObject&) = delete;
   T& operator*() { return *static_cast<T*>(at_); }
   T* operator->() { return static_cast<T*>(at_); }
 
@@ -86,8 +88,8 @@
   void* at_;
 };
 
-// As many messages as the relay can hold, nothing that limits but its own cost.
-Scenario ScenarioWith(int destinations) {
+// Limits are high enough that only the relay's own cost bounds the throughput.
+Scenario CapacityScenario(int destinations) {
   const nlohmann::json file = {
       {"name", "capacity"},
       {"relays", 1},
@@ -103,11 +105,11 @@
   return ReadScenario(file);
 }
 
-// The platform in a thread, the relay as a process on its core.
+// A relay process on the measured core, with the platform in a thread of this process.
 class RelayUnderTest : private Registry::Owner, private RelayProcess::Owner {
  public:
   RelayUnderTest(const CapacityOptions& options, int destinations, std::uint16_t endpoint_port)
-      : scenario_(ScenarioWith(destinations)),
+      : scenario_(CapacityScenario(destinations)),
         world_(scenario_, 1),
         loop_(clock_),
         registry_(
@@ -134,20 +136,20 @@
     };
     relay_ =
         std::make_unique<RelayProcess>(loop_, 0, std::move(plan), static_cast<RelayProcess::Owner&>(*this));
-    PinTo(kMeasuredCore);  // which the process inherits
+    PinTo(kMeasuredCore);  // inherited by the relay process
     relay_->Start();
     while (!relay_->ready()) {
       relay_->Poll();
       loop_.RunOnce(0.01);
     }
-    PinTo(kDriverCore);
+    PinTo(kLoadCore);
     platform_ = std::thread([this] {
       PinTo(kPlatformCore);
-      while (!ends_) loop_.RunOnce(0.05);
+      while (!stopping_) loop_.RunOnce(0.05);
     });
   }
   ~RelayUnderTest() override {
-    ends_ = true;
+    stopping_ = true;
     if (platform_.joinable()) platform_.join();
   }
 
@@ -159,7 +161,7 @@
   void OnNotice(const std::string&, bool, Seconds) override {}
   void OnReady(int) override {}
   void OnCrash(int, const std::string& how) override {
-    throw std::runtime_error("the relay did not come up: " + how + "; its log says:\n" + relay_->LastLog());
+    throw std::runtime_error("the relay failed to start: " + how + "; its log ends:\n" + relay_->LastLog());
   }
 
   const Scenario scenario_;
@@ -168,78 +170,82 @@
   net::EventLoop loop_;
   Registry registry_;
   std::unique_ptr<RelayProcess> relay_;
-  std::atomic<bool> ends_{false};
+  std::atomic<bool> stopping_{false};
   std::thread platform_;
 };
 
-class Measurement {
+class CapacityMeasurement {
  public:
-  explicit Measurement(const CapacityOptions& options)
+  explicit CapacityMeasurement(const CapacityOptions& options)
       : options_(options), listener_(ListenOnLoopback()), port_(net::BoundAddress(listener_).sin_port) {
     std::filesystem::create_directories(options.folder);
-    PinTo(kDriverCore);
-    sink_ = std::make_unique<Player>(kSinkCore, [this] { RunSink(listener_, *counts_); });
+    PinTo(kLoadCore);
+    endpoint_ =
+        std::make_unique<PinnedProcess>(kEndpointCore, [this] { RunEndpoint(listener_, *endpoint_state_); });
   }
-  ~Measurement() { close(listener_); }
+  ~CapacityMeasurement() { close(listener_); }
 
   CapacityResult Run() {
     CapacityResult result;
     for (int round = 0; round < options_.rounds; ++round) {
-      result.forwarder.push_back(OfForwarder());
-      result.relay.push_back(OfRelay());
+      result.forwarder.push_back(MeasureForwarder());
+      result.relay.push_back(MeasureRelay());
     }
-    result.journal_us = OfJournal();
+    result.journal_us = MeasureJournal();
     double capacity = 0;
-    for (const Throughput& t : result.relay) capacity += t.delivered / options_.rounds;
-    for (const double share : {0.1, 0.5, 0.9}) result.answers.push_back(AnswersAt(share, share * capacity));
-    Memory(result);
+    for (const Throughput& t : result.relay) capacity += t.delivered_per_second / options_.rounds;
+    for (const double share : {0.1, 0.5, 0.9})
+      result.response_times.push_back(MeasureResponseTimes(share, share * capacity));
+    MeasureMemory(result);
     return result;
   }
 
  private:
-  DriverPlan PlanTo(const sockaddr_in& to) {
-    DriverPlan plan;
-    plan.to = to;
+  LoadPlan PlanLoad(const sockaddr_in& target) {
+    LoadPlan plan;
+    plan.target = target;
     plan.connections = kClientConnections;
     plan.seconds = options_.seconds;
     plan.message_class = "payment";
-    plan.id_prefix = "m" + std::to_string(++drives_) + "-";
+    plan.id_prefix = "m" + std::to_string(++load_runs_) + "-";
     if (options_.interrupted && options_.interrupted()) throw std::runtime_error("interrupted");
     return plan;
   }
 
-  // `cpu`: used so far by what is measured.
-  template <typename Cpu>
-  Throughput Measure(const sockaddr_in& to, const Cpu& cpu) {
-    DriverPlan warm = PlanTo(to);
-    warm.seconds = kWarmUp;
-    Drive(warm);
-    const DriverPlan plan = PlanTo(to);
-    const long calls = counts_->calls;
-    const double cpu_before = cpu(), began = raw::Now();
-    const DriverResult driven = Drive(plan);
+  // `cpu_seconds` returns the CPU time that the measured process has used so far.
+  template <typename CpuSeconds>
+  Throughput MeasureThroughput(const sockaddr_in& target, const CpuSeconds& cpu_seconds) {
+    LoadPlan warm_up = PlanLoad(target);
+    warm_up.seconds = kWarmUp;
+    GenerateLoad(warm_up);
+    const LoadPlan plan = PlanLoad(target);
+    const long calls_before = endpoint_state_->calls;
+    const double cpu_before = cpu_seconds(), began = raw::Now();
+    const LoadResult load = GenerateLoad(plan);
     const double took = raw::Now() - began;
-    const auto delivered = static_cast<double>(counts_->calls - calls);
-    if (delivered < 1) throw std::runtime_error("nothing was delivered");
-    return {delivered / took, (cpu() - cpu_before) / delivered * 1e6, driven.refused, driven.broken};
+    const auto delivered = static_cast<double>(endpoint_state_->calls - calls_before);
+    if (delivered < 1) throw std::runtime_error("no request was delivered");
+    return {delivered / took, (cpu_seconds() - cpu_before) / delivered * 1e6, load.rejected,
+            load.disconnected};
   }
 
-  Throughput OfForwarder() {
+  Throughput MeasureForwarder() {
     const int listener = raw::Listen(*net::ParseAddress("127.0.0.1:0"));
     const sockaddr_in address = net::BoundAddress(listener);
     sockaddr_in endpoint = LoopbackOf(1);
     endpoint.sin_port = port_;
-    const Player forwarder(kMeasuredCore, [&] { RunForwarder(listener, endpoint); });
+    const PinnedProcess forwarder(kMeasuredCore, [&] { RunForwarder(listener, endpoint); });
     close(listener);
-    return Measure(address, [&] { return forwarder.Cpu(); });
+    return MeasureThroughput(address, [&] { return forwarder.CpuSeconds(); });
   }
-  Throughput OfRelay() {
+  Throughput MeasureRelay() {
     const RelayUnderTest relay(options_, 1, port_);
-    return Measure(relay.address(), [&] { return relay.Sample().cpu; });
+    return MeasureThroughput(relay.address(), [&] { return relay.Sample().cpu; });
   }
 
-  // The relay's own journal, driven alone with what a message of the measurement costs it.
-  double OfJournal() {
+  // CPU time of the journal alone, in microseconds per request, for the records that a measured request
+  // causes.
+  double MeasureJournal() {
     const std::string folder = options_.folder + "/journal-alone";
     std::filesystem::remove_all(folder);
     std::filesystem::create_directories(folder);
@@ -249,66 +255,66 @@
     entry.tenant = "lab";
     entry.body = std::string(200, 'x');
     entry.destination = 1;
-    constexpr int kMessages = 100'000, kOpen = 64;  // so many are open at a time
+    constexpr int kRequests = 100'000, kOpen = 64;  // kOpen: requests that are open at a time
     const double began = SampleOf(getpid()).value().cpu;
-    for (int i = 0; i < kMessages + kOpen; ++i) {
+    for (int i = 0; i < kRequests + kOpen; ++i) {
       entry.id = "m-" + std::to_string(i);
-      if (i < kMessages &&
+      if (i < kRequests &&
           (!journal.RecordAccepted(entry) || !journal.RecordAttempt(entry.id, {"e1", "z0", i, true})))
-        throw std::runtime_error("the journal has no room");
+        throw std::runtime_error("the journal has not accepted a record");
       if (i >= kOpen) journal.RecordEnd("m-" + std::to_string(i - kOpen));
     }
-    return (SampleOf(getpid()).value().cpu - began) / kMessages * 1e6;
+    return (SampleOf(getpid()).value().cpu - began) / kRequests * 1e6;
   }
 
-  CapacityResult::Answer AnswersAt(double share, double rate) {
+  CapacityResult::ResponseTime MeasureResponseTimes(double share, double rate) {
     const RelayUnderTest relay(options_, 1, port_);
-    DriverPlan warm = PlanTo(relay.address());
-    warm.seconds = kWarmUp;
-    warm.rate = rate;
-    Drive(warm);
-    DriverPlan plan = PlanTo(relay.address());
+    LoadPlan warm_up = PlanLoad(relay.address());
+    warm_up.seconds = kWarmUp;
+    warm_up.rate = rate;
+    GenerateLoad(warm_up);
+    LoadPlan plan = PlanLoad(relay.address());
     plan.rate = rate;
-    const DriverResult driven = Drive(plan);
+    const LoadResult load = GenerateLoad(plan);
     return {share,
-            static_cast<double>(driven.asked) / driven.seconds,
-            driven.answer_time.At(0.5),
-            driven.answer_time.At(0.99),
-            driven.answer_time.At(0.999),
-            driven.refused,
-            driven.broken};
+            static_cast<double>(load.sent) / load.seconds,
+            load.response_time.At(0.5),
+            load.response_time.At(0.99),
+            load.response_time.At(0.999),
+            load.rejected,
+            load.disconnected};
   }
 
-  void Memory(CapacityResult& result) {
-    long idle = 0;
+  void MeasureMemory(CapacityResult& result) {
+    long idle_kb = 0;
     {
       const RelayUnderTest relay(options_, 1, port_);
-      counts_->holds = true;
-      const long before = relay.Sample().rss_kb;
-      DriverPlan plan = PlanTo(relay.address());
-      plan.most = kTransactions;
-      result.transactions = Drive(plan).taken;
-      result.bytes_per_transaction = static_cast<double>(relay.Sample().rss_kb - before) * 1024 /
-                                     static_cast<double>(std::max(1L, result.transactions));
-      counts_->holds = false;
-      idle = before;
+      endpoint_state_->withhold_responses = true;
+      const long before_kb = relay.Sample().rss_kb;
+      LoadPlan plan = PlanLoad(relay.address());
+      plan.max_requests = kOpenRequests;
+      result.open_requests = GenerateLoad(plan).accepted;
+      result.bytes_per_open_request = static_cast<double>(relay.Sample().rss_kb - before_kb) * 1024 /
+                                      static_cast<double>(std::max(1L, result.open_requests));
+      endpoint_state_->withhold_responses = false;
+      idle_kb = before_kb;
     }
     const RelayUnderTest relay(options_, kManyDestinations, port_);
     result.destinations = kManyDestinations;
     result.bytes_per_destination =
-        static_cast<double>(relay.Sample().rss_kb - idle) * 1024 / kManyDestinations;
+        static_cast<double>(relay.Sample().rss_kb - idle_kb) * 1024 / kManyDestinations;
   }
 
   const CapacityOptions options_;
-  Shared<SinkCounts> counts_;
+  SharedObject<EndpointState> endpoint_state_;
   const int listener_;
   const in_port_t port_;
-  std::unique_ptr<Player> sink_;
-  int drives_ = 0;
+  std::unique_ptr<PinnedProcess> endpoint_;
+  int load_runs_ = 0;
 };
 
 }  // namespace
 
-CapacityResult MeasureCapacity(const CapacityOptions& options) { return Measurement(options).Run(); }
+CapacityResult MeasureCapacity(const CapacityOptions& options) { return CapacityMeasurement(options).Run(); }
 
 }  // namespace opalroute::lab
--- a/lab/capacity/players.cpp
+++ b/lab/capacity/players.cpp
@@ -15,22 +15,22 @@
 
 namespace {
 
-constexpr int kEvents = 256;
-constexpr std::size_t kMostUpstream = 400;  // as the relay's bound
+constexpr int kMaxEvents = 256;
+constexpr std::size_t kMaxUpstreamConnections = 400;  // the relay's concurrency limit in the measurement
 
-struct Line {
+struct Connection {
   int fd = -1;
   bool upstream = false;
   std::string in;
 };
 
-void AcceptAll(int epoll, int listener, std::vector<std::unique_ptr<Line>>& lines) {
+void AcceptAll(int epoll, int listener, std::vector<std::unique_ptr<Connection>>& connections) {
   for (;;) {
     const int fd = accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
-    lines.push_back(std::make_unique<Line>());
-    lines.back()->fd = fd;
-    raw::Watch(epoll, fd, lines.back().get());
+    connections.push_back(std::make_unique<Connection>());
+    connections.back()->fd = fd;
+    raw::AddToEpoll(epoll, fd, connections.back().get());
   }
 }
 
@@ -38,167 +38,168 @@
 
 void RunForwarder(int listener, const sockaddr_in& endpoint) {
   const int epoll = epoll_create1(EPOLL_CLOEXEC);
-  raw::Watch(epoll, listener, nullptr);
-  std::vector<std::unique_ptr<Line>> lines;
-  std::vector<Line*> idle;
+  raw::AddToEpoll(epoll, listener, nullptr);
+  std::vector<std::unique_ptr<Connection>> connections;
+  std::vector<Connection*> idle;
   std::deque<std::string> waiting;
   std::size_t upstream = 0;
   const auto send = [&](std::string call) {
-    if (idle.empty() && upstream < kMostUpstream) {
+    if (idle.empty() && upstream < kMaxUpstreamConnections) {
       ++upstream;
-      lines.push_back(std::make_unique<Line>());
-      lines.back()->fd = raw::Connect(endpoint);
-      lines.back()->upstream = true;
-      raw::Watch(epoll, lines.back()->fd, lines.back().get());
-      idle.push_back(lines.back().get());
+      connections.push_back(std::make_unique<Connection>());
+      connections.back()->fd = raw::Connect(endpoint);
+      connections.back()->upstream = true;
+      raw::AddToEpoll(epoll, connections.back()->fd, connections.back().get());
+      idle.push_back(connections.back().get());
     }
     if (idle.empty()) return waiting.push_back(std::move(call));
     raw::WriteAll(idle.back()->fd, call);
     idle.pop_back();
   };
-  const auto serve = [&](Line& line) {
-    for (std::size_t length = raw::WholeMessage(line.in); length > 0; length = raw::WholeMessage(line.in)) {
-      if (line.upstream) {
-        line.in.erase(0, length);
-        idle.push_back(&line);
+  const auto serve = [&](Connection& connection) {
+    for (std::size_t length = raw::CompleteMessageLength(connection.in); length > 0;
+         length = raw::CompleteMessageLength(connection.in)) {
+      if (connection.upstream) {
+        connection.in.erase(0, length);
+        idle.push_back(&connection);
         if (waiting.empty()) continue;
         std::string next = std::move(waiting.front());
         waiting.pop_front();
         send(std::move(next));
         continue;
       }
-      // The head goes on but for its first line.
-      const std::size_t first = line.in.find("\r\n");
+      // Replaces the request line, and forwards the rest unchanged.
+      const std::size_t line_end = connection.in.find("\r\n");
       std::string call = "POST /hook HTTP/1.1";
-      call.append(line.in, first, length - first);
-      line.in.erase(0, length);
-      raw::WriteAll(line.fd, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
+      call.append(connection.in, line_end, length - line_end);
+      connection.in.erase(0, length);
+      raw::WriteAll(connection.fd, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
       send(std::move(call));
     }
   };
-  epoll_event events[kEvents];
+  epoll_event events[kMaxEvents];
   for (;;) {
-    const int count = epoll_wait(epoll, events, kEvents, -1);
+    const int count = epoll_wait(epoll, events, kMaxEvents, -1);
     for (int i = 0; i < count; ++i) {
-      auto* line = static_cast<Line*>(events[i].data.ptr);
-      if (line == nullptr) {
-        AcceptAll(epoll, listener, lines);
-      } else if (line->fd >= 0) {
-        const bool stays = raw::ReadAll(line->fd, line->in);
-        serve(*line);
-        if (!stays) {
-          close(line->fd);
-          line->fd = -1;
+      auto* connection = static_cast<Connection*>(events[i].data.ptr);
+      if (connection == nullptr) {
+        AcceptAll(epoll, listener, connections);
+      } else if (connection->fd >= 0) {
+        const bool still_open = raw::ReadAll(connection->fd, connection->in);
+        serve(*connection);
+        if (!still_open) {
+          close(connection->fd);
+          connection->fd = -1;
         }
       }
     }
   }
 }
 
-void RunSink(int listener, SinkCounts& counts) {
+void RunEndpoint(int listener, EndpointState& state) {
   const int epoll = epoll_create1(EPOLL_CLOEXEC);
-  raw::Watch(epoll, listener, nullptr);
-  std::vector<std::unique_ptr<Line>> lines;
-  epoll_event events[kEvents];
+  raw::AddToEpoll(epoll, listener, nullptr);
+  std::vector<std::unique_ptr<Connection>> connections;
+  epoll_event events[kMaxEvents];
   for (;;) {
-    const int count = epoll_wait(epoll, events, kEvents, -1);
+    const int count = epoll_wait(epoll, events, kMaxEvents, -1);
     for (int i = 0; i < count; ++i) {
-      auto* line = static_cast<Line*>(events[i].data.ptr);
-      if (line == nullptr) {
-        AcceptAll(epoll, listener, lines);
+      auto* connection = static_cast<Connection*>(events[i].data.ptr);
+      if (connection == nullptr) {
+        AcceptAll(epoll, listener, connections);
         continue;
       }
-      if (line->fd < 0) continue;
-      const bool stays = raw::ReadAll(line->fd, line->in);
-      for (std::size_t length = raw::WholeMessage(line->in); length > 0;
-           length = raw::WholeMessage(line->in)) {
-        line->in.erase(0, length);
-        counts.calls.fetch_add(1, std::memory_order_relaxed);
-        if (!counts.holds.load(std::memory_order_relaxed))
-          raw::WriteAll(line->fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+      if (connection->fd < 0) continue;
+      const bool still_open = raw::ReadAll(connection->fd, connection->in);
+      for (std::size_t length = raw::CompleteMessageLength(connection->in); length > 0;
+           length = raw::CompleteMessageLength(connection->in)) {
+        connection->in.erase(0, length);
+        state.calls.fetch_add(1, std::memory_order_relaxed);
+        if (!state.withhold_responses.load(std::memory_order_relaxed))
+          raw::WriteAll(connection->fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
       }
-      if (stays) continue;
-      close(line->fd);
-      line->fd = -1;
+      if (still_open) continue;
+      close(connection->fd);
+      connection->fd = -1;
     }
   }
 }
 
-DriverResult Drive(const DriverPlan& plan) {
-  struct Asker {
-    Line line;
-    double since = 0;
+LoadResult GenerateLoad(const LoadPlan& plan) {
+  struct Client {
+    Connection connection;
+    double since = 0;  // when its request was sent or, in an open loop, due
     bool busy = false;
   };
-  DriverResult result;
+  LoadResult result;
   const int epoll = epoll_create1(EPOLL_CLOEXEC);
-  std::vector<std::unique_ptr<Asker>> askers;
-  std::vector<Asker*> idle;
+  std::vector<std::unique_ptr<Client>> clients;
+  std::vector<Client*> idle;
   const std::string head =
       "POST /api HTTP/1.1\r\nHost: lab\r\nX-Lane: " + plan.message_class +
-      "\r\nX-Org: lab\r\nX-Remaining-Ms: " + std::to_string(static_cast<long>(plan.remaining * 1000)) +
+      "\r\nX-Org: lab\r\nX-Remaining-Ms: " + std::to_string(static_cast<long>(plan.remaining_time * 1000)) +
       "\r\nX-Txn: " + plan.id_prefix;
   const std::string body(200, 'x');
-  const auto ask = [&](Asker& asker, double since) {
-    const long number = result.asked++;
-    asker.since = since;
-    asker.busy = true;
-    raw::WriteAll(asker.line.fd, head + std::to_string(number) + "\r\nX-Addressing: dest=" +
-                                     std::to_string(number % plan.destinations + 1) +
-                                     "\r\nContent-Length: 200\r\n\r\n" + body);
+  const auto send_request = [&](Client& client, double since) {
+    const long number = result.sent++;
+    client.since = since;
+    client.busy = true;
+    raw::WriteAll(client.connection.fd, head + std::to_string(number) + "\r\nX-Addressing: dest=" +
+                                            std::to_string(number % plan.destinations + 1) +
+                                            "\r\nContent-Length: 200\r\n\r\n" + body);
   };
   const auto open = [&] {
-    askers.push_back(std::make_unique<Asker>());
-    askers.back()->line.fd = raw::Connect(plan.to);
-    raw::Watch(epoll, askers.back()->line.fd, askers.back().get());
-    idle.push_back(askers.back().get());
+    clients.push_back(std::make_unique<Client>());
+    clients.back()->connection.fd = raw::Connect(plan.target);
+    raw::AddToEpoll(epoll, clients.back()->connection.fd, clients.back().get());
+    idle.push_back(clients.back().get());
   };
   for (int i = 0; i < plan.connections; ++i) open();
   const double began = raw::Now(), ends = began + plan.seconds;
-  const auto more = [&] { return plan.most == 0 || result.asked < plan.most; };
-  long out = 0;
-  epoll_event events[kEvents];
+  const auto may_send_more = [&] { return plan.max_requests == 0 || result.sent < plan.max_requests; };
+  long in_flight = 0;
+  epoll_event events[kMaxEvents];
   for (double now = began;; now = raw::Now()) {
-    const bool over = now >= ends || !more();
-    if (over && (out == 0 || now >= ends + 1)) break;
-    while (!over && !idle.empty() && more()) {
-      const double due = plan.rate > 0 ? began + static_cast<double>(result.asked) / plan.rate : now;
+    const bool finished = now >= ends || !may_send_more();
+    if (finished && (in_flight == 0 || now >= ends + 1)) break;
+    while (!finished && !idle.empty() && may_send_more()) {
+      const double due = plan.rate > 0 ? began + static_cast<double>(result.sent) / plan.rate : now;
       if (due > now) break;
-      Asker& asker = *idle.back();
+      Client& client = *idle.back();
       idle.pop_back();
-      ++out;
-      ask(asker, due);
+      ++in_flight;
+      send_request(client, due);
     }
-    // Open loop: it looks again at once, so that it is never late itself.
-    const int count = epoll_wait(epoll, events, kEvents, plan.rate > 0 && !over ? 0 : 50);
+    // Open loop: polls without blocking, so that the load generator itself is never late.
+    const int count = epoll_wait(epoll, events, kMaxEvents, plan.rate > 0 && !finished ? 0 : 50);
     const double read_at = raw::Now();
     for (int i = 0; i < count; ++i) {
-      Asker& asker = *static_cast<Asker*>(events[i].data.ptr);
-      if (asker.line.fd < 0) continue;
-      const bool stays = raw::ReadAll(asker.line.fd, asker.line.in);
-      const std::size_t length = raw::WholeMessage(asker.line.in);
+      Client& client = *static_cast<Client*>(events[i].data.ptr);
+      if (client.connection.fd < 0) continue;
+      const bool still_open = raw::ReadAll(client.connection.fd, client.connection.in);
+      const std::size_t length = raw::CompleteMessageLength(client.connection.in);
       if (length > 0) {
-        const bool taken = asker.line.in.compare(9, 2, "20") == 0;
-        ++(taken ? result.taken : result.refused);
-        if (taken) result.answer_time.Add(read_at - asker.since);
-        asker.line.in.erase(0, length);
-        asker.busy = false;
-        --out;
-        if (stays) idle.push_back(&asker);
-      } else if (!stays && asker.busy) {  // one at rest may be closed at any time
-        ++result.broken;
-        --out;
+        const bool accepted = client.connection.in.compare(9, 2, "20") == 0;
+        ++(accepted ? result.accepted : result.rejected);
+        if (accepted) result.response_time.Add(read_at - client.since);
+        client.connection.in.erase(0, length);
+        client.busy = false;
+        --in_flight;
+        if (still_open) idle.push_back(&client);
+      } else if (!still_open && client.busy) {  // an idle connection may be closed at any time
+        ++result.disconnected;
+        --in_flight;
       }
-      if (stays) continue;
-      idle.erase(std::remove(idle.begin(), idle.end(), &asker), idle.end());
-      close(asker.line.fd);
-      asker.line.fd = -1;
-      if (!over) open();
+      if (still_open) continue;
+      idle.erase(std::remove(idle.begin(), idle.end(), &client), idle.end());
+      close(client.connection.fd);
+      client.connection.fd = -1;
+      if (!finished) open();
     }
   }
   result.seconds = raw::Now() - began;
-  for (const auto& asker : askers)
-    if (asker->line.fd >= 0) close(asker->line.fd);
+  for (const auto& client : clients)
+    if (client->connection.fd >= 0) close(client->connection.fd);
   close(epoll);
   return result;
 }
--- a/lab/capacity/players.h
+++ b/lab/capacity/players.h
@@ -1,5 +1,5 @@
-// The three that a measurement of capacity needs, each for a process and a core of its own: a bare forwarder
-// in the relay's place, an endpoint that answers at once, and a client that asks as fast or as often as told.
+// The three programs of a capacity measurement besides the relay, each meant for its own process and core: a
+// bare forwarder in place of the relay, an endpoint that answers immediately, and a load generator.
 #pragma once
 
 #include <netinet/in.h>
@@ -12,34 +12,37 @@
 
 namespace opalroute::lab {
 
-// Answers each message with 202 and passes it on by a call on a kept connection: no journal, no decisions, no
-// limits, no timers. Runs until the process ends.
+// Answers each request with 202 and forwards it to the endpoint on a persistent connection: no journal, no
+// routing decisions, no rate limits, no timers. Runs until the process ends.
 [[noreturn]] void RunForwarder(int listener, const sockaddr_in& endpoint);
 
-struct SinkCounts {  // shared with the measuring process
+struct EndpointState {  // in memory shared with the measuring process
   std::atomic<long> calls{0};
-  std::atomic<bool> holds{false};  // takes calls and answers none
+  std::atomic<bool> withhold_responses{false};  // reads calls without answering them
 };
-// An endpoint: answers 200 at once. Runs until the process ends.
-[[noreturn]] void RunSink(int listener, SinkCounts& counts);
+// An endpoint that answers 200 immediately. Runs until the process ends.
+[[noreturn]] void RunEndpoint(int listener, EndpointState& state);
 
-struct DriverPlan {
-  sockaddr_in to{};
+struct LoadPlan {
+  sockaddr_in target{};
   int connections = 64;
   double seconds = 3;
-  double rate = 0;  // messages a second, open loop; 0: each connection asks again as soon as it is answered
-  long most = 0;    // messages; 0: no end but the time
-  int destinations = 1;  // numbered from 1, drawn evenly
+  // Requests per second, open loop; 0: closed loop, each connection sends again as soon as it is answered.
+  double rate = 0;
+  long max_requests = 0;  // 0: limited by time only
+  int destinations = 1;   // numbered from 1, used in turn
   std::string message_class;
-  std::string id_prefix;  // of X-Txn
-  double remaining = 30;  // seconds
+  std::string id_prefix;       // of the request ids (X-Txn)
+  double remaining_time = 30;  // seconds (X-Remaining-Ms)
 };
-struct DriverResult {
-  long asked = 0, taken = 0, refused = 0, broken = 0;
+struct LoadResult {
+  // `disconnected`: requests whose connection was closed before they were answered.
+  long sent = 0, accepted = 0, rejected = 0, disconnected = 0;
   double seconds = 0;
-  // Closed loop: from the request's last byte; open: from when it was due. To the answer's last byte.
-  LatencyHistogram answer_time;
+  // Of accepted requests, from when they were sent (closed loop) or due (open loop) until the complete
+  // response.
+  LatencyHistogram response_time;
 };
-DriverResult Drive(const DriverPlan& plan);
+LoadResult GenerateLoad(const LoadPlan& plan);
 
 }  // namespace opalroute::lab
--- a/lab/capacity/raw.cpp
+++ b/lab/capacity/raw.cpp
@@ -14,7 +14,7 @@
 
 namespace opalroute::lab::raw {
 
-std::size_t WholeMessage(std::string_view bytes) {
+std::size_t CompleteMessageLength(std::string_view bytes) {
   const std::size_t end = bytes.find("\r\n\r\n");
   if (end == std::string_view::npos) return 0;
   std::size_t body = 0;
@@ -28,7 +28,7 @@
 
 [[noreturn]] void Fail(const char* what) { throw std::system_error(errno, std::generic_category(), what); }
 
-void NoDelay(int fd) {
+void DisableNagle(int fd) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
@@ -37,7 +37,7 @@
 
 int Listen(const sockaddr_in& at) {
   const int fd = net::OpenListener(at);
-  NoDelay(fd);  // accepted sockets inherit it
+  DisableNagle(fd);  // accepted sockets inherit it
   return fd;
 }
 
@@ -45,11 +45,11 @@
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0 || connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof(to)) != 0) Fail("connect");
   fcntl(fd, F_SETFL, O_NONBLOCK);
-  NoDelay(fd);
+  DisableNagle(fd);
   return fd;
 }
 
-void Watch(int epoll, int fd, void* data) {
+void AddToEpoll(int epoll, int fd, void* data) {
   epoll_event event{};
   event.events = EPOLLIN | EPOLLRDHUP | EPOLLET;
   event.data.ptr = data;
--- a/lab/capacity/raw.h
+++ b/lab/capacity/raw.h
@@ -1,5 +1,5 @@
-// The barest way to move HTTP messages over epoll: what the relay's cost is held against. Well-formed traffic
-// of the laboratory's own only; it checks nothing.
+// Minimal functions to transfer HTTP messages over epoll, for the baseline against which the relay's cost is
+// measured. They validate nothing and are meant only for well-formed traffic of the laboratory itself.
 #pragma once
 
 #include <netinet/in.h>
@@ -11,18 +11,19 @@
 
 namespace opalroute::lab::raw {
 
-// The length of the first whole message in these bytes, head and body; 0: it is not whole yet.
-std::size_t WholeMessage(std::string_view bytes);
+// The length, head and body, of the message that these bytes begin with; 0 if it is not complete yet.
+std::size_t CompleteMessageLength(std::string_view bytes);
 
-// Throw std::system_error.
-int Listen(const sockaddr_in& at);          // non-blocking
-int Connect(const sockaddr_in& to);         // connects at once, as loopback does; then non-blocking
-void Watch(int epoll, int fd, void* data);  // for reading, edge-triggered
-double Now();                               // monotonic seconds
+// These throw std::system_error.
+int Listen(const sockaddr_in& at);   // non-blocking
+int Connect(const sockaddr_in& to);  // connects while blocking (immediate on loopback), then non-blocking
+void AddToEpoll(int epoll, int fd, void* data);  // for reading, edge-triggered
+double Now();                                    // monotonic clock, seconds
 
-// Reads all there is and appends it. False: the other side has ended.
+// Reads everything available and appends it. False: the other side has closed the connection, or a read
+// failed.
 bool ReadAll(int fd, std::string& to);
-// Writes what fits into the socket at once; the messages here always do. False: it did not.
+// Writes in one call; the messages here always fit into the socket's buffer. False if not all was written.
 bool WriteAll(int fd, std::string_view bytes);
 
 }  // namespace opalroute::lab::raw
--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kLongest = 65535, kWithoutEdns = 512;
+constexpr std::size_t kMaxMessageSize = 65535, kMaxUdpSizeWithoutEdns = 512;
 
-std::string Framed(const std::string& message) {
+std::string AddLengthPrefix(const std::string& message) {
   return std::string{static_cast<char>(message.size() >> 8), static_cast<char>(message.size() & 0xff)} +
          message;
 }
@@ -24,7 +24,7 @@
  public:
   explicit Session(NameServer& server) : server_(server) {}
   bool Open(int fd) {
-    connection_ = net::Connection::Adopt(server_.loop_, fd, *this, 2 * kLongest, 4 * kLongest);
+    connection_ = net::Connection::Adopt(server_.loop_, fd, *this, 2 * kMaxMessageSize, 4 * kMaxMessageSize);
     return connection_ != nullptr;
   }
   void Shut() { connection_->Close(); }
@@ -32,9 +32,9 @@
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
     while (!in.empty()) {
-      const std::string_view piece = in.Front();
-      bytes_ += piece;
-      in.Consume(piece.size());
+      const std::string_view front = in.Front();
+      bytes_ += front;
+      in.Consume(front.size());
     }
     while (bytes_.size() >= 2) {
       const std::size_t length = static_cast<std::size_t>(static_cast<unsigned char>(bytes_[0])) << 8 |
@@ -48,7 +48,7 @@
   void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Drop(*this); }
 
  private:
-  // False: the connection is no more.
+  // Returns false if the connection has been dropped.
   bool Answer(const std::string& bytes) {
     const auto decoded = dns::Decode(bytes);
     const auto* query = std::get_if<dns::Message>(&decoded);
@@ -56,10 +56,10 @@
       server_.sessions_.Drop(*this);
       return false;
     }
-    ++server_.tcp_questions_;
-    const Entry& entry = server_.EntryFor(*query);
+    ++server_.tcp_queries_;
+    const Entry& entry = server_.FindEntry(*query);
     if (server_.silent_) return true;
-    const std::string whole = Framed(server_.AnswerTo(*query, entry, true));
+    const std::string whole = AddLengthPrefix(server_.BuildAnswer(*query, entry, true));
     switch (entry.tcp) {
       case Entry::Tcp::kWhole:
         connection_->Write(whole);
@@ -84,14 +84,15 @@
 };
 
 NameServer::NameServer(net::EventLoop& loop) : loop_(loop), sessions_(loop) {
-  unknown_.rcode = dns::Rcode::kNxDomain;
+  nx_domain_.rcode = dns::Rcode::kNxDomain;
   const auto any = *net::ParseAddress("127.0.0.1:0");
-  other_ = std::make_unique<net::DatagramSocket>(loop, any, kLongest, [](const sockaddr_in&, std::string) {});
-  // Both protocols want one port: a few tries until one is free for both.
+  other_port_ = std::make_unique<net::DatagramSocket>(loop, any, kMaxMessageSize,
+                                                      [](const sockaddr_in&, std::string) {});
+  // UDP and TCP need the same port number: tries until a free UDP port is free for TCP as well.
   for (int tries = 0; tcp_ == nullptr; ++tries) {
     udp_ = std::make_unique<net::DatagramSocket>(
-        loop, any, kLongest,
-        [this](const sockaddr_in& from, const std::string& bytes) { TakeDatagram(from, bytes); });
+        loop, any, kMaxMessageSize,
+        [this](const sockaddr_in& from, const std::string& bytes) { OnDatagram(from, bytes); });
     try {
       SetTcp(true);
     } catch (const std::system_error&) {
@@ -113,12 +114,12 @@
 
 void NameServer::Set(const dns::Question& question, Entry entry) { zone_[question] = std::move(entry); }
 
-const NameServer::Entry& NameServer::EntryFor(const dns::Message& query) const {
+const NameServer::Entry& NameServer::FindEntry(const dns::Message& query) const {
   const auto it = zone_.find(query.questions[0]);
-  return it == zone_.end() ? unknown_ : it->second;
+  return it == zone_.end() ? nx_domain_ : it->second;
 }
 
-std::string NameServer::AnswerTo(const dns::Message& query, const Entry& entry, bool tcp) const {
+std::string NameServer::BuildAnswer(const dns::Message& query, const Entry& entry, bool tcp) const {
   dns::Message answer;
   answer.id = query.id;
   answer.response = answer.recursion_available = true;
@@ -132,39 +133,40 @@
   answer.authority = entry.authority;
   if (query.edns_udp_size) answer.edns_udp_size = 1232;
   std::string bytes = dns::Encode(answer);
-  const std::size_t most = std::max<std::size_t>(kWithoutEdns, query.edns_udp_size.value_or(0));
-  if (!tcp && (entry.truncated || bytes.size() > most)) {
-    // What fits, as servers do: a part that must not be taken for the whole.
-    while (!answer.answers.empty() && dns::Encode(answer).size() > most) answer.answers.pop_back();
+  const std::size_t max_size = std::max<std::size_t>(kMaxUdpSizeWithoutEdns, query.edns_udp_size.value_or(0));
+  if (!tcp && (entry.truncated || bytes.size() > max_size)) {
+    // Includes the records that fit, less one, as real servers include some: a client must not treat them as
+    // the whole answer.
+    while (!answer.answers.empty() && dns::Encode(answer).size() > max_size) answer.answers.pop_back();
     if (!answer.answers.empty()) answer.answers.pop_back();
     answer.truncated = true;
     bytes = dns::Encode(answer);
   }
   if (entry.fault == Entry::Fault::kUpperCase) {
     constexpr std::size_t kHeader = 12;
-    const std::size_t ends = kHeader + query.questions[0].name.wire().size();
-    for (std::size_t i = kHeader; i < ends; ++i)
+    const std::size_t end = kHeader + query.questions[0].name.wire().size();
+    for (std::size_t i = kHeader; i < end; ++i)
       bytes[i] = static_cast<char>(std::toupper(static_cast<unsigned char>(bytes[i])));
   }
   return bytes;
 }
 
-void NameServer::Later(net::Seconds delay, std::function<void()> then) {
-  if (delay <= 0) return then();
-  loop_.At(loop_.Now() + delay, [alive = std::weak_ptr<bool>(alive_), then = std::move(then)] {
-    if (!alive.expired()) then();
+void NameServer::RunAfter(net::Seconds delay, std::function<void()> action) {
+  if (delay <= 0) return action();
+  loop_.At(loop_.Now() + delay, [alive = std::weak_ptr<bool>(alive_), action = std::move(action)] {
+    if (!alive.expired()) action();
   });
 }
 
-void NameServer::TakeDatagram(const sockaddr_in& from, const std::string& bytes) {
+void NameServer::OnDatagram(const sockaddr_in& from, const std::string& bytes) {
   const auto decoded = dns::Decode(bytes);
   const auto* query = std::get_if<dns::Message>(&decoded);
   if (query == nullptr || query->questions.size() != 1) return;
   ++datagrams_;
-  const Entry& entry = EntryFor(*query);
+  const Entry& entry = FindEntry(*query);
   if (silent_ || entry.fault == Entry::Fault::kSilent) return;
-  const std::string answer = AnswerTo(*query, entry, false);
-  Later(entry.delay, [this, from, answer, query = *query, fault = entry.fault] {
+  const std::string answer = BuildAnswer(*query, entry, false);
+  RunAfter(entry.delay, [this, from, answer, query = *query, fault = entry.fault] {
     dns::Message forged = query;
     forged.response = true;
     if (fault == Entry::Fault::kWrongId) {
@@ -176,7 +178,7 @@
     } else if (fault == Entry::Fault::kGarbage) {
       udp_->Send(from, answer.substr(0, answer.size() / 2));
     } else if (fault == Entry::Fault::kWrongSource) {
-      other_->Send(from, answer);
+      other_port_->Send(from, answer);
       return;
     }
     udp_->Send(from, answer);
--- a/lab/dns/name_server.h
+++ b/lab/dns/name_server.h
@@ -1,5 +1,5 @@
-// A stand-in name server on loopback, UDP and TCP on one port: a zone of its own, and every way to misbehave
-// that a resolver has to bear. Written from RFC 1035 and its successors.
+// A fake name server on loopback, with UDP and TCP on the same port: it answers from a configurable zone and
+// can simulate the faults that a resolver must tolerate. Implements RFC 1035 and its successors.
 #pragma once
 
 #include <map>
@@ -17,7 +17,7 @@
 
 class NameServer {
  public:
-  // How it answers a question, by datagram and by TCP.
+  // The answer to one question, over UDP and TCP.
   struct Entry {
     std::vector<dns::Record> answers, authority;
     dns::Rcode rcode = dns::Rcode::kNoError;
@@ -25,15 +25,15 @@
     enum class Fault {
       kNone,
       kSilent,
-      kWrongId,        // a forged answer comes before the true one
-      kWrongQuestion,  // the same
-      kWrongSource,    // from another port, and nothing else
-      kGarbage,        // bytes that are no message, and then the true answer
-      kNoEdns,         // FORMERR to a question with EDNS0
-      kUpperCase       // the name comes back in capitals
+      kWrongId,        // a forged answer with another id, then the true one
+      kWrongQuestion,  // a forged answer to another question, then the true one
+      kWrongSource,    // only an answer from another port
+      kGarbage,        // a truncated, undecodable answer, then the true one
+      kNoEdns,         // FORMERR to a query with EDNS0
+      kUpperCase       // the answer repeats the name in upper case
     } fault = Fault::kNone;
     enum class Tcp { kWhole, kRefuses, kClosesAtOnce, kHalf, kTwice } tcp = Tcp::kWhole;
-    bool truncated = false;  // by datagram, however short
+    bool truncated = false;  // over UDP, regardless of the answer's length
   };
 
   explicit NameServer(net::EventLoop& loop);
@@ -41,27 +41,27 @@
 
   sockaddr_in address() const { return udp_->address(); }
   void Set(const dns::Question& question, Entry entry);
-  void Remove(const dns::Question& question) { zone_.erase(question); }  // 'no such name' from then on
-  void SetSilent(bool silent) { silent_ = silent; }                      // whatever it is asked
-  void SetTcp(bool open);                                                // its TCP port, from open to closed
-  long datagrams() const { return datagrams_; }                          // questions that came
-  long tcp_questions() const { return tcp_questions_; }
+  void Remove(const dns::Question& question) { zone_.erase(question); }  // NXDOMAIN from then on
+  void SetSilent(bool silent) { silent_ = silent; }                      // true: answers no query
+  void SetTcp(bool open);                                                // opens or closes the TCP port
+  long datagrams() const { return datagrams_; }                          // queries received over UDP
+  long tcp_queries() const { return tcp_queries_; }
   long connections() const { return connections_; }
 
  private:
   class Session;
-  std::string AnswerTo(const dns::Message& query, const Entry& entry, bool tcp) const;
-  const Entry& EntryFor(const dns::Message& query) const;
-  void TakeDatagram(const sockaddr_in& from, const std::string& bytes);
-  void Later(net::Seconds delay, std::function<void()> then);
+  std::string BuildAnswer(const dns::Message& query, const Entry& entry, bool tcp) const;
+  const Entry& FindEntry(const dns::Message& query) const;
+  void OnDatagram(const sockaddr_in& from, const std::string& bytes);
+  void RunAfter(net::Seconds delay, std::function<void()> action);
 
   net::EventLoop& loop_;
-  std::unique_ptr<net::DatagramSocket> udp_, other_;
+  std::unique_ptr<net::DatagramSocket> udp_, other_port_;
   std::unique_ptr<net::Listener> tcp_;
   std::map<dns::Question, Entry> zone_;
-  Entry unknown_;
+  Entry nx_domain_;
   bool silent_ = false;
-  long datagrams_ = 0, tcp_questions_ = 0, connections_ = 0;
+  long datagrams_ = 0, tcp_queries_ = 0, connections_ = 0;
   Sessions<Session> sessions_;
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/lab/experiments/experiments.h
+++ b/lab/experiments/experiments.h
@@ -1,5 +1,5 @@
-// Experiments of one subsystem each, as commands of opalroute-lab. They print Markdown and return the exit
-// status: 1 if what they claim does not hold.
+// Experiments on single subsystems, run by commands of opalroute-lab. Each prints its results and returns the
+// exit status: 1 if a result fails the experiment's checks.
 #pragma once
 
 #include <cstdint>
@@ -7,30 +7,32 @@
 
 namespace opalroute::lab {
 
-// Relays that start while their partner is shut, with and without learning, medians over seeds.
-int LearningTable(int seeds);
+// A relay that starts while its partner is down, with and without state transfer: medians over seeds.
+int RunStateTransferExperiment(int seeds);
 
-// One snapshot of so many destinations from process to process: time, bytes, the donor's CPU and pauses.
-int SnapshotTable(int destinations, int runs);
+// Transfers a snapshot of `destinations` destinations between two processes: time, bytes, and the donor's CPU
+// time and pauses.
+int RunSnapshotExperiment(int destinations, int runs);
 
-// SRV beside the partner list, over so many replaced machines; what names and a large answer cost.
-int SrvTable(int changes);
+// Compares the endpoint list alone with the list and SRV records while `changes` machines are replaced;
+// measures the cost of many SRV names and of a large answer.
+int RunSrvExperiment(int changes);
 
-// So many scripts of faults (lab/script.h), the first drawn from that seed, so many at once.
-int ScriptTable(std::uint64_t first, int count, int jobs);
+// Runs `count` random fault scripts (lab/script.h) with consecutive seeds, `jobs` in parallel.
+int RunScripts(std::uint64_t first_seed, int count, int jobs);
 
-struct SoakOrder {
-  std::uint64_t first = 1;  // seed
-  int count = 1, jobs = 1;
-  std::string program, library;  // as SoakOptions has them
-  std::string folder;            // of all runs; what was sound is removed again
+struct SoakBatch {
+  std::uint64_t first_seed = 1;
+  int count = 1, jobs = 1;             // consecutive seeds; jobs run in parallel
+  std::string program, fault_library;  // as in SoakOptions
+  std::string folder;                  // has a folder per seed, removed if that seed passes
 };
 
-// Plays the soak (lab/soak/soak.h). Returns 1 if a seed broke a rule or could not be played, 3 if one is
-// void.
-int SoakTable(const SoakOrder& order);
+// Runs soak seeds (lab/soak/soak.h). Returns 1 if a seed has a breach or a crash or could not be run, else 3
+// if one is void.
+int RunSoakBatch(const SoakBatch& batch);
 
-// What the relays' logs under a run's folder say of one message, line by line.
-std::string FollowMessage(const std::string& folder, const std::string& id);
+// The log lines of all relays under a run's folder that mention the message.
+std::string FindMessageInLogs(const std::string& folder, const std::string& id);
 
 }  // namespace opalroute::lab
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -22,15 +22,15 @@
 constexpr int kRelays = 2;
 constexpr int kEndpoints = 2;
 constexpr long long kDestination = 7;
-constexpr int kClump = 40;  // messages that the newcomer finds at its start: what the partner takes in 1.3 s
-constexpr Seconds kShutAfter = 4, kOpensAfter = 14, kEndsAfter = 34;
-const std::map<std::string, std::pair<Seconds, double>> kClasses = {  // aim and worth
-    {"board-status", {0.8, 1}},
-    {"notice-order", {2, 1}},
-    {"payment", {2, 3}}};
-
-// The settings of a deployment like the operators': 2 relays, rough ratings, retries allowed by class.
-json SettingsOf(int me, bool rated) {
+constexpr int kInitialBurst = 40;  // requests due at the new relay's start: the partner's capacity for 1.3 s
+constexpr Seconds kOutageStart = 4, kOutageEnd = 14, kRunEnd = 34;  // from the start of the run
+// Latency objective and priority weight.
+const std::map<std::string, std::pair<Seconds, double>> kClasses = {
+    {"board-status", {0.8, 1}}, {"notice-order", {2, 1}}, {"payment", {2, 3}}};
+
+// Settings like those of the operators' deployments: 2 relays, approximate weights, retries depending on the
+// class.
+json RelaySettings(int me, bool capacity_known) {
   json settings = {
       {"balancers", kRelays},
       {"me", me},
@@ -58,7 +58,7 @@
         {"overloadForS", 2},
         {"rampTimeS", 13}}},
       {"tickS", 0.005},
-      {"weightKind", rated ? "rough" : "none"}};
+      {"weightKind", capacity_known ? "rough" : "none"}};
   settings["classes"] = json::array();
   settings["classes"].push_back({{"name", "board-status"},
                                  {"aimS", 0.8},
@@ -85,31 +85,31 @@
   return settings;
 }
 
-class World {
+class Experiment {
  public:
-  World(const LearningRun& run, std::string folder)
-      : run_(run), folder_(std::move(folder)), draw_(run.seed), loop_(clock_) {
+  Experiment(const StateTransferRun& run, std::string folder)
+      : run_(run), folder_(std::move(folder)), random_(run.seed), loop_(clock_) {
     start_ = clock_.Now();
     PartnerSettings partner;
     partner.lane.limit = 30;
     partner.lane.window = 1;
     partner.lane.latency_cv = 0.3;
     partner.lane.refused_count = false;
-    partner.lane.overload_slack = 0;  // no chance is allowed for
+    partner.lane.overload_slack = 0;  // no tolerance for random variation
     partner.seed = run.seed;
     if (run.outage) {
-      partner.shut_from = start_ + kShutAfter;
-      partner.shut_to = start_ + kOpensAfter;
+      partner.shut_from = start_ + kOutageStart;
+      partner.shut_to = start_ + kOutageEnd;
     }
     partner_ = std::make_unique<Partner>(loop_, partner, kEndpoints, kRelays);
-    // The newcomer starts between 5 s before the partner opens and 2 s after.
-    newcomer_at_ = start_ + kOpensAfter + std::uniform_real_distribution<double>(-5, 2)(draw_);
+    // The new relay starts between 5 s before the partner's recovery and 2 s after it.
+    new_relay_at_ = start_ + kOutageEnd + std::uniform_real_distribution<double>(-5, 2)(random_);
     for (int i = 0; i < kRelays; ++i) {
       LoadSettings load;
       load.rate = i == 0 ? 6 : 8;
-      load.clump = i == 0 ? 0 : kClump;
-      load.from = i == 0 ? start_ : newcomer_at_;
-      load.to = start_ + kEndsAfter - 8;
+      load.clump = i == 0 ? 0 : kInitialBurst;
+      load.from = i == 0 ? start_ : new_relay_at_;
+      load.to = start_ + kRunEnd - 8;
       load.destinations = {kDestination};
       load.seed = run.seed * 10 + static_cast<std::uint64_t>(i);
       load.prefix = i == 0 ? "a" : "b";
@@ -118,16 +118,17 @@
     for (int i = 0; i < kRelays; ++i) peer_ports_.push_back(FreeDatagramPort());
   }
 
-  LearningResult Play() {
+  StateTransferResult Run() {
     Start(0);
-    PlayUntil(loop_, clock_, newcomer_at_);
+    PlayUntil(loop_, clock_, new_relay_at_);
     Start(1);
-    PlayUntil(loop_, clock_, start_ + kEndsAfter);
-    return Reckon();
+    PlayUntil(loop_, clock_, start_ + kRunEnd);
+    return Evaluate();
   }
 
  private:
-  // Bound for a moment only: relays name one another's addresses before they run.
+  // The port is bound only briefly: each relay's configuration needs the addresses of both before either
+  // runs.
   std::string FreeDatagramPort() {
     net::DatagramSocket probe(loop_, *net::ParseAddress("127.0.0.1:0"), 256,
                               [](const sockaddr_in&, std::string) {});
@@ -144,7 +145,7 @@
                  {"limits", {{"sockets", 1024}, {"disk_mb", 3}}},
                  {"peer_listen", peer_ports_[static_cast<std::size_t>(relay)]},
                  {"peers", peer_ports_},
-                 {"settings", SettingsOf(relay, run_.rated)}};
+                 {"settings", RelaySettings(relay, run_.capacity_known)}};
     file["known"] = {{"generation", 1}, {"reset", true}, {"instances", json::array()}};
     for (int i = 0; i < kEndpoints; ++i)
       file["known"]["instances"].push_back({{"instanceId", "e" + std::to_string(i)},
@@ -161,77 +162,79 @@
 
   void Start(int relay) {
     Operator settings;
-    using Carrier = LearningRun::Carrier;
-    if (run_.carrier == Carrier::kNotes) settings.learn.notes = true;
-    if (run_.carrier == Carrier::kTcp && relay == 0)
+    using Transfer = StateTransferRun::Transfer;
+    if (run_.transfer == Transfer::kDatagrams) settings.learn.notes = true;
+    if (run_.transfer == Transfer::kTcp && relay == 0)
       settings.learn.listen = *net::ParseAddress("127.0.0.1:0");
-    if (run_.carrier == Carrier::kTcp && relay == 1)
+    if (run_.transfer == Transfer::kTcp && relay == 1)
       settings.learn.from = {*relays_[0]->state_transfer()->snapshot_address()};
-    if (run_.carrier == Carrier::kState) settings.learn.state = true;
+    if (run_.transfer == Transfer::kStateFolder) settings.learn.state = true;
     configs_.push_back(std::make_unique<Config>(ConfigOf(relay)));
-    if (run_.carrier == Carrier::kState && relay == 1 && fs::exists(folder_ + "/0/learned"))
-      fs::copy_file(folder_ + "/0/learned", folder_ + "/1/learned");  // as if it were this one's earlier life
+    if (run_.transfer == Transfer::kStateFolder && relay == 1 && fs::exists(folder_ + "/0/learned"))
+      fs::copy_file(folder_ + "/0/learned",
+                    folder_ + "/1/learned");  // as if the relay had saved it itself before a restart
     relays_.push_back(std::make_unique<Relay>(loop_, *configs_.back(), settings));
     loads_[static_cast<std::size_t>(relay)]->SetRelay(relays_.back()->address());
   }
 
-  bool Noticed(const std::string& id) const {
+  bool HasNotification(const std::string& id) const {
     return std::any_of(platforms_.begin(), platforms_.end(),
                        [&](const auto& platform) { return platform->notices().count(id) > 0; });
   }
 
-  LearningResult Reckon() const {
-    LearningResult r;
+  StateTransferResult Evaluate() const {
+    StateTransferResult r;
     const PartnerModel& model = partner_->model();
-    const Seconds opens = run_.outage ? start_ + kOpensAfter : newcomer_at_;
-    r.load.assign(16, 0);
+    const Seconds recovery = run_.outage ? start_ + kOutageEnd : new_relay_at_;
+    r.calls_by_second.assign(16, 0);
     for (const PartnerModel::Call& call : model.calls()) {
-      const bool newcomer = call.relay == 1;
-      if (newcomer && call.at >= opens && call.at < opens + 2) ++r.newcomer_calls;
-      if (newcomer && call.at < opens) ++r.newcomer_shut;
-      if (newcomer && call.wait_since > 0 && call.wait_since < newcomer_at_) ++r.in_wait;
-      const auto second = static_cast<int>(call.at - opens);
-      if (call.at >= opens && second < static_cast<int>(r.load.size()))
-        ++r.load[static_cast<std::size_t>(second)];
+      const bool by_new_relay = call.relay == 1;
+      if (by_new_relay && call.at >= recovery && call.at < recovery + 2) ++r.new_relay_calls;
+      if (by_new_relay && call.at < recovery) ++r.new_relay_calls_in_outage;
+      if (by_new_relay && call.wait_since > 0 && call.wait_since < new_relay_at_) ++r.new_relay_calls_in_wait;
+      const auto second = static_cast<int>(call.at - recovery);
+      if (call.at >= recovery && second < static_cast<int>(r.calls_by_second.size()))
+        ++r.calls_by_second[static_cast<std::size_t>(second)];
     }
-    r.own_breaches = model.Count(PartnerModel::BreachKind::kInWait);
+    r.calls_in_own_wait = model.Count(PartnerModel::BreachKind::kInWait);
     r.collapses = model.Count(PartnerModel::BreachKind::kCollapse);
-    r.twice = model.Count(PartnerModel::BreachKind::kTwice);
+    r.duplicate_payments = model.Count(PartnerModel::BreachKind::kTwice);
     for (const auto& load : loads_) {
       for (const auto& [id, message] : load->messages()) {
         const auto delivered = partner_->delivered().find(id);
-        const bool ended = delivered != partner_->delivered().end() || Noticed(id);
+        const bool ended = delivered != partner_->delivered().end() || HasNotification(id);
         if (message.status == 202 && !ended) ++r.lost;
-        if (message.due < opens || message.due >= opens + 10) continue;
-        const auto [aim, worth] = kClasses.at(message.message_class);
-        r.asked += worth;
-        if (delivered != partner_->delivered().end() && delivered->second <= message.due + aim)
-          r.worth += worth;
+        if (message.due < recovery || message.due >= recovery + 10) continue;
+        const auto [latency_objective, priority_weight] = kClasses.at(message.message_class);
+        r.weight_due += priority_weight;
+        if (delivered != partner_->delivered().end() && delivered->second <= message.due + latency_objective)
+          r.weight += priority_weight;
       }
     }
     return r;
   }
 
-  const LearningRun run_;
+  const StateTransferRun run_;
   const std::string folder_;
-  std::mt19937_64 draw_;
+  std::mt19937_64 random_;
   Clock clock_;
   net::EventLoop loop_;
-  std::vector<std::unique_ptr<Platform>> platforms_;  // one a relay: each has its own addresses
+  std::vector<std::unique_ptr<Platform>>
+      platforms_;  // one per relay: the partner has a different address for each
   std::unique_ptr<Partner> partner_;
   std::vector<std::unique_ptr<Load>> loads_;
   std::vector<std::string> peer_ports_;
   std::vector<std::unique_ptr<Config>> configs_;
   std::vector<std::unique_ptr<Relay>> relays_;
-  Seconds start_ = 0, newcomer_at_ = 0;
+  Seconds start_ = 0, new_relay_at_ = 0;
 };
 
 }  // namespace
 
-LearningResult RunLearning(const LearningRun& run, const std::string& folder) {
+StateTransferResult RunStateTransfer(const StateTransferRun& run, const std::string& folder) {
   fs::remove_all(folder);
   fs::create_directories(folder);
-  LearningResult result = World(run, folder).Play();
+  StateTransferResult result = Experiment(run, folder).Run();
   fs::remove_all(folder);
   return result;
 }
--- a/lab/experiments/learning_experiment.h
+++ b/lab/experiments/learning_experiment.h
@@ -1,5 +1,5 @@
-// A relay that is started beside a running one while their partner is shut, with and without learning from
-// it.
+// An experiment on state transfer: a second relay is started while the partner of the running one is down,
+// with and without the running relay's state.
 #pragma once
 
 #include <cstdint>
@@ -8,28 +8,31 @@
 
 namespace opalroute::lab {
 
-struct LearningRun {
+struct StateTransferRun {
   std::uint64_t seed = 1;
   bool outage = true;
-  enum class Carrier { kNone, kTcp, kNotes, kState } carrier = Carrier::kNone;
-  bool rated = true;  // the list says what the partner takes
+  // How the new relay gets the state of the running one.
+  enum class Transfer { kNone, kTcp, kDatagrams, kStateFolder } transfer = Transfer::kNone;
+  bool capacity_known = true;  // the endpoint list's weights tell the partner's capacity
 };
 
-struct LearningResult {
-  int newcomer_calls =
-      0;                  // in the first 2 s after the partner opened (no outage: after the newcomer's start)
-  int newcomer_shut = 0;  // sent by it while the partner was shut
-  int in_wait = 0;        // its calls in a wait that was told, to any relay, before it started
-  int own_breaches = 0;   // calls of any relay in a wait that it was told itself
+// "The recovery" is the end of the partner's outage; without an outage, the new relay's start.
+struct StateTransferResult {
+  int new_relay_calls = 0;            // calls of the new relay in the first 2 s after the recovery
+  int new_relay_calls_in_outage = 0;  // calls of the new relay before the recovery
+  // Calls of the new relay during a Retry-After period that began, for any relay, before its start.
+  int new_relay_calls_in_wait = 0;
+  int calls_in_own_wait = 0;  // calls of any relay during a Retry-After period that it was told itself
   int collapses = 0;
-  int twice = 0;          // payments that took effect twice
-  double worth = 0;       // delivered within the aim, of that due in the first 10 s
-  double asked = 0;       // all that was due then
-  int lost = 0;           // taken on, and neither delivered nor ended by a notice at the end
-  std::vector<int> load;  // calls a second that reached the partner, by second after it opened
+  int duplicate_payments = 0;  // payments that took effect twice
+  // Priority weight of the requests due in the first 10 s after the recovery: of all of them, and of those
+  // delivered within their latency objective.
+  double weight_due = 0, weight = 0;
+  int lost = 0;  // requests accepted, but neither delivered nor reported by a failure notification by the end
+  std::vector<int> calls_by_second;  // calls that reached the partner, by second after the recovery
 };
 
-// `folder` is made and removed.
-LearningResult RunLearning(const LearningRun& run, const std::string& folder);
+// `folder` is created for the run and removed at its end.
+StateTransferResult RunStateTransfer(const StateTransferRun& run, const std::string& folder);
 
 }  // namespace opalroute::lab
--- a/lab/experiments/learning_table.cpp
+++ b/lab/experiments/learning_table.cpp
@@ -1,4 +1,4 @@
-// Measures learning from a running instance: medians and worst cases over seeds, with and without it.
+// Measures state transfer from a running relay: medians and extremes over seeds, with and without it.
 #include <spdlog/spdlog.h>
 #include <unistd.h>
 
@@ -15,41 +15,42 @@
 
 namespace {
 
-using opalroute::lab::LearningResult;
-using opalroute::lab::LearningRun;
-using Carrier = LearningRun::Carrier;
+using opalroute::lab::StateTransferResult;
+using opalroute::lab::StateTransferRun;
+using Transfer = StateTransferRun::Transfer;
 
 struct Arm {
   const char* name;
   bool outage;
-  Carrier carrier;
-  bool rated = true;
+  Transfer transfer;
+  bool capacity_known = true;
 };
-const std::vector<Arm> kArms = {{"outage, nothing learnt", true, Carrier::kNone},
-                                {"outage, TCP", true, Carrier::kTcp},
-                                {"outage, notes", true, Carrier::kNotes},
-                                {"outage, state folder", true, Carrier::kState},
-                                {"outage, limit unknown, nothing learnt", true, Carrier::kNone, false},
-                                {"outage, limit unknown, TCP", true, Carrier::kTcp, false},
-                                {"outage, limit unknown, notes", true, Carrier::kNotes, false},
-                                {"outage, limit unknown, state folder", true, Carrier::kState, false},
-                                {"no outage, nothing learnt", false, Carrier::kNone},
-                                {"no outage, TCP", false, Carrier::kTcp},
-                                {"no outage, notes", false, Carrier::kNotes},
-                                {"no outage, state folder", false, Carrier::kState}};
+const std::vector<Arm> kArms = {{"outage, nothing learnt", true, Transfer::kNone},
+                                {"outage, TCP", true, Transfer::kTcp},
+                                {"outage, notes", true, Transfer::kDatagrams},
+                                {"outage, state folder", true, Transfer::kStateFolder},
+                                {"outage, limit unknown, nothing learnt", true, Transfer::kNone, false},
+                                {"outage, limit unknown, TCP", true, Transfer::kTcp, false},
+                                {"outage, limit unknown, notes", true, Transfer::kDatagrams, false},
+                                {"outage, limit unknown, state folder", true, Transfer::kStateFolder, false},
+                                {"no outage, nothing learnt", false, Transfer::kNone},
+                                {"no outage, TCP", false, Transfer::kTcp},
+                                {"no outage, notes", false, Transfer::kDatagrams},
+                                {"no outage, state folder", false, Transfer::kStateFolder}};
 
-std::string Spread(std::vector<double> values, const char* form) {
+// Median (least to most), each in the printf format `format`.
+std::string FormatSpread(std::vector<double> values, const char* format) {
   std::sort(values.begin(), values.end());
   char text[96];
-  char both[48];
-  std::snprintf(both, sizeof(both), "%s (%s to %s)", form, form, form);
-  std::snprintf(text, sizeof(text), both, values[values.size() / 2], values.front(), values.back());
+  char whole_format[48];
+  std::snprintf(whole_format, sizeof(whole_format), "%s (%s to %s)", format, format, format);
+  std::snprintf(text, sizeof(text), whole_format, values[values.size() / 2], values.front(), values.back());
   return text;
 }
 
 }  // namespace
 
-int opalroute::lab::LearningTable(int seeds) {
+int opalroute::lab::RunStateTransferExperiment(int seeds) {
   if (std::getenv("LAB_LOG") == nullptr) spdlog::set_level(spdlog::level::off);
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid()))).string();
@@ -61,57 +62,60 @@
       "collapses | own waits broken | payments twice | lost | worth within the aim in 10 s |\n");
   std::printf("|---|---|---|---|---|---|---|---|---|\n");
   bool holds = true;
-  double calm_worth = 0;  // without learning
-  std::vector<std::vector<int>> loads;
+  double weight_without_transfer = 0;  // share delivered in time, without an outage
+  std::vector<std::vector<int>> calls_by_arm;
   for (const Arm& arm : kArms) {
-    std::vector<LearningResult> results;
+    std::vector<StateTransferResult> results;
     for (int seed = 1; seed <= seeds; ++seed)
-      results.push_back(opalroute::lab::RunLearning(
-          {static_cast<std::uint64_t>(seed), arm.outage, arm.carrier, arm.rated}, folder));
-    const auto spread = [&](const std::function<double(const LearningResult&)>& value, const char* form) {
+      results.push_back(opalroute::lab::RunStateTransfer(
+          {static_cast<std::uint64_t>(seed), arm.outage, arm.transfer, arm.capacity_known}, folder));
+    const auto spread = [&](const std::function<double(const StateTransferResult&)>& value,
+                            const char* format) {
       std::vector<double> values;
-      for (const LearningResult& r : results) values.push_back(value(r));
-      return Spread(values, form);
+      for (const StateTransferResult& r : results) values.push_back(value(r));
+      return FormatSpread(values, format);
     };
-    const auto sum = [&](int LearningResult::*field) {
+    const auto sum = [&](int StateTransferResult::*field) {
       int total = 0;
-      for (const LearningResult& r : results) total += r.*field;
+      for (const StateTransferResult& r : results) total += r.*field;
       return total;
     };
     std::printf("| %s | %s | %s | %s | %d | %d | %d | %d | %s |\n", arm.name,
-                spread([](const auto& r) { return r.newcomer_shut; }, "%.0f").c_str(),
-                spread([](const auto& r) { return r.in_wait; }, "%.0f").c_str(),
-                spread([](const auto& r) { return r.newcomer_calls; }, "%.0f").c_str(),
-                sum(&LearningResult::collapses), sum(&LearningResult::own_breaches),
-                sum(&LearningResult::twice), sum(&LearningResult::lost),
-                spread([](const auto& r) { return r.worth / r.asked; }, "%.3f").c_str());
-    std::vector<int> load(16, 0);
-    for (const LearningResult& r : results)
-      for (std::size_t i = 0; i < load.size(); ++i) load[i] += r.load[i];
-    loads.push_back(load);
-    // Without an outage most is in time, the clump at the start aside: else the runs are void and prove
-    // nothing.
-    const bool sound = std::all_of(results.begin(), results.end(), [&arm](const LearningResult& r) {
-      return r.asked > 50 && (arm.outage || r.worth > 0.5 * r.asked);
+                spread([](const auto& r) { return r.new_relay_calls_in_outage; }, "%.0f").c_str(),
+                spread([](const auto& r) { return r.new_relay_calls_in_wait; }, "%.0f").c_str(),
+                spread([](const auto& r) { return r.new_relay_calls; }, "%.0f").c_str(),
+                sum(&StateTransferResult::collapses), sum(&StateTransferResult::calls_in_own_wait),
+                sum(&StateTransferResult::duplicate_payments), sum(&StateTransferResult::lost),
+                spread([](const auto& r) { return r.weight / r.weight_due; }, "%.3f").c_str());
+    std::vector<int> calls_by_second(16, 0);
+    for (const StateTransferResult& r : results)
+      for (std::size_t i = 0; i < calls_by_second.size(); ++i) calls_by_second[i] += r.calls_by_second[i];
+    calls_by_arm.push_back(calls_by_second);
+    // Without an outage most requests are in time, except for the initial burst; otherwise the runs are void
+    // and prove nothing.
+    const bool valid = std::all_of(results.begin(), results.end(), [&arm](const StateTransferResult& r) {
+      return r.weight_due > 50 && (arm.outage || r.weight > 0.5 * r.weight_due);
     });
-    if (!sound) std::printf("the arm '%s' is void\n", arm.name);
-    holds = holds && sound;
-    const bool clean = sum(&LearningResult::own_breaches) + sum(&LearningResult::twice) == 0;
-    holds = holds && clean;
+    if (!valid) std::printf("the arm '%s' is void\n", arm.name);
+    holds = holds && valid;
+    const bool rules_kept =
+        sum(&StateTransferResult::calls_in_own_wait) + sum(&StateTransferResult::duplicate_payments) == 0;
+    holds = holds && rules_kept;
     if (!arm.outage) {
-      double worth = 0;
-      for (const LearningResult& r : results) worth += r.worth / r.asked / seeds;
-      if (arm.carrier == Carrier::kNone) calm_worth = worth;
-      holds = holds && worth >= calm_worth;
+      double weight = 0;
+      for (const StateTransferResult& r : results) weight += r.weight / r.weight_due / seeds;
+      if (arm.transfer == Transfer::kNone) weight_without_transfer = weight;
+      holds = holds && weight >= weight_without_transfer;
     }
-    if (arm.outage && arm.carrier != Carrier::kNone)
-      holds = holds && sum(&LearningResult::collapses) + sum(&LearningResult::in_wait) == 0;
+    if (arm.outage && arm.transfer != Transfer::kNone)
+      holds = holds &&
+              sum(&StateTransferResult::collapses) + sum(&StateTransferResult::new_relay_calls_in_wait) == 0;
   }
   std::printf("\ncalls at the partner by second after it opened, mean of the seeds:\n\n");
   for (std::size_t arm = 0; arm < kArms.size(); ++arm) {
     if (!kArms[arm].outage) continue;
     std::printf("    %-38s", kArms[arm].name);
-    for (const int calls : loads[arm]) std::printf(" %5.1f", static_cast<double>(calls) / seeds);
+    for (const int calls : calls_by_arm[arm]) std::printf(" %5.1f", static_cast<double>(calls) / seeds);
     std::printf("\n");
   }
   std::printf("\nclaim %s\n", holds ? "holds" : "DOES NOT HOLD");
--- a/lab/experiments/script_table.cpp
+++ b/lab/experiments/script_table.cpp
@@ -1,5 +1,4 @@
-// Plays scripts of faults in simulated time, one after another on each core, and names those that broke a
-// rule.
+// Runs random fault scripts in simulated time, one at a time per job, and lists those with a breach.
 #include <algorithm>
 #include <atomic>
 #include <cstdio>
@@ -18,7 +17,7 @@
 
 namespace {
 
-std::string TextOf(const std::vector<Breach>& breaches) {
+std::string DescribeBreaches(const std::vector<Breach>& breaches) {
   const Breach& b = breaches.front();
   return std::to_string(breaches.size()) + " breaches, the first " + NameOf(b.kind) + " at " +
          std::to_string(b.at) + " s, relay " + std::to_string(b.relay) + ", message " +
@@ -27,42 +26,43 @@
 
 }  // namespace
 
-int ScriptTable(std::uint64_t first, int count, int jobs) {
+int RunScripts(std::uint64_t first_seed, int count, int jobs) {
   std::atomic<int> next{0};
-  std::mutex lock;
-  std::map<std::uint64_t, std::string> broken;  // by seed: its first breach
+  std::mutex mutex;
+  std::map<std::uint64_t, std::string> failures;  // by seed: a description
   long messages = 0, calls = 0, delivered = 0, stages = 0;
-  const auto play = [&] {
+  const auto work = [&] {
     for (int i = next++; i < count; i = next++) {
-      const std::uint64_t seed = first + static_cast<std::uint64_t>(i);
+      const std::uint64_t seed = first_seed + static_cast<std::uint64_t>(i);
       RunResult r;
-      std::string wrong;
+      std::string failure;
       try {
         r = Simulation(ReadScenario(DrawScript(seed)), seed).Run();
-        if (!r.breaches.empty()) wrong = TextOf(r.breaches);
+        if (!r.breaches.empty()) failure = DescribeBreaches(r.breaches);
       } catch (const std::runtime_error& error) {
-        wrong = error.what();
+        failure = error.what();
       }
-      const std::lock_guard<std::mutex> hold(lock);
+      const std::lock_guard<std::mutex> lock(mutex);
       for (const ClassOutcome& c : r.classes) {
         messages += c.asked;
         delivered += c.delivered;
       }
       calls += r.calls;
       stages += static_cast<long>(r.stage_changes.size());
-      if (!wrong.empty()) broken[seed] = wrong;
+      if (!failure.empty()) failures[seed] = failure;
     }
   };
   std::vector<std::thread> threads;
-  for (int i = 0; i < std::max(1, jobs); ++i) threads.emplace_back(play);
+  for (int i = 0; i < std::max(1, jobs); ++i) threads.emplace_back(work);
   for (std::thread& thread : threads) thread.join();
-  for (const auto& [seed, wrong] : broken)
-    std::printf("script %llu: %s\n", static_cast<unsigned long long>(seed), wrong.c_str());
+  for (const auto& [seed, failure] : failures)
+    std::printf("script %llu: %s\n", static_cast<unsigned long long>(seed), failure.c_str());
   std::printf(
       "%d scripts from %llu on: %zu broke a rule; %ld messages, %ld delivered, %ld calls, %ld changes of a "
       "zone's stage\n",
-      count, static_cast<unsigned long long>(first), broken.size(), messages, delivered, calls, stages);
-  return broken.empty() ? 0 : 1;
+      count, static_cast<unsigned long long>(first_seed), failures.size(), messages, delivered, calls,
+      stages);
+  return failures.empty() ? 0 : 1;
 }
 
 }  // namespace opalroute::lab
--- a/lab/experiments/snapshot_table.cpp
+++ b/lab/experiments/snapshot_table.cpp
@@ -1,5 +1,5 @@
-// Measures one snapshot of 20,000 destinations at a real clock: time to learn, bytes, the donor's CPU and its
-// longest pause. Donor and learner are processes of their own.
+// Measures the transfer of a snapshot (20,000 destinations by default) in real time: its duration and size,
+// and the donor's CPU time and longest pause. The donor and the receiver are separate processes.
 #include <spdlog/spdlog.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -24,7 +24,7 @@
 
 using namespace opalroute;
 
-Settings ModuleSettings() {
+Settings RouterSettings() {
   Settings s;
   s.classes.resize(1);
   s.classes[0].latency_objective = 1;
@@ -44,60 +44,63 @@
   return s;
 }
 
-// A module that believes something of every destination: each has told a wait, and has been out.
-class Believer {
+// A request router with state for every destination: each has a Retry-After and a recent failure.
+class FilledRouter {
  public:
-  Believer(int destinations, Seconds now) : courier_(ModuleSettings()) {
+  FilledRouter(int destinations, Seconds now) : router_(RouterSettings()) {
     std::vector<Action> actions;
     ListUpdate list;
     list.scope = ListScope::kComplete;
     for (int i = 1; i <= destinations; ++i)
       list.entries.push_back({static_cast<EndpointId>(i), 0, 0, i, EndpointStatus::kInService, 5});
-    courier_.Handle(now, list, actions);
-    TransferredState learned;
+    router_.Handle(now, list, actions);
+    TransferredState state;
     for (int i = 1; i <= destinations; ++i) {
-      RouteState b;
-      b.destination = i;
-      b.retry_after = 20;
-      b.failure_age = 1;
-      learned.routes.push_back(b);
+      RouteState route;
+      route.destination = i;
+      route.retry_after = 20;
+      route.failure_age = 1;
+      state.routes.push_back(route);
     }
-    courier_.Handle(now, learned, actions);
+    router_.Handle(now, state, actions);
   }
   std::vector<state_transfer::NamedRouteState> Export(Seconds now, std::optional<DestinationId>& from,
-                                                      int most) const {
-    std::vector<state_transfer::NamedRouteState> lanes;
-    for (const RouteState& b : courier_.ExportRouteStates(now, from, most)) lanes.push_back({{}, b});
-    return lanes;
+                                                      int max_count) const {
+    std::vector<state_transfer::NamedRouteState> routes;
+    for (const RouteState& route : router_.ExportRouteStates(now, from, max_count))
+      routes.push_back({{}, route});
+    return routes;
   }
 
  private:
-  RequestRouter courier_;
+  RequestRouter router_;
 };
 
-// A donor's loop with a beat of its own: how late it comes is how long transactions would have been held up.
-void RunDonor(int destinations, int address_to, int report_to) {
+// Runs a donor process that measures the turns of its event loop: its longest one is how long requests would
+// have been delayed.
+void RunDonor(int destinations, int address_fd, int report_fd) {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
-  const Believer believer(destinations, loop.Now());
+  const FilledRouter router(destinations, loop.Now());
   const Limits limits;
   state_transfer::SnapshotServer donor(
       loop, *net::ParseAddress("127.0.0.1:0"), "donor",
-      [&](std::optional<DestinationId>& from, int most) { return believer.Export(loop.Now(), from, most); },
+      [&](std::optional<DestinationId>& from, int max_count) {
+        return router.Export(loop.Now(), from, max_count);
+      },
       limits);
   const sockaddr_in address = donor.address();
-  if (write(address_to, &address, sizeof(address)) != sizeof(address)) _exit(1);
-  constexpr Seconds kFor = 2;
-  const Seconds ends = loop.Now() + kFor;
+  if (write(address_fd, &address, sizeof(address)) != sizeof(address)) _exit(1);
+  constexpr Seconds kDuration = 2;
+  const Seconds end = loop.Now() + kDuration;
   rusage before{};
   getrusage(RUSAGE_SELF, &before);
-  Seconds longest = 0, turn = loop.Now();
-  while (loop.Now() < ends) {
+  Seconds longest = 0, turn_start = loop.Now();
+  while (loop.Now() < end) {
     loop.RunOnce(0.001);
-    // A turn that waits for nothing may take its millisecond; what is above that stood still for the
-    // snapshot.
-    longest = std::max(longest, loop.Now() - turn);
-    turn = loop.Now();
+    // An idle turn may wait for 1 ms; time beyond that was spent on the snapshot.
+    longest = std::max(longest, loop.Now() - turn_start);
+    turn_start = loop.Now();
   }
   rusage after{};
   getrusage(RUSAGE_SELF, &after);
@@ -105,59 +108,59 @@
   const double report[] = {donor.longest_pause(), longest,
                            seconds(after.ru_utime) - seconds(before.ru_utime) + seconds(after.ru_stime) -
                                seconds(before.ru_stime)};
-  _exit(write(report_to, report, sizeof(report)) == sizeof(report) ? 0 : 1);
+  _exit(write(report_fd, report, sizeof(report)) == sizeof(report) ? 0 : 1);
 }
 
 class Collector : public state_transfer::SnapshotClient::Owner {
  public:
   explicit Collector(net::EventLoop& loop) : loop_(loop) {}
-  void OnRouteState(int, const state_transfer::NamedRouteState&, Seconds) override { ++lanes; }
+  void OnRouteState(int, const state_transfer::NamedRouteState&, Seconds) override { ++routes; }
   void OnSnapshotsEnded(const std::vector<state_transfer::SnapshotClient::Report>& reports) override {
     report = reports[0];
     loop_.Stop();
   }
-  int lanes = 0;
+  int routes = 0;
   state_transfer::SnapshotClient::Report report;
 
  private:
   net::EventLoop& loop_;
 };
 
-// How much of what is urgent the two small carriers hold.
-void PrintCarriers() {
-  std::vector<state_transfer::NamedRouteState> lanes;
+// Prints how many routes fit into a datagram and into the state folder's file.
+void PrintSmallTransfers() {
+  std::vector<state_transfer::NamedRouteState> routes;
   for (int i = 0; i < 5000; ++i) {
-    state_transfer::NamedRouteState heard;
-    heard.endpoint = "s-5be2a0" + std::to_string(i % 100);
-    heard.state.destination = i;
-    heard.state.retry_after = 2.5;
-    heard.state.failure_age = 1.25;
-    heard.state.success_age = 9.5;
-    lanes.push_back(heard);
+    state_transfer::NamedRouteState route;
+    route.endpoint = "s-5be2a0" + std::to_string(i % 100);
+    route.state.destination = i;
+    route.state.retry_after = 2.5;
+    route.state.failure_age = 1.25;
+    route.state.success_age = 9.5;
+    routes.push_back(route);
   }
-  state_transfer::Datagram note;
-  note.routes = lanes;
-  const std::size_t apart = state_transfer::EncodeDatagram(note).route_count;
-  for (state_transfer::NamedRouteState& heard : note.routes) heard.endpoint.clear();
-  const std::size_t whole = state_transfer::EncodeDatagram(note).route_count;
+  state_transfer::Datagram datagram;
+  datagram.routes = routes;
+  const std::size_t named_count = state_transfer::EncodeDatagram(datagram).route_count;
+  for (state_transfer::NamedRouteState& route : datagram.routes) route.endpoint.clear();
+  const std::size_t unnamed_count = state_transfer::EncodeDatagram(datagram).route_count;
   const std::string folder =
       (std::filesystem::temp_directory_path() / ("opalroute-lab-" + std::to_string(getpid()))).string();
   std::filesystem::create_directories(folder);
   const state_transfer::SnapshotFile file(folder, Limits().learn_file_bytes);
-  file.Save("n1", 0, lanes);
-  const std::size_t saved = file.Load().routes.size();
+  file.Save("n1", 0, routes);
+  const std::size_t saved_count = file.Load().routes.size();
   std::filesystem::remove_all(folder);
   std::printf(
       "\nlanes in a datagram of %zu bytes, each with a wait, an outage and the latest served call: %zu, or "
       "%zu "
       "where routes are apart and each is named; in the state folder's file, of half of %zu bytes: %zu named "
       "ones\n",
-      state_transfer::kMaxDatagramBytes, whole, apart, Limits().learn_file_bytes, saved);
+      state_transfer::kMaxDatagramBytes, unnamed_count, named_count, Limits().learn_file_bytes, saved_count);
 }
 
 }  // namespace
 
-int opalroute::lab::SnapshotTable(int destinations, int runs) {
+int opalroute::lab::RunSnapshotExperiment(int destinations, int runs) {
   spdlog::set_level(spdlog::level::off);
   std::vector<std::vector<double>> figures(5);
   for (int run = 0; run < runs; ++run) {
@@ -170,20 +173,21 @@
     const net::SystemClock clock;
     net::EventLoop loop(clock);
     Limits limits;
-    Collector got(loop);
-    state_transfer::SnapshotClient learner(loop, {address}, "learner", 5, limits, got);
+    Collector collector(loop);
+    state_transfer::SnapshotClient client(loop, {address}, "learner", 5, limits, collector);
     loop.Run();
     double report[3];
     if (read(report_pipe[0], report, sizeof(report)) != sizeof(report)) return 1;
     int status = 0;
     waitpid(child, &status, 0);
     for (const int fd : {address_pipe[0], address_pipe[1], report_pipe[0], report_pipe[1]}) close(fd);
-    if (got.report.result != state_transfer::SnapshotResult::kComplete || got.lanes != destinations) {
-      std::printf("a run ended %s with %d lanes\n", NameOf(got.report.result), got.lanes);
+    if (collector.report.result != state_transfer::SnapshotResult::kComplete ||
+        collector.routes != destinations) {
+      std::printf("a run ended %s with %d lanes\n", NameOf(collector.report.result), collector.routes);
       return 1;
     }
-    figures[0].push_back(got.report.duration * 1000);
-    figures[1].push_back(static_cast<double>(got.report.bytes) / destinations);
+    figures[0].push_back(collector.report.duration * 1000);
+    figures[1].push_back(static_cast<double>(collector.report.bytes) / destinations);
     figures[2].push_back(report[0] * 1000);
     figures[3].push_back(report[1] * 1000);
     figures[4].push_back(report[2] * 1e6 / destinations);
@@ -200,6 +204,6 @@
     std::printf("| %s | %.3f | %.3f | %.3f |\n", names[i], figures[i][figures[i].size() / 2],
                 figures[i].front(), figures[i].back());
   }
-  PrintCarriers();
+  PrintSmallTransfers();
   return 0;
 }
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -1,5 +1,5 @@
-// SRV beside the partner list: how soon each is heard, what reaches machines that are gone, and what names
-// cost.
+// Compares the endpoint list alone with the list and SRV records: how soon a change takes effect and how many
+// requests go to removed machines. Also measures the cost of SRV names.
 #include <malloc.h>
 
 #include <algorithm>
@@ -24,187 +24,193 @@
 
 namespace {
 
-using State = EndpointRecord::Status;
+using Status = EndpointRecord::Status;
 
 constexpr long long kDestination = 7;
 constexpr int kEndpoints = 4;
-constexpr net::Seconds kBetween = 30;    // changes
-constexpr net::Seconds kDrainLasts = 5;  // from a drain until the machine is gone
-constexpr Range kListLate{1, 4};         // the platform's
-constexpr net::Seconds kMessageEvery = 0.05;
+constexpr net::Seconds kChangeInterval = 30;  // mean; each is drawn from 0.8 to 1.2 times this
+constexpr net::Seconds kDrainDuration = 5;    // from the start of draining to the machine's removal
+constexpr Range kListDelay{1, 4};             // seconds from a change until the platform's list has it
+constexpr net::Seconds kSendInterval = 0.05;
 
-dns::Name NameOf(const std::string& text) { return *dns::Name::Parse(text); }
+dns::Name ParseName(const std::string& text) { return *dns::Name::Parse(text); }
 
-// One destination whose machines are replaced one after the other: drained, gone, and another in its place.
-class Life : private EndpointSource::Listener {
+// Simulates one destination whose machines are replaced one after the other: each is drained, then removed,
+// while a new one serves in its place.
+class ReplacementSimulation : private EndpointSource::Listener {
  public:
-  // lifetime 0: the list alone.
-  Life(std::uint32_t lifetime, std::uint64_t seed)
-      : lifetime_(lifetime), random_(seed, 8), loop_(clock_), server_(loop_) {
+  // `ttl`: of the SRV records, in seconds; 0: the list alone.
+  ReplacementSimulation(std::uint32_t ttl, std::uint64_t seed)
+      : ttl_(ttl), random_(seed, 8), loop_(clock_), server_(loop_) {
     config_.zones = {"z0"};
     config_.kinds = {"plain"};
     config_.settings.kinds = {{false, 1}};
     settings_.dns.servers = {server_.address()};
-    if (lifetime > 0) settings_.srv_names = {{"_api._tcp.example", kDestination}};
+    if (ttl > 0) settings_.srv_names = {{"_api._tcp.example", kDestination}};
     for (int machine = 0; machine < 256; ++machine)
       settings_.srv_own.emplace_back(kDestination, AddressOf(machine));
-    for (next_ = 0; next_ < kEndpoints; ++next_) serving_.push_back(next_);
+    for (next_machine_ = 0; next_machine_ < kEndpoints; ++next_machine_) serving_.push_back(next_machine_);
     PublishZone();
-    pool_ = std::make_unique<MergedEndpointSource>(loop_, config_, settings_,
-                                                   static_cast<EndpointSource::Listener&>(*this));
+    source_ = std::make_unique<MergedEndpointSource>(loop_, config_, settings_,
+                                                     static_cast<EndpointSource::Listener&>(*this));
     EndpointListUpdate list;
     list.complete = true;
-    for (const int machine : serving_) list.endpoints.push_back(MemberOf(machine, State::kInService));
-    OnEndpointList(pool_->ApplyCached(list));
+    for (const int machine : serving_) list.endpoints.push_back(EndpointFor(machine, Status::kInService));
+    OnEndpointList(source_->ApplyCached(list));
   }
 
-  void Play(int changes) {
-    Message();
+  void Run(int changes) {
+    SendRequest();
     PlayUntil(loop_, clock_, clock_.Now() + 5);
     for (int i = 0; i < changes; ++i) {
-      Replace(static_cast<std::size_t>(random_(kEndpoints)));
-      PlayUntil(loop_, clock_, clock_.Now() + kBetween * (0.8 + 0.4 * DrawUnit(random_)));
+      ReplaceMachine(static_cast<std::size_t>(random_(kEndpoints)));
+      PlayUntil(loop_, clock_, clock_.Now() + kChangeInterval * (0.8 + 0.4 * DrawUnit(random_)));
     }
   }
 
-  std::vector<double> drains, arrivals;  // seconds from the change until it was heard
-  long messages = 0, gone = 0;           // sent to somebody, and to a machine that was gone
+  std::vector<double> drain_delays, arrival_delays;  // seconds from a change until the source reported it
+  long requests = 0, requests_to_removed = 0;        // sent in all, and to removed machines
 
  private:
   static sockaddr_in AddressOf(int machine) {
     return *net::ParseAddress("127.0.1." + std::to_string(machine) + ":80");
   }
-  static EndpointRecord MemberOf(int machine, State state) {
-    return {"m" + std::to_string(machine), "z0", "plain", AddressOf(machine), kDestination, state, 0};
+  static EndpointRecord EndpointFor(int machine, Status status) {
+    return {"m" + std::to_string(machine), "z0", "plain", AddressOf(machine), kDestination, status, 0};
   }
   void PublishZone() {
     NameServer::Entry entry;
     for (const int machine : serving_) {
       const std::string host = "h" + std::to_string(machine) + ".example";
-      entry.answers.push_back({NameOf("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, lifetime_,
-                               dns::Srv{1, 1, 80, NameOf(host)}});
+      entry.answers.push_back({ParseName("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, ttl_,
+                               dns::Srv{1, 1, 80, ParseName(host)}});
       NameServer::Entry address;
-      address.answers = {{NameOf(host), dns::Type::kA, dns::kInternet, 3600, AddressOf(machine).sin_addr}};
-      server_.Set({NameOf(host), dns::Type::kA}, address);
+      address.answers = {{ParseName(host), dns::Type::kA, dns::kInternet, 3600, AddressOf(machine).sin_addr}};
+      server_.Set({ParseName(host), dns::Type::kA}, address);
     }
-    server_.Set({NameOf("_api._tcp.example"), dns::Type::kSrv}, entry);
+    server_.Set({ParseName("_api._tcp.example"), dns::Type::kSrv}, entry);
   }
-  void ListSays(int machine, State state) {
-    EndpointListUpdate news;
-    news.endpoints = {MemberOf(machine, state)};
-    loop_.At(clock_.Now() + DrawFrom(kListLate, random_), [this, news] { pool_->OnEndpointList(news); });
+  // The platform's list reports the change after a random delay.
+  void ReportInList(int machine, Status status) {
+    EndpointListUpdate update;
+    update.endpoints = {EndpointFor(machine, status)};
+    loop_.At(clock_.Now() + DrawFrom(kListDelay, random_),
+             [this, update] { source_->OnEndpointList(update); });
   }
-  void Replace(std::size_t which) {
-    const int old = serving_[which], fresh = next_++;
-    serving_[which] = fresh;
+  void ReplaceMachine(std::size_t index) {
+    const int old = serving_[index], replacement = next_machine_++;
+    serving_[index] = replacement;
     PublishZone();
-    left_at_[net::FormatAddress(AddressOf(old))] = came_at_[net::FormatAddress(AddressOf(fresh))] =
+    drained_at_[net::FormatAddress(AddressOf(old))] = added_at_[net::FormatAddress(AddressOf(replacement))] =
         clock_.Now();
-    ListSays(fresh, State::kInService);
-    ListSays(old, State::kDraining);
-    loop_.At(clock_.Now() + kDrainLasts, [this, old] {
-      gone_[net::FormatAddress(AddressOf(old))] = true;
-      ListSays(old, State::kRemoved);
+    ReportInList(replacement, Status::kInService);
+    ReportInList(old, Status::kDraining);
+    loop_.At(clock_.Now() + kDrainDuration, [this, old] {
+      removed_[net::FormatAddress(AddressOf(old))] = true;
+      ReportInList(old, Status::kRemoved);
     });
   }
-  void OnEndpointList(const EndpointListUpdate& news) override {
-    if (news.complete) told_.clear();
-    for (const EndpointRecord& m : news.endpoints) {
-      const std::string address = net::FormatAddress(m.address);
-      if (m.status == State::kInService) told_[m.id] = address;
-      if (m.status != State::kInService) told_.erase(m.id);
-      const auto left = left_at_.find(address), came = came_at_.find(address);
-      if (m.status != State::kInService && left != left_at_.end()) {
-        drains.push_back(clock_.Now() - left->second);
-        left_at_.erase(left);
+  void OnEndpointList(const EndpointListUpdate& update) override {
+    if (update.complete) in_service_.clear();
+    for (const EndpointRecord& endpoint : update.endpoints) {
+      const std::string address = net::FormatAddress(endpoint.address);
+      if (endpoint.status == Status::kInService) in_service_[endpoint.id] = address;
+      if (endpoint.status != Status::kInService) in_service_.erase(endpoint.id);
+      const auto drained = drained_at_.find(address), added = added_at_.find(address);
+      if (endpoint.status != Status::kInService && drained != drained_at_.end()) {
+        drain_delays.push_back(clock_.Now() - drained->second);
+        drained_at_.erase(drained);
       }
-      if (m.status == State::kInService && came != came_at_.end()) {
-        arrivals.push_back(clock_.Now() - came->second);
-        came_at_.erase(came);
+      if (endpoint.status == Status::kInService && added != added_at_.end()) {
+        arrival_delays.push_back(clock_.Now() - added->second);
+        added_at_.erase(added);
       }
     }
   }
   void OnWatchFailed() override {}
-  void Message() {
-    if (!told_.empty()) {
-      auto it = told_.begin();
-      std::advance(it, random_(static_cast<std::uint32_t>(told_.size())));
-      ++messages;
-      gone += gone_.count(it->second) > 0;
+  void SendRequest() {
+    if (!in_service_.empty()) {
+      auto it = in_service_.begin();
+      std::advance(it, random_(static_cast<std::uint32_t>(in_service_.size())));
+      ++requests;
+      requests_to_removed += removed_.count(it->second) > 0;
     }
-    loop_.At(clock_.Now() + kMessageEvery, [this] { Message(); });
+    loop_.At(clock_.Now() + kSendInterval, [this] { SendRequest(); });
   }
 
-  const std::uint32_t lifetime_;
+  const std::uint32_t ttl_;
   pcg32 random_;
   Clock clock_;
   net::EventLoop loop_;
   NameServer server_;
   Config config_;
   Operator settings_;
-  std::vector<int> serving_;
-  int next_ = 0;
-  std::map<std::string, double> left_at_, came_at_;
-  std::map<std::string, bool> gone_;
-  std::map<std::string, std::string> told_;  // addresses in service, by id
-  std::unique_ptr<MergedEndpointSource> pool_;
+  std::vector<int> serving_;  // machine numbers
+  int next_machine_ = 0;
+  // By address: when each change was made that the source has not reported yet.
+  std::map<std::string, double> drained_at_, added_at_;
+  std::map<std::string, bool> removed_;            // by address
+  std::map<std::string, std::string> in_service_;  // reported by the source: addresses by endpoint id
+  std::unique_ptr<MergedEndpointSource> source_;
 };
 
 double WallSeconds() {
   return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
-class Nobody : public EndpointSource::Listener {
+class NullListener : public EndpointSource::Listener {
   void OnEndpointList(const EndpointListUpdate&) override {}
   void OnWatchFailed() override {}
 };
 
-void PrintNames(int names, std::uint32_t lifetime) {
+// Prints the query rate, memory and start-up time of a source with many SRV names.
+void MeasureManyNames(int names, std::uint32_t ttl) {
   Clock clock;
   net::EventLoop loop(clock);
   NameServer server(loop);
   Config config;
   Operator settings;
-  Nobody nobody;
+  NullListener listener;
   settings.dns.servers = {server.address()};
   NameServer::Entry host;
   host.answers = {
-      {NameOf("host.example"), dns::Type::kA, dns::kInternet, 3600, in_addr{htonl(INADDR_LOOPBACK)}}};
-  server.Set({NameOf("host.example"), dns::Type::kA}, host);
+      {ParseName("host.example"), dns::Type::kA, dns::kInternet, 3600, in_addr{htonl(INADDR_LOOPBACK)}}};
+  server.Set({ParseName("host.example"), dns::Type::kA}, host);
   for (int i = 0; i < names; ++i) {
     const std::string name = "_api._tcp.p" + std::to_string(i) + ".example";
     NameServer::Entry entry;
     for (const std::uint16_t port : {80, 81})
-      entry.answers.push_back({NameOf(name), dns::Type::kSrv, dns::kInternet, lifetime,
-                               dns::Srv{1, 1, port, NameOf("host.example")}});
-    server.Set({NameOf(name), dns::Type::kSrv}, entry);
+      entry.answers.push_back({ParseName(name), dns::Type::kSrv, dns::kInternet, ttl,
+                               dns::Srv{1, 1, port, ParseName("host.example")}});
+    server.Set({ParseName(name), dns::Type::kSrv}, entry);
     settings.srv_names.emplace_back(name, i);
   }
-  const std::size_t before = mallinfo2().uordblks;
-  MergedEndpointSource pool(loop, config, settings, nobody);
-  const double from = clock.Now();
-  while (pool.pending_names() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
-  const std::size_t after = mallinfo2().uordblks;
-  const double took = clock.Now() - from;
-  long most = 0, all = 0;
-  const double steady = clock.Now();
-  while (clock.Now() < steady + 2 * lifetime) {
-    const long asked = server.datagrams();
+  const std::size_t bytes_before = mallinfo2().uordblks;
+  MergedEndpointSource source(loop, config, settings, listener);
+  const double began = clock.Now();
+  while (source.pending_names() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
+  const std::size_t bytes_after = mallinfo2().uordblks;
+  const double took = clock.Now() - began;
+  long max_per_second = 0, total = 0;
+  const double steady_since = clock.Now();
+  while (clock.Now() < steady_since + 2 * ttl) {
+    const long queries_before = server.datagrams();
     PlayUntil(loop, clock, clock.Now() + 1);
-    most = std::max(most, server.datagrams() - asked);
-    all += server.datagrams() - asked;
+    max_per_second = std::max(max_per_second, server.datagrams() - queries_before);
+    total += server.datagrams() - queries_before;
   }
   std::printf(
       "%d names of %u s: %.0f queries a second in the mean, %ld at most; %.0f bytes a name; all known after "
       "%.2f s\n",
-      names, lifetime, static_cast<double>(all) / (clock.Now() - steady), most,
-      static_cast<double>(after - before) / names, took);
+      names, ttl, static_cast<double>(total) / (clock.Now() - steady_since), max_per_second,
+      static_cast<double>(bytes_after - bytes_before) / names, took);
 }
 
-void PrintLargeAnswer() {
+// Prints how long it takes to decode and merge an SRV answer of nearly the maximum size.
+void MeasureLargeAnswer() {
   dns::Message message;
   message.response = true;
-  message.questions = {{NameOf("_api._tcp.example"), dns::Type::kSrv}};
+  message.questions = {{ParseName("_api._tcp.example"), dns::Type::kSrv}};
   std::vector<SrvTarget> targets;
   EndpointMerge merge(EndpointMergeOptions{});
   EndpointListUpdate list;
@@ -216,61 +222,63 @@
       address.sin_family = AF_INET;
       address.sin_addr.s_addr = htonl((127U << 24) + 65536 + static_cast<std::uint32_t>(i));
       address.sin_port = htons(static_cast<std::uint16_t>(port));
-      message.answers.push_back({NameOf("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, 60,
-                                 dns::Srv{1, 1, static_cast<std::uint16_t>(port), NameOf(host)}});
+      message.answers.push_back({ParseName("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, 60,
+                                 dns::Srv{1, 1, static_cast<std::uint16_t>(port), ParseName(host)}});
       targets.push_back({host, address, 1, 1});
       list.endpoints.push_back(
-          {host + std::to_string(port), "", "", address, kDestination, State::kInService, 1});
+          {host + std::to_string(port), "", "", address, kDestination, Status::kInService, 1});
     }
   }
   merge.OnList(0, list);
   const std::string bytes = dns::Encode(message);
-  std::vector<double> reads, merges;
+  std::vector<double> decode_ms, merge_ms;
   for (int i = 0; i < 51; ++i) {
-    const double begins = WallSeconds();
+    const double began = WallSeconds();
     const auto decoded = dns::Decode(bytes);
     const auto answer = dns::ReadAnswer(std::get<dns::Message>(decoded), 0, message.questions[0]);
-    const double read = WallSeconds();
+    const double decoded_at = WallSeconds();
     merge.OnTargets(i, kDestination, targets, true);
-    merges.push_back((WallSeconds() - read) * 1e3);
-    reads.push_back((read - begins) * 1e3 + (std::holds_alternative<dns::Answer>(answer) ? 0 : 1e9));
+    merge_ms.push_back((WallSeconds() - decoded_at) * 1e3);
+    // An answer that was not decoded must show in the result.
+    decode_ms.push_back((decoded_at - began) * 1e3 + (std::holds_alternative<dns::Answer>(answer) ? 0 : 1e9));
   }
   std::printf("an answer of %zu bytes with %zu targets: read in %.2f ms, joined in %.2f ms (medians of 51)\n",
-              bytes.size(), targets.size(), Median(reads), Median(merges));
+              bytes.size(), targets.size(), Median(decode_ms), Median(merge_ms));
 }
 
 }  // namespace
 
-int SrvTable(int changes) {
+int RunSrvExperiment(int changes) {
   std::printf(
       "%d machines replaced one after the other, the list late by %.0f to %.0f s, gone %.0f s after the "
       "drain\n\n"
       "| source | a drain is heard after: median s | worst s | a new one after: median s | worst s | of the "
       "messages "
       "to machines gone |\n|---|---|---|---|---|---|\n",
-      changes, kListLate.least, kListLate.most, kDrainLasts);
+      changes, kListDelay.least, kListDelay.most, kDrainDuration);
   bool holds = true;
-  double alone = 0;
-  for (const std::uint32_t lifetime : {0U, 1U, 2U, 5U, 10U, 30U}) {
-    Life life(lifetime, 1);
-    life.Play(changes);
+  double worst_list_alone = 0;
+  for (const std::uint32_t ttl : {0U, 1U, 2U, 5U, 10U, 30U}) {
+    ReplacementSimulation simulation(ttl, 1);
+    simulation.Run(changes);
     const auto worst = [](const std::vector<double>& v) {
       return v.empty() ? 0 : *std::max_element(v.begin(), v.end());
     };
-    const std::string name =
-        lifetime == 0 ? "list alone" : "list and SRV of " + std::to_string(lifetime) + " s";
-    std::printf("| %s | %.2f | %.2f | %.2f | %.2f | %.4f%% |\n", name.c_str(), Median(life.drains),
-                worst(life.drains), Median(life.arrivals), worst(life.arrivals),
-                100.0 * static_cast<double>(life.gone) / static_cast<double>(life.messages));
-    if (lifetime == 0) alone = worst(life.drains);
-    // SRV may make it sooner, and never later.
-    holds =
-        holds && worst(life.drains) <= alone + 0.1 && life.drains.size() == static_cast<std::size_t>(changes);
+    const std::string name = ttl == 0 ? "list alone" : "list and SRV of " + std::to_string(ttl) + " s";
+    std::printf("| %s | %.2f | %.2f | %.2f | %.2f | %.4f%% |\n", name.c_str(),
+                Median(simulation.drain_delays), worst(simulation.drain_delays),
+                Median(simulation.arrival_delays), worst(simulation.arrival_delays),
+                100.0 * static_cast<double>(simulation.requests_to_removed) /
+                    static_cast<double>(simulation.requests));
+    if (ttl == 0) worst_list_alone = worst(simulation.drain_delays);
+    // SRV records must not delay the notice of a drain.
+    holds = holds && worst(simulation.drain_delays) <= worst_list_alone + 0.1 &&
+            simulation.drain_delays.size() == static_cast<std::size_t>(changes);
   }
   std::printf("\n");
-  PrintNames(5000, 60);
-  PrintNames(5000, 10);
-  PrintLargeAnswer();
+  MeasureManyNames(5000, 60);
+  MeasureManyNames(5000, 10);
+  MeasureLargeAnswer();
   std::printf("\n%s\n", holds ? "claim holds" : "claim fails");
   return holds ? 0 : 1;
 }
--- a/lab/faults/descriptors.h
+++ b/lab/faults/descriptors.h
@@ -1,10 +1,10 @@
-// The descriptors of a process that the preloaded library follows.
+// The file descriptors that the preloaded library keeps state for; higher ones are ignored.
 #pragma once
 
 namespace opalroute::lab::faults {
 
-constexpr int kDescriptors = 4096;
+constexpr int kMaxDescriptors = 4096;
 
-constexpr bool IsFollowed(int fd) { return fd >= 0 && fd < kDescriptors; }
+constexpr bool IsTracked(int fd) { return fd >= 0 && fd < kMaxDescriptors; }
 
 }  // namespace opalroute::lab::faults
--- a/lab/faults/plan.cpp
+++ b/lab/faults/plan.cpp
@@ -6,40 +6,40 @@
 
 namespace opalroute::lab::faults {
 
-std::string Plan::Write() const {
+std::string Plan::Serialize() const {
   std::ostringstream text;
   text.precision(std::numeric_limits<double>::max_digits10);
-  text << seed << ' ' << folder << '\n';
+  text << seed << ' ' << state_folder << '\n';
   for (const Episode& e : episodes)
     text << "fails " << static_cast<int>(e.call) << ' ' << e.error << ' ' << e.from << ' ' << e.to << ' '
-         << e.chance << ' ' << e.bytes << '\n';
-  for (const ClockStep& step : steps) text << "clock " << step.at << ' ' << step.by << '\n';
+         << e.probability << ' ' << e.max_bytes << '\n';
+  for (const ClockStep& step : clock_steps) text << "clock " << step.at << ' ' << step.shift << '\n';
   if (!requests_read.empty()) text << "records " << requests_read << '\n';
   return text.str();
 }
 
-Plan Plan::Read(const std::string& text) {
-  const auto wrong = [&text] { return std::invalid_argument("no plan of faults: " + text); };
+Plan Plan::Parse(const std::string& text) {
+  const auto invalid = [&text] { return std::invalid_argument("invalid fault plan: " + text); };
   std::istringstream in(text);
   Plan plan;
-  if (!(in >> plan.seed >> plan.folder)) throw wrong();
-  for (std::string what; in >> what;) {
-    if (what == "fails") {
+  if (!(in >> plan.seed >> plan.state_folder)) throw invalid();
+  for (std::string keyword; in >> keyword;) {
+    if (keyword == "fails") {
       Episode e;
       int call = 0;
-      in >> call >> e.error >> e.from >> e.to >> e.chance >> e.bytes;
-      if (!in || call < 0 || call >= kCalls) throw wrong();
-      e.call = static_cast<Call>(call);
+      in >> call >> e.error >> e.from >> e.to >> e.probability >> e.max_bytes;
+      if (!in || call < 0 || call >= kSystemCallCount) throw invalid();
+      e.call = static_cast<SystemCall>(call);
       plan.episodes.push_back(e);
-    } else if (what == "clock") {
+    } else if (keyword == "clock") {
       ClockStep step;
-      in >> step.at >> step.by;
-      if (!in) throw wrong();
-      plan.steps.push_back(step);
-    } else if (what == "records") {
-      if (!(in >> plan.requests_read)) throw wrong();
+      in >> step.at >> step.shift;
+      if (!in) throw invalid();
+      plan.clock_steps.push_back(step);
+    } else if (keyword == "records") {
+      if (!(in >> plan.requests_read)) throw invalid();
     } else {
-      throw wrong();
+      throw invalid();
     }
   }
   return plan;
--- a/lab/faults/plan.h
+++ b/lab/faults/plan.h
@@ -1,5 +1,6 @@
-// What a preloaded library makes of a process's system calls: which calls fail, how, and when. The laboratory
-// draws a plan for each process that it starts; the library reads it from an environment variable.
+// A fault injection plan: which system calls of a process fail, with which error, and when. The laboratory
+// generates a plan for each process that it starts; the preloaded library reads it from an environment
+// variable.
 #pragma once
 
 #include <cstdint>
@@ -10,49 +11,50 @@
 
 constexpr const char* kPlanVariable = "LAB_FAULTS";
 
-enum class Call {
+enum class SystemCall {
   kAccept,
   kSocket,
   kConnect,
-  kWait,    // epoll_wait
-  kRead,    // from a socket: read, readv, recv
-  kWrite,   // to a socket: sendmsg
-  kSend,    // of a datagram
-  kOpen,    // of a file in the state folder
-  kLoad,    // pread there
-  kStore,   // pwrite there
-  kCut,     // ftruncate there
-  kRename,  // there
+  kWait,          // epoll_wait, and read of a descriptor outside the state folder (EINTR only)
+  kSocketRead,    // readv, recv
+  kSocketWrite,   // sendmsg
+  kSendDatagram,  // sendto
+  // On files in the state folder:
+  kFileOpen,
+  kFileRead,      // pread
+  kFileWrite,     // pwrite
+  kFileTruncate,  // ftruncate
+  kFileRename,
 };
-constexpr int kCalls = 12;
+constexpr int kSystemCallCount = 12;
 
-// A stretch of time in which a call fails with that error, each time with that chance. With `error` 0 a read
-// or write is cut short instead: at most `bytes` of it are done.
+// A period in which each use of `call` fails with errno `error`, with the given probability. If `error` is 0,
+// reads and writes are cut short to `max_bytes` instead.
 struct Episode {
-  Call call{};
+  SystemCall call{};
   int error = 0;
-  double from = 0, to = 0;  // seconds since the process's first call
-  double chance = 1;
-  std::uint64_t bytes = 0;
+  double from = 0, to = 0;  // seconds since the library was first called in the process
+  double probability = 1;
+  std::uint64_t max_bytes = 0;
 };
 
-// The wall clock is set by so many seconds at that time.
+// Shifts the wall clock by `shift` seconds, `at` seconds after the library was first called.
 struct ClockStep {
-  double at = 0, by = 0;
+  double at = 0, shift = 0;
 };
 
 struct Plan {
-  std::uint64_t seed = 0;  // of the chances
-  std::string folder;      // the state folder: faults of files strike only there
+  std::uint64_t seed = 0;    // of the probabilities
+  std::string state_folder;  // file faults apply only to files in it
   std::vector<Episode> episodes;
-  std::vector<ClockStep> steps;
-  // Where the ids of clients' requests are appended, one a line, once the process has read their last byte;
-  // empty: nowhere. Outlives the process, however that ends.
+  std::vector<ClockStep> clock_steps;
+  // The file to which the id of each client request is appended, one per line, once the process has read the
+  // request's last byte. Empty: none. The file survives the process, even if that is killed.
   std::string requests_read;
 
-  std::string Write() const;
-  // Throws std::invalid_argument if the text is no plan.
-  static Plan Read(const std::string& text);
+  std::string Serialize() const;
+  // Throws std::invalid_argument if the text is not a valid plan.
+  static Plan Parse(const std::string& text);
 };
 
 }  // namespace opalroute::lab::faults
--- a/lab/faults/preload.cpp
+++ b/lab/faults/preload.cpp
@@ -1,10 +1,12 @@
-// A library that is preloaded into a relay's process (LD_PRELOAD) and makes its system calls fail as a plan
-// says, in ways that their manual pages document. Test equipment: the program knows nothing of it.
+// A fault injection library that is preloaded into a relay process (LD_PRELOAD) and makes its system calls
+// fail according to a plan, with errors that their manual pages document. The relay itself is not aware of
+// it.
 //
-// Each function stands before the C library's one of its name and hands on to that. A connection that is said
-// to be broken is broken: it is shut down before its error is told, so that both sides see the same from then
-// on. Only connections that the process has opened break, and no bytes that have arrived are lost with them:
-// what the other side has seen delivered was delivered, and an auditor outside can go by its records.
+// Each function here overrides the C library function of the same name and forwards to it. Where an error
+// means that the connection is broken, the socket is shut down before the error is returned, so that both
+// sides see the same state from then on. Only connections that the process has opened itself are broken, and
+// only while they hold no unread bytes: what the other side regards as delivered was delivered, so the
+// auditor, outside the process, can rely on its own records.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/epoll.h>
@@ -29,132 +31,138 @@
 
 namespace {
 
-using opalroute::lab::faults::Call;
 using opalroute::lab::faults::ClockStep;
 using opalroute::lab::faults::Episode;
-using opalroute::lab::faults::IsFollowed;
-using opalroute::lab::faults::kDescriptors;
+using opalroute::lab::faults::IsTracked;
+using opalroute::lab::faults::kMaxDescriptors;
 using opalroute::lab::faults::kPlanVariable;
 using opalroute::lab::faults::Plan;
-using opalroute::lab::faults::RequestsRead;
+using opalroute::lab::faults::RequestRecorder;
+using opalroute::lab::faults::SystemCall;
 
 template <typename Function>
-Function* Next(const char* name) {
+Function* NextSymbol(const char* name) {
   return reinterpret_cast<Function*>(dlsym(RTLD_NEXT, name));
 }
-#define NEXT(function) static auto* const next = Next<decltype(function)>(#function)
+#define NEXT(function) static auto* const next = NextSymbol<decltype(function)>(#function)
 
 double Monotonic() {
-  static auto* const next = Next<decltype(clock_gettime)>("clock_gettime");
+  static auto* const next = NextSymbol<decltype(clock_gettime)>("clock_gettime");
   timespec now{};
   next(CLOCK_MONOTONIC, &now);
   return static_cast<double>(now.tv_sec) + static_cast<double>(now.tv_nsec) / 1e9;
 }
 
-class Faults {
+class FaultInjector {
  public:
-  Faults() : start_(Monotonic()) {
-    if (const char* text = std::getenv(kPlanVariable)) plan_ = Plan::Read(text);
-    state_ = plan_.seed * 2 + 1;
+  FaultInjector() : start_(Monotonic()) {
+    if (const char* text = std::getenv(kPlanVariable)) plan_ = Plan::Parse(text);
+    random_state_ = plan_.seed * 2 + 1;
   }
 
   const Plan& plan() const { return plan_; }
   double now() const { return Monotonic() - start_; }
-  // What strikes this call now, or null.
-  const Episode* Strike(Call call) {
+  // The first episode that makes this call fail now, or null.
+  const Episode* ActiveFault(SystemCall call) {
     if (plan_.episodes.empty()) return nullptr;
     const double now = this->now();
     for (const Episode& e : plan_.episodes)
-      if (e.call == call && now >= e.from && now < e.to && Unit() < e.chance) return &e;
+      if (e.call == call && now >= e.from && now < e.to && Uniform() < e.probability) return &e;
     return nullptr;
   }
-  bool InFolder(const char* path) const {
-    return !plan_.folder.empty() && std::strncmp(path, plan_.folder.c_str(), plan_.folder.size()) == 0;
+  bool IsInStateFolder(const char* path) const {
+    return !plan_.state_folder.empty() &&
+           std::strncmp(path, plan_.state_folder.c_str(), plan_.state_folder.size()) == 0;
   }
-  // Files of the state folder that are open, by descriptor.
-  void Opened(int fd, bool of_state) {
-    if (IsFollowed(fd)) of_state_[static_cast<std::size_t>(fd)] = of_state;
+  // Sets whether the descriptor is an open file of the state folder.
+  void SetStateFile(int fd, bool is_state_file) {
+    if (IsTracked(fd)) is_state_file_[static_cast<std::size_t>(fd)] = is_state_file;
   }
-  // Connections that have been accepted, by descriptor.
-  void Accepted(int fd, bool accepted) {
-    if (IsFollowed(fd)) accepted_[static_cast<std::size_t>(fd)] = accepted;
+  // Sets whether the descriptor is a connection that the process has accepted.
+  void SetAccepted(int fd, bool accepted) {
+    if (IsTracked(fd)) accepted_[static_cast<std::size_t>(fd)] = accepted;
   }
-  bool IsAccepted(int fd) const { return IsFollowed(fd) && accepted_[static_cast<std::size_t>(fd)]; }
-  bool OfState(int fd) const { return IsFollowed(fd) && of_state_[static_cast<std::size_t>(fd)]; }
+  bool IsAccepted(int fd) const { return IsTracked(fd) && accepted_[static_cast<std::size_t>(fd)]; }
+  bool IsStateFile(int fd) const { return IsTracked(fd) && is_state_file_[static_cast<std::size_t>(fd)]; }
 
  private:
-  // A linear congruential generator (Knuth's constants) is even enough for this, and needs no lock.
-  double Unit() {
-    std::uint64_t state = state_.load();
-    while (!state_.compare_exchange_weak(state, state * 6364136223846793005U + 1442695040888963407U)) {
+  // A linear congruential generator (Knuth's constants): uniform enough for this purpose, and lock-free. From
+  // 0 to below 1.
+  double Uniform() {
+    std::uint64_t state = random_state_.load();
+    while (!random_state_.compare_exchange_weak(state, state * 6364136223846793005U + 1442695040888963407U)) {
     }
     return static_cast<double>(state >> 11U) / static_cast<double>(1ULL << 53U);
   }
 
   Plan plan_;
   const double start_;
-  std::atomic<std::uint64_t> state_{1};
-  std::array<std::atomic<bool>, kDescriptors> of_state_{}, accepted_{};
+  std::atomic<std::uint64_t> random_state_{1};
+  std::array<std::atomic<bool>, kMaxDescriptors> is_state_file_{}, accepted_{};
 };
 
-Faults& All() {
-  static auto* const faults = new Faults;  // never ended: calls come until the process does
-  return *faults;
+FaultInjector& Injector() {
+  // Never destroyed: system calls are made until the process ends.
+  static auto* const injector = new FaultInjector;
+  return *injector;
 }
 
-RequestsRead& Requests() {
-  static auto* const requests = new RequestsRead(All().plan().requests_read);
-  return *requests;
+RequestRecorder& Recorder() {
+  static auto* const recorder = new RequestRecorder(Injector().plan().requests_read);
+  return *recorder;
 }
 
-// Fails the call with an error of its plan's; `broken`: that error says the connection is no more.
-bool Fails(Call call) {
-  const Episode* e = All().Strike(call);
+// Returns true, with errno set, if the plan makes this call fail now.
+bool InjectError(SystemCall call) {
+  const Episode* e = Injector().ActiveFault(call);
   if (e == nullptr || e->error == 0) return false;
   errno = e->error;
   return true;
 }
 
-bool IsBreak(int error) { return error == ETIMEDOUT || error == EHOSTUNREACH || error == ECONNRESET; }
+bool IsConnectionLoss(int error) {
+  return error == ETIMEDOUT || error == EHOSTUNREACH || error == ECONNRESET;
+}
 
-// Whether nothing has arrived on a connection that could be read.
-bool IsEmpty(int fd) {
-  static auto* const next = Next<decltype(recv)>("recv");
+// Whether the connection is open and holds no unread bytes.
+bool HasNothingToRead(int fd) {
+  static auto* const next = NextSymbol<decltype(recv)>("recv");
   char byte = 0;
   return next(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && errno == EAGAIN;
 }
 
-// Of a call on a connection: true if it fails, with errno set. `most` shrinks where it is cut short.
-bool FailsOn(int fd, Call call, std::size_t& most) {
-  const Episode* e = All().Strike(call);
+// For a read or write: returns true, with errno set, if the plan makes it fail now. Reduces `size` if the
+// plan cuts it short.
+bool InjectTransferFault(int fd, SystemCall call, std::size_t& size) {
+  const Episode* e = Injector().ActiveFault(call);
   if (e == nullptr) return false;
   if (e->error == 0) {
-    most = std::min(most, static_cast<std::size_t>(e->bytes));
+    size = std::min(size, static_cast<std::size_t>(e->max_bytes));
     return false;
   }
-  if (IsBreak(e->error)) {
-    if (All().IsAccepted(fd) || !IsEmpty(fd)) return false;
+  if (IsConnectionLoss(e->error)) {
+    if (Injector().IsAccepted(fd) || !HasNothingToRead(fd)) return false;
     shutdown(fd, SHUT_RDWR);
   }
   errno = e->error;
   return true;
 }
 
-std::size_t SizeOf(const iovec* parts, std::size_t count) {
+std::size_t TotalSize(const iovec* buffers, std::size_t count) {
   std::size_t size = 0;
-  for (std::size_t i = 0; i < count; ++i) size += parts[i].iov_len;
+  for (std::size_t i = 0; i < count; ++i) size += buffers[i].iov_len;
   return size;
 }
 
-// The first bytes of the parts, in at most two.
-std::array<iovec, 2> Shortened(const iovec* parts, std::size_t count, std::size_t most) {
-  std::array<iovec, 2> shorter{};
-  for (std::size_t i = 0; i < count && i < shorter.size(); ++i) {
-    shorter[i] = parts[i];
-    shorter[i].iov_len = std::min(most, parts[i].iov_len);
-    most -= shorter[i].iov_len;
+// The first `size` bytes of the buffers; covers at most the first two of them.
+std::array<iovec, 2> FirstBytes(const iovec* buffers, std::size_t count, std::size_t size) {
+  std::array<iovec, 2> first{};
+  for (std::size_t i = 0; i < count && i < first.size(); ++i) {
+    first[i] = buffers[i];
+    first[i].iov_len = std::min(size, buffers[i].iov_len);
+    size -= first[i].iov_len;
   }
-  return shorter;
+  return first;
 }
 
 }  // namespace
@@ -163,54 +171,55 @@
 
 int accept4(int fd, sockaddr* address, socklen_t* size, int flags) {
   NEXT(accept4);
-  if (Fails(Call::kAccept)) return -1;
+  if (InjectError(SystemCall::kAccept)) return -1;
   const int accepted = next(fd, address, size, flags);
-  All().Accepted(accepted, true);
-  Requests().Accepted(accepted);
+  Injector().SetAccepted(accepted, true);
+  Recorder().OnAccepted(accepted);
   return accepted;
 }
 
 int socket(int domain, int type, int protocol) {
   NEXT(socket);
-  return Fails(Call::kSocket) ? -1 : next(domain, type, protocol);
+  return InjectError(SystemCall::kSocket) ? -1 : next(domain, type, protocol);
 }
 
-// Interrupted, it goes on all the same (connect(2)).
+// A connect() that fails with EINTR continues in the background (connect(2)), so it is made nevertheless.
 int connect(int fd, const sockaddr* address, socklen_t size) {
   NEXT(connect);
-  const Episode* e = All().Strike(Call::kConnect);
+  const Episode* e = Injector().ActiveFault(SystemCall::kConnect);
   if (e == nullptr) return next(fd, address, size);
   if (e->error == EINTR && next(fd, address, size) < 0 && errno != EINPROGRESS) return -1;
   errno = e->error;
   return -1;
 }
 
-int epoll_wait(int epoll, epoll_event* events, int most, int milliseconds) {
+int epoll_wait(int epoll, epoll_event* events, int max_events, int milliseconds) {
   NEXT(epoll_wait);
-  return Fails(Call::kWait) ? -1 : next(epoll, events, most, milliseconds);
+  return InjectError(SystemCall::kWait) ? -1 : next(epoll, events, max_events, milliseconds);
 }
 
-ssize_t readv(int fd, const iovec* parts, int count) {
+ssize_t readv(int fd, const iovec* buffers, int count) {
   NEXT(readv);
-  const auto pieces = static_cast<std::size_t>(count);
-  std::size_t most = SizeOf(parts, pieces);
-  if (FailsOn(fd, Call::kRead, most)) return -1;
-  const auto shorter = Shortened(parts, pieces, most);
-  const int shorter_count = std::min(count, static_cast<int>(shorter.size()));
-  const ssize_t bytes = next(fd, shorter.data(), shorter_count);
-  if (bytes > 0) Requests().Read(fd, shorter.data(), shorter_count, static_cast<std::size_t>(bytes));
+  const auto buffer_count = static_cast<std::size_t>(count);
+  std::size_t size = TotalSize(buffers, buffer_count);
+  if (InjectTransferFault(fd, SystemCall::kSocketRead, size)) return -1;
+  const auto first = FirstBytes(buffers, buffer_count, size);
+  const int first_count = std::min(count, static_cast<int>(first.size()));
+  const ssize_t bytes = next(fd, first.data(), first_count);
+  if (bytes > 0) Recorder().OnRead(fd, first.data(), first_count, static_cast<std::size_t>(bytes));
   return bytes;
 }
 
 ssize_t recv(int fd, void* bytes, std::size_t size, int flags) {
   NEXT(recv);
-  return FailsOn(fd, Call::kRead, size) ? -1 : next(fd, bytes, size, flags);
+  return InjectTransferFault(fd, SystemCall::kSocketRead, size) ? -1 : next(fd, bytes, size, flags);
 }
 
-// Of signals, mostly: descriptors that are no connections are interrupted, and no more.
+// Connections are read by readv() and recv(). Other descriptors (mostly the signalfd) are only interrupted by
+// EINTR; files of the state folder are not even that.
 ssize_t read(int fd, void* bytes, std::size_t size) {
   NEXT(read);
-  const Episode* e = All().OfState(fd) ? nullptr : All().Strike(Call::kWait);
+  const Episode* e = Injector().IsStateFile(fd) ? nullptr : Injector().ActiveFault(SystemCall::kWait);
   if (e != nullptr && e->error == EINTR) {
     errno = EINTR;
     return -1;
@@ -220,59 +229,63 @@
 
 ssize_t sendmsg(int fd, const msghdr* message, int flags) {
   NEXT(sendmsg);
-  std::size_t most = SizeOf(message->msg_iov, message->msg_iovlen);
-  if (FailsOn(fd, Call::kWrite, most)) return -1;
-  auto shorter = Shortened(message->msg_iov, message->msg_iovlen, most);
+  std::size_t size = TotalSize(message->msg_iov, message->msg_iovlen);
+  if (InjectTransferFault(fd, SystemCall::kSocketWrite, size)) return -1;
+  auto first = FirstBytes(message->msg_iov, message->msg_iovlen, size);
   msghdr copy = *message;
-  copy.msg_iov = shorter.data();
-  copy.msg_iovlen = std::min(message->msg_iovlen, shorter.size());
+  copy.msg_iov = first.data();
+  copy.msg_iovlen = std::min(message->msg_iovlen, first.size());
   return next(fd, &copy, flags);
 }
 
 ssize_t sendto(int fd, const void* bytes, std::size_t size, int flags, const sockaddr* to,
                socklen_t to_size) {
   NEXT(sendto);
-  return Fails(Call::kSend) ? -1 : next(fd, bytes, size, flags, to, to_size);
+  return InjectError(SystemCall::kSendDatagram) ? -1 : next(fd, bytes, size, flags, to, to_size);
 }
 
 int open(const char* path, int flags, ...) {
   NEXT(open);
-  va_list rest;
-  va_start(rest, flags);
-  const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(rest, mode_t) : 0;
-  va_end(rest);
-  const bool of_state = All().InFolder(path);
-  if (of_state && Fails(Call::kOpen)) return -1;
+  va_list arguments;
+  va_start(arguments, flags);
+  const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(arguments, mode_t) : 0;
+  va_end(arguments);
+  const bool is_state_file = Injector().IsInStateFolder(path);
+  if (is_state_file && InjectError(SystemCall::kFileOpen)) return -1;
   const int fd = next(path, flags, mode);
-  All().Opened(fd, of_state);
+  Injector().SetStateFile(fd, is_state_file);
   return fd;
 }
 
 ssize_t pread(int fd, void* bytes, std::size_t size, off_t at) {
   NEXT(pread);
-  return All().OfState(fd) && FailsOn(fd, Call::kLoad, size) ? -1 : next(fd, bytes, size, at);
+  return Injector().IsStateFile(fd) && InjectTransferFault(fd, SystemCall::kFileRead, size)
+             ? -1
+             : next(fd, bytes, size, at);
 }
 
 ssize_t pwrite(int fd, const void* bytes, std::size_t size, off_t at) {
   NEXT(pwrite);
-  return All().OfState(fd) && FailsOn(fd, Call::kStore, size) ? -1 : next(fd, bytes, size, at);
+  return Injector().IsStateFile(fd) && InjectTransferFault(fd, SystemCall::kFileWrite, size)
+             ? -1
+             : next(fd, bytes, size, at);
 }
 
 int ftruncate(int fd, off_t size) noexcept {
   NEXT(ftruncate);
-  return All().OfState(fd) && Fails(Call::kCut) ? -1 : next(fd, size);
+  return Injector().IsStateFile(fd) && InjectError(SystemCall::kFileTruncate) ? -1 : next(fd, size);
 }
 
 int rename(const char* from, const char* to) noexcept {
   NEXT(rename);
-  return All().InFolder(to) && Fails(Call::kRename) ? -1 : next(from, to);
+  return Injector().IsInStateFolder(to) && InjectError(SystemCall::kFileRename) ? -1 : next(from, to);
 }
 
 int close(int fd) {
   NEXT(close);
-  All().Opened(fd, false);
-  All().Accepted(fd, false);
-  Requests().Closed(fd);
+  Injector().SetStateFile(fd, false);
+  Injector().SetAccepted(fd, false);
+  Recorder().OnClosed(fd);
   return next(fd);
 }
 
@@ -280,9 +293,9 @@
   NEXT(clock_gettime);
   const int result = next(clock, time);
   if (result != 0 || clock != CLOCK_REALTIME) return result;
-  const double now = All().now();
-  for (const ClockStep& step : All().plan().steps)
-    if (now >= step.at) time->tv_sec += static_cast<time_t>(step.by);
+  const double now = Injector().now();
+  for (const ClockStep& step : Injector().plan().clock_steps)
+    if (now >= step.at) time->tv_sec += static_cast<time_t>(step.shift);
   return result;
 }
 
--- a/lab/faults/requests_read.h
+++ b/lab/faults/requests_read.h
@@ -1,5 +1,5 @@
-// Records which requests a process has read from its clients' connections, as its reads show it. Part of the
-// preloaded library.
+// Records the ids of the requests that a process has read from its clients' connections, by parsing the bytes
+// of its socket reads. Part of the preloaded library.
 #pragma once
 
 #include <sys/uio.h>
@@ -14,23 +14,23 @@
 
 namespace opalroute::lab::faults {
 
-class RequestsRead {
+class RequestRecorder {
  public:
-  // `path`: the file that ids are appended to; empty: nothing is recorded.
-  explicit RequestsRead(const std::string& path);
+  // `path`: the file to which request ids are appended; empty: nothing is recorded.
+  explicit RequestRecorder(const std::string& path);
 
-  // A client's connection has been accepted, or a descriptor has been closed.
-  void Accepted(int fd);
-  void Closed(int fd);
-  // So many bytes have been read from the descriptor into these parts.
-  void Read(int fd, const iovec* parts, int count, std::size_t bytes);
+  void OnAccepted(int fd);
+  void OnClosed(int fd);
+  // `bytes` bytes have been read from the descriptor into these buffers.
+  void OnRead(int fd, const iovec* buffers, int count, std::size_t bytes);
 
  private:
-  void Take(net::HttpParser& parser, std::string_view bytes);
+  void Parse(net::HttpParser& parser, std::string_view bytes);
   void Record(const net::HttpMessage& request);
 
   int file_ = -1;
-  std::array<std::unique_ptr<net::HttpParser>, kDescriptors> parsers_;  // of clients' connections
+  std::array<std::unique_ptr<net::HttpParser>, kMaxDescriptors>
+      parsers_;  // by descriptor; null unless it is a client's connection
 };
 
 }  // namespace opalroute::lab::faults
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -176,36 +176,38 @@
   const auto row = [&](const char* name, const std::vector<Throughput>& all) {
     long refused = 0, broken = 0;
     for (const Throughput& one : all) {
-      refused += one.refused;
-      broken += one.broken;
+      refused += one.rejected;
+      broken += one.disconnected;
     }
-    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(all, &Throughput::delivered),
-                median(all, &Throughput::cpu_us), refused, broken);
+    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(all, &Throughput::delivered_per_second),
+                median(all, &Throughput::cpu_us_per_request), refused, broken);
   };
   row("bare forwarder", r.forwarder);
   row("relay, journal on", r.relay);
   std::printf("\nrelay over forwarder: %.3f; its journal alone: %.1f us of CPU a message\n\n",
-              median(r.relay, &Throughput::delivered) / median(r.forwarder, &Throughput::delivered),
+              median(r.relay, &Throughput::delivered_per_second) /
+                  median(r.forwarder, &Throughput::delivered_per_second),
               r.journal_us);
   std::printf(
       "| of capacity | messages a second | 202 after: p50 ms | p99 ms | p99.9 ms | refused | broken |\n"
       "|---|---|---|---|---|---|---|\n");
-  for (const CapacityResult::Answer& a : r.answers)
+  for (const CapacityResult::ResponseTime& a : r.response_times)
     std::printf("| %.0f%% | %.0f | %.2f | %.2f | %.2f | %ld | %ld |\n", a.share * 100, a.rate, a.p50 * 1e3,
-                a.p99 * 1e3, a.p99_9 * 1e3, a.refused, a.broken);
+                a.p99 * 1e3, a.p99_9 * 1e3, a.rejected, a.disconnected);
   std::printf("\nmemory: %.0f bytes an open transaction (of %ld), %.0f bytes an idle destination (of %ld)\n",
-              r.bytes_per_transaction, r.transactions, r.bytes_per_destination, r.destinations);
+              r.bytes_per_open_request, r.open_requests, r.bytes_per_destination, r.destinations);
   return 0;
 }
 
-int Soak(SoakOrder order, bool bare) {
+int Soak(SoakBatch batch, bool bare) {
   std::signal(SIGPIPE, SIG_IGN);
-  order.program = RelayProgram(order.program);
+  batch.program = RelayProgram(batch.program);
   if (!bare)
-    order.library = (std::filesystem::path(SelfPath()).parent_path() / "libopalroute_faults.so").string();
+    batch.fault_library =
+        (std::filesystem::path(SelfPath()).parent_path() / "libopalroute_faults.so").string();
   const ScratchFolder scratch;
-  if (order.folder.empty()) order.folder = scratch.path();
-  return SoakTable(order);
+  if (batch.folder.empty()) batch.folder = scratch.path();
+  return RunSoakBatch(batch);
 }
 
 // The hold model of the literature on event queues: each event that leaves puts one in, at a drawn time after
@@ -314,16 +316,16 @@
   script->add_option("--count", scripts)->check(CLI::Range(1, 1000000));
   script->add_option("--jobs", jobs, "at once; else one a core")->check(CLI::Range(1, 256));
   script->add_flag("--print", print, "the first one as a scenario's file, and play none");
-  SoakOrder soak_order;
+  SoakBatch soak_batch;
   std::string follow;
   CLI::App* soak = app.add_subcommand(
       "soak",
       "play seeds with real processes under faults; exit status 1 if one breaks a rule, 3 if one is void");
-  soak->add_option("--seed", soak_order.first, "of the first");
-  soak->add_option("--count", soak_order.count)->check(CLI::Range(1, 100000));
-  soak->add_option("--jobs", soak_order.jobs, "at once")->check(CLI::Range(1, 16));
-  soak->add_option("--relay", soak_order.program, "the relay's program; else the one beside this");
-  soak->add_option("--out", soak_order.folder, "folder for logs; else they go with the run");
+  soak->add_option("--seed", soak_batch.first_seed, "of the first");
+  soak->add_option("--count", soak_batch.count)->check(CLI::Range(1, 100000));
+  soak->add_option("--jobs", soak_batch.jobs, "at once")->check(CLI::Range(1, 16));
+  soak->add_option("--relay", soak_batch.program, "the relay's program; else the one beside this");
+  soak->add_option("--out", soak_batch.folder, "folder for logs; else they go with the run");
   soak->add_option("--follow", follow,
                    "play nothing; print what the logs under --out's run say of a message");
   bool bare = false;
@@ -338,30 +340,30 @@
       std::filesystem::create_directories(scratch.path());
       if (jobs == 0)
         jobs = sockets.on ? 1 : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-      const PlayOrder order{seeds, jobs, sockets.on, sockets.arguments, SelfPath(), scratch.path()};
-      return *compare ? Compare({what, sets, build_a}, {other, sets, build_b}, order)
-                      : Sweep({what, {}, {}}, key, values, order);
+      const ComparisonOptions options{seeds, jobs, sockets.on, sockets.arguments, SelfPath(), scratch.path()};
+      return *compare ? Compare({what, sets, build_a}, {other, sets, build_b}, options)
+                      : Sweep({what, {}, {}}, key, values, options);
     }
     if (*script && print) {
       std::printf("%s\n", DrawScript(seed).dump(1).c_str());
       return 0;
     }
     if (*script)
-      return ScriptTable(
+      return RunScripts(
           seed, scripts,
           jobs > 0 ? jobs : static_cast<int>(std::max(1U, std::thread::hardware_concurrency())));
     if (*soak && print) {
-      std::printf("%s\n", DrawSoakScenario(soak_order.first).dump(1).c_str());
+      std::printf("%s\n", GenerateSoakScenario(soak_batch.first_seed).dump(1).c_str());
       return 0;
     }
     if (*soak && !follow.empty()) {
-      std::fputs(FollowMessage(soak_order.folder, follow).c_str(), stdout);
+      std::fputs(FindMessageInLogs(soak_batch.folder, follow).c_str(), stdout);
       return 0;
     }
-    if (*soak) return Soak(soak_order, bare);
-    if (*learning) return LearningTable(seeds);
-    if (*snapshot) return SnapshotTable(destinations, rounds);
-    if (*srv) return SrvTable(changes);
+    if (*soak) return Soak(soak_batch, bare);
+    if (*learning) return RunStateTransferExperiment(seeds);
+    if (*snapshot) return RunSnapshotExperiment(destinations, rounds);
+    if (*srv) return RunSrvExperiment(changes);
     if (*cost) return Capacity(capacity);
     if (*report) return Report(folders, page);
     if (*queues) return Queues();
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -18,56 +18,58 @@
 
 using nlohmann::json;
 
-constexpr double kLasts = 12;     // seconds of arrivals
-constexpr double kQuiet = 1;      // of them at the beginning without troubles
-constexpr double kFrozen = 0.15;  // a relay is held up for so long at most
+constexpr double kArrivalDuration = 12;   // seconds
+constexpr double kFaultFreeStart = 1;     // seconds, the first of the arrivals
+constexpr double kFreezeDuration = 0.15;  // seconds from SIGSTOP to SIGCONT
 constexpr int kZones = 2;
-constexpr int kFewRelays = 12, kManyRelays = 30;
-constexpr double kAllMayFail = 0.2;  // seconds
-constexpr int kCrowd = 520;          // more connections than a relay keeps
-constexpr int kOneInMany = 10;       // seeds, one has many relays
-constexpr int kOneInFew = 5;         // seeds, one has a crowd; one, a platform that nobody reaches
-constexpr double kKillGrace = RelayProcess::kKilledAfter;
-constexpr const char* kRequestsRead = "requests_read";  // file in a relay's folder
-
-class ScenarioDrawer : private Drawer {
+constexpr int kMaxSmallFleet = 12, kLargeFleet = 30;  // relays
+constexpr double kMaxTotalFailure = 0.2;              // seconds: only shorter periods may fail every call
+constexpr int kConnectionFlood = 520;                 // more connections than a relay keeps
+constexpr int kLargeFleetOneIn = 10;                  // one seed in so many has a large fleet
+constexpr int kRareFaultOneIn =
+    5;  // one seed in so many has a connection flood; likewise an unreachable platform
+constexpr double kKillGracePeriod = RelayProcess::kKilledAfter;
+constexpr const char* kRequestsRead = "requests_read";  // file name in a relay's folder
+
+class ScenarioGenerator : private Drawer {
  public:
-  explicit ScenarioDrawer(std::uint64_t seed)
-      : Drawer(seed, 51), relays_(OneIn(kOneInMany) ? kManyRelays : 1 + Below(kFewRelays)) {}
+  explicit ScenarioGenerator(std::uint64_t seed)
+      : Drawer(seed, 51), relays_(OneIn(kLargeFleetOneIn) ? kLargeFleet : 1 + Below(kMaxSmallFleet)) {}
 
-  json Draw(std::uint64_t seed) {
+  json Generate(std::uint64_t seed) {
     json s = {{"name", "soak" + std::to_string(seed)},
               {"relays", relays_},
               {"zones", kZones},
-              {"lasts_s", kLasts},
+              {"lasts_s", kArrivalDuration},
               {"load", {{"rate", Rounded(20, 80)}}},
-              {"classes", Classes()},
-              {"partners", Partners()},
+              {"classes", RequestClasses()},
+              {"partners", RandomPartners()},
               {"list_late_s", {0, Rounded(0, 1)}},
               {"settings", {{"ramp_s", Rounded(1, 5)}, {"most_tries", 2 + Below(8)}}}};
-    if (OneIn(2)) s["load"]["bursts"] = {{{"from_s", Moment()}, {"lasts_s", 2}, {"times", 3}}};
-    for (int i = Below(4); i > 0; --i) s["troubles"].push_back(TroubleOf());
-    for (int i = 1 + Below(4); i > 0; --i) AddFaults(s["relay_faults"]);
-    // One at least is early, so that calls go on long after it.
+    if (OneIn(2)) s["load"]["bursts"] = {{{"from_s", RandomTime()}, {"lasts_s", 2}, {"times", 3}}};
+    for (int i = Below(4); i > 0; --i) s["troubles"].push_back(RandomPartnerFault());
+    for (int i = 1 + Below(4); i > 0; --i) AddRelayFaults(s["relay_faults"]);
+    // At least one change is early, so that calls continue long after it.
     for (int i = 1 + Below(2); i > 0; --i)
       s["pool_changes"].push_back({{"kind", OneIn(2) ? "drain" : "replace"},
-                                   {"at_s", i == 1 ? Rounded(kQuiet, 3) : Moment()},
+                                   {"at_s", i == 1 ? Rounded(kFaultFreeStart, 3) : RandomTime()},
                                    {"share", Rounded(0.1, 0.5)}});
-    for (int i = Below(4); i > 0; --i) s["rude_clients"].push_back(RudeClientsOf());
-    for (int i = Below(4); i > 0; --i) s["list_faults"].push_back(ListFaultOf());
-    for (int i = Below(3); i > 0; --i) s["links"]["cuts"].push_back(CutOf());
-    // Drawn last: what comes before is as it was for seeds that stand in pages and messages.
-    for (int i = Below(3); i > 0; --i) AddStop(s["relay_faults"]);
+    for (int i = Below(4); i > 0; --i) s["rude_clients"].push_back(RandomStalledClients());
+    for (int i = Below(4); i > 0; --i) s["list_faults"].push_back(RandomListFault());
+    for (int i = Below(3); i > 0; --i) s["links"]["cuts"].push_back(RandomLinkCut());
+    // Drawn last, so that everything above stays the same for the seeds that documentation and commit
+    // messages mention.
+    for (int i = Below(3); i > 0; --i) AddRelayStop(s["relay_faults"]);
     if (OneIn(2)) AddSignalSeries(s["relay_faults"]);
-    if (OneIn(kOneInFew)) AddCrowd(s);
-    if (OneIn(kOneInFew)) s["list_faults"].push_back(UnreachableOf());
+    if (OneIn(kRareFaultOneIn)) AddConnectionFlood(s);
+    if (OneIn(kRareFaultOneIn)) s["list_faults"].push_back(UnreachablePlatform());
     return s;
   }
 
  private:
-  double Moment() { return Rounded(kQuiet, kLasts - 2); }
+  double RandomTime() { return Rounded(kFaultFreeStart, kArrivalDuration - 2); }
 
-  json Classes() {
+  json RequestClasses() {
     return {{{"name", "safe"},
              {"effect", "idempotent"},
              {"aim_s", 0.8},
@@ -92,7 +94,7 @@
              {"share", 0.3}}};
   }
 
-  json Partners() {
+  json RandomPartners() {
     json p = {{"count", 2 + Below(5)},
               {"endpoints", {1 + Below(2), 3 + Below(2)}},
               {"apart", Below(3) * 0.5},
@@ -102,11 +104,11 @@
     return p;
   }
 
-  json TroubleOf() {
+  json RandomPartnerFault() {
     const char* const kinds[] = {"shut", "refuse", "hang", "reset", "errors", "slow", "spoilt", "vanish"};
     json trouble = {{"kind", OneOf(kinds)},
                     {"share", OneIn(2) ? 1.0 : Rounded(0.2, 1)},
-                    {"from_s", Moment()},
+                    {"from_s", RandomTime()},
                     {"lasts_s", Rounded(0.3, 4)}};
     if (OneIn(2)) trouble["zone"] = Below(kZones);
     if (OneIn(3)) trouble["chance"] = Rounded(0.1, 1);
@@ -114,10 +116,10 @@
     return trouble;
   }
 
-  // One fault, or several signals in series.
-  void AddFaults(json& faults) {
+  // One kill or stop, or a series of signals.
+  void AddRelayFaults(json& faults) {
     const int first = Below(relays_), last = OneIn(2) ? first : first + Below(relays_ - first);
-    const double at = Moment();
+    const double at = RandomTime();
     const auto add = [&](const char* kind, double when, double down) {
       faults.push_back(
           {{"kind", kind}, {"relay", first}, {"through", last}, {"at_s", when}, {"down_s", down}});
@@ -128,7 +130,7 @@
       case 1:
         return add("stop", at, Rounded(0.05, 1));
       case 2:
-        for (int i = 0; i < 4; ++i) add("freeze", at + i * 0.4, kFrozen);
+        for (int i = 0; i < 4; ++i) add("freeze", at + i * 0.4, kFreezeDuration);
         return;
       case 3:
         for (int i = 1 + Below(4); i > 0; --i) add("reload", at + i * 0.1, 0);
@@ -140,38 +142,38 @@
     }
   }
 
-  void AddStop(json& faults) {
+  void AddRelayStop(json& faults) {
     const int first = Below(relays_);
     faults.push_back({{"kind", "stop"},
                       {"relay", first},
                       {"through", OneIn(2) ? first : first + Below(relays_ - first)},
-                      {"at_s", Moment()},
+                      {"at_s", RandomTime()},
                       {"down_s", Rounded(0.05, 1)}});
   }
 
-  // Signals in series to one relay, some of them while it stops, recovers or has just started.
+  // A series of signals to one relay, some of them while it is stopping, recovering or has just started.
   void AddSignalSeries(json& faults) {
     const int relay = Below(relays_);
-    const double at = Moment();
+    const double at = RandomTime();
     const auto add = [&](const char* kind, double when, double down) {
       faults.push_back({{"kind", kind}, {"relay", relay}, {"at_s", when}, {"down_s", down}});
     };
     const double down = Rounded(0.05, 0.6);
     switch (Below(6)) {
-      case 0:  // SIGTERM again while it stops
+      case 0:  // a second SIGTERM while it is stopping
         add("stop", at, down);
         return add("stop", at + Rounded(0.05, 2), down);
-      case 1:  // SIGHUP and SIGTERM at once, and SIGHUP while it stops
+      case 1:  // SIGHUP and SIGTERM 10 ms apart, and SIGHUP while it is stopping
         add("reload", at, 0);
         add("stop", at + 0.01, down);
         return add("reload", at + Rounded(0.05, 1), 0);
-      case 2:  // SIGSTOP and SIGCONT while it stops
+      case 2:  // SIGSTOP and SIGCONT while it is stopping
         add("stop", at, down);
-        return add("freeze", at + Rounded(0, 0.6), kFrozen);
-      case 3:  // SIGKILL while it stops
+        return add("freeze", at + Rounded(0, 0.6), kFreezeDuration);
+      case 3:  // SIGKILL while it is stopping
         add("stop", at, down);
         return add("kill", at + Rounded(0.05, 1), down);
-      case 4:  // SIGKILL a few milliseconds after the start, and while it recovers what it held
+      case 4:  // SIGKILL shortly after the start, and while it recovers its requests
         for (int i = 0; i < 3; ++i) add("kill", at + i * (down + Rounded(0.02, 0.2)), down);
         return;
       default:
@@ -179,51 +181,51 @@
     }
   }
 
-  // Idle clients that fill a relay's table while it stops, and the next process's as it starts.
-  void AddCrowd(json& scenario) {
+  // Idle clients that use up a relay's connections as it stops, and those of the next process as it starts.
+  void AddConnectionFlood(json& scenario) {
     const int relay = Below(relays_);
-    const double at = Rounded(kQuiet, kLasts / 2), down = Rounded(0.05, 0.6);
+    const double at = Rounded(kFaultFreeStart, kArrivalDuration / 2), down = Rounded(0.05, 0.6);
     const auto add = [&](double when) {
       scenario["rude_clients"].push_back(
-          {{"kind", "idle"}, {"relay", relay}, {"count", kCrowd}, {"at_s", when}});
+          {{"kind", "idle"}, {"relay", relay}, {"count", kConnectionFlood}, {"at_s", when}});
     };
     add(std::max(0.0, at - Rounded(0, 1)));
     scenario["relay_faults"].push_back({{"kind", "stop"}, {"relay", relay}, {"at_s", at}, {"down_s", down}});
-    add(at + kKillGrace + down + Rounded(0.02, 0.5));
+    add(at + kKillGracePeriod + down + Rounded(0.02, 0.5));
   }
 
-  json UnreachableOf() {
-    json fault = ListFaultOf();
+  json UnreachablePlatform() {
+    json fault = RandomListFault();
     fault["kind"] = "unreachable";
     return fault;
   }
 
-  // Few that stop in a request, or a crowd that says nothing.
-  json RudeClientsOf() {
+  // A few clients that stop in the middle of a request or stay idle, or a flood of idle ones.
+  json RandomStalledClients() {
     const char* const kinds[] = {"idle", "half_head", "half_body"};
     const int kind = Below(3);
     return {{"kind", kinds[kind]},
             {"relay", Below(relays_)},
-            {"count", kind == 0 && OneIn(2) ? kCrowd : 1 + Below(20)},
-            {"at_s", Moment()}};
+            {"count", kind == 0 && OneIn(2) ? kConnectionFlood : 1 + Below(20)},
+            {"at_s", RandomTime()}};
   }
 
-  json ListFaultOf() {
+  json RandomListFault() {
     const char* const kinds[] = {"busy", "refuse", "reset", "silent", "old", "cut_line"};
     const int first = Below(relays_);
     return {{"kind", OneOf(kinds)},
             {"first", first},
             {"last", first + Below(relays_ - first)},
-            {"from_s", Rounded(kQuiet, kLasts / 2)},
+            {"from_s", Rounded(kFaultFreeStart, kArrivalDuration / 2)},
             {"lasts_s", Rounded(0.1, 4)}};
   }
 
-  json CutOf() {
+  json RandomLinkCut() {
     const int first = Below(relays_);
     json cut = {{"what", OneIn(2) ? "discovery" : "endpoints"},
                 {"first", first},
                 {"last", first + Below(relays_ - first)},
-                {"from_s", Moment()},
+                {"from_s", RandomTime()},
                 {"lasts_s", Rounded(0.5, 4)}};
     if (cut["what"] == "endpoints") cut["zone"] = Below(kZones);
     return cut;
@@ -232,107 +234,124 @@
   const int relays_;
 };
 
-class FaultDrawer : private Drawer {
+class FaultPlanGenerator : private Drawer {
  public:
-  FaultDrawer(std::uint64_t seed, int relay, int start)
+  FaultPlanGenerator(std::uint64_t seed, int relay, int start)
       : Drawer(seed,
                52 + 2 * (static_cast<std::uint64_t>(relay) * 1000 + static_cast<std::uint64_t>(start))) {}
 
-  faults::Plan Draw(const std::string& state_folder) {
+  faults::Plan Generate(const std::string& state_folder) {
     faults::Plan plan;
     plan.seed = random_();
-    plan.folder = state_folder;
+    plan.state_folder = state_folder;
     AddInterruptions(plan);
-    for (int i = Below(5); i > 0; --i) plan.episodes.push_back(SocketEpisode());
-    for (int i = Below(3); i > 0; --i) plan.episodes.push_back(FileEpisode());
+    for (int i = Below(5); i > 0; --i) plan.episodes.push_back(RandomSocketEpisode());
+    for (int i = Below(3); i > 0; --i) plan.episodes.push_back(RandomFileEpisode());
     if (OneIn(2))
-      plan.episodes.push_back(EpisodeOf(faults::Call::kLoad, EIO, {0, 0.01}, 0.3));  // at the start
-    for (int i = Below(3); i > 0; --i) plan.steps.push_back(StepOf());
+      plan.episodes.push_back(
+          RandomEpisode(faults::SystemCall::kFileRead, EIO, {0, 0.01}, 0.3));  // at the start
+    for (int i = Below(3); i > 0; --i) plan.clock_steps.push_back(RandomClockStep());
     return plan;
   }
 
  private:
-  using Call = faults::Call;
+  using SystemCall = faults::SystemCall;
 
-  // Interrupted waits and short reads and writes are part of every process's life.
+  // Interrupted waits and short reads and writes occur throughout the life of every process.
   void AddInterruptions(faults::Plan& plan) {
-    const double ever = 1e9;
-    const double chance = Rounded(0, 0.1);
-    plan.episodes.push_back({Call::kWait, EINTR, 0, ever, chance, 0});
-    plan.episodes.push_back({Call::kRead, EINTR, 0, ever, chance, 0});
-    plan.episodes.push_back({Call::kRead, 0, 0, ever, chance, 1 + static_cast<std::uint64_t>(Below(64))});
-    plan.episodes.push_back({Call::kWrite, EINTR, 0, ever, chance, 0});
-    plan.episodes.push_back({Call::kWrite, 0, 0, ever, chance, 1 + static_cast<std::uint64_t>(Below(64))});
-    plan.episodes.push_back({Call::kConnect, EINTR, 0, ever, chance, 0});
-    plan.episodes.push_back({Call::kAccept, ECONNABORTED, 0, ever, chance, 0});
+    const double forever = 1e9;
+    const double probability = Rounded(0, 0.1);
+    plan.episodes.push_back({SystemCall::kWait, EINTR, 0, forever, probability, 0});
+    plan.episodes.push_back({SystemCall::kSocketRead, EINTR, 0, forever, probability, 0});
+    plan.episodes.push_back(
+        {SystemCall::kSocketRead, 0, 0, forever, probability, 1 + static_cast<std::uint64_t>(Below(64))});
+    plan.episodes.push_back({SystemCall::kSocketWrite, EINTR, 0, forever, probability, 0});
+    plan.episodes.push_back(
+        {SystemCall::kSocketWrite, 0, 0, forever, probability, 1 + static_cast<std::uint64_t>(Below(64))});
+    plan.episodes.push_back({SystemCall::kConnect, EINTR, 0, forever, probability, 0});
+    plan.episodes.push_back({SystemCall::kAccept, ECONNABORTED, 0, forever, probability, 0});
   }
 
-  faults::Episode EpisodeOf(Call call, int error, const Range& from, double lasts) {
-    const double begins = DrawFrom(from, random_);
-    // Were each call to fail for long, nothing could leave in time whatever a relay does.
-    const double chance = lasts < kAllMayFail && OneIn(2) ? 1 : Rounded(0.2, 0.8);
-    return {call, error, begins, begins + lasts, chance, 0};
+  faults::Episode RandomEpisode(SystemCall call, int error, const Range& from, double duration) {
+    const double begin = DrawFrom(from, random_);
+    // If every call failed for long, no relay could send anything in time, whatever it does.
+    const double probability = duration < kMaxTotalFailure && OneIn(2) ? 1 : Rounded(0.2, 0.8);
+    return {call, error, begin, begin + duration, probability, 0};
   }
 
-  // (accept(2), socket(2), connect(2), tcp(7), send(2))
-  faults::Episode SocketEpisode() {
-    static constexpr std::pair<Call, int> kErrors[] = {
-        {Call::kAccept, ENFILE},      {Call::kAccept, EMFILE},         {Call::kAccept, ENOBUFS},
-        {Call::kAccept, ENETUNREACH}, {Call::kSocket, ENFILE},         {Call::kSocket, ENOBUFS},
-        {Call::kSocket, EMFILE},      {Call::kConnect, EADDRNOTAVAIL}, {Call::kConnect, ENETUNREACH},
-        {Call::kConnect, ENOBUFS},    {Call::kWrite, ENOBUFS},         {Call::kWrite, ENOMEM},
-        {Call::kRead, ENOMEM},        {Call::kWrite, ETIMEDOUT},       {Call::kWrite, EHOSTUNREACH},
-        {Call::kRead, ETIMEDOUT},     {Call::kRead, EHOSTUNREACH},     {Call::kSend, ENOBUFS}};
+  // Errors documented in accept(2), socket(2), connect(2), tcp(7) and send(2).
+  faults::Episode RandomSocketEpisode() {
+    static constexpr std::pair<SystemCall, int> kErrors[] = {{SystemCall::kAccept, ENFILE},
+                                                             {SystemCall::kAccept, EMFILE},
+                                                             {SystemCall::kAccept, ENOBUFS},
+                                                             {SystemCall::kAccept, ENETUNREACH},
+                                                             {SystemCall::kSocket, ENFILE},
+                                                             {SystemCall::kSocket, ENOBUFS},
+                                                             {SystemCall::kSocket, EMFILE},
+                                                             {SystemCall::kConnect, EADDRNOTAVAIL},
+                                                             {SystemCall::kConnect, ENETUNREACH},
+                                                             {SystemCall::kConnect, ENOBUFS},
+                                                             {SystemCall::kSocketWrite, ENOBUFS},
+                                                             {SystemCall::kSocketWrite, ENOMEM},
+                                                             {SystemCall::kSocketRead, ENOMEM},
+                                                             {SystemCall::kSocketWrite, ETIMEDOUT},
+                                                             {SystemCall::kSocketWrite, EHOSTUNREACH},
+                                                             {SystemCall::kSocketRead, ETIMEDOUT},
+                                                             {SystemCall::kSocketRead, EHOSTUNREACH},
+                                                             {SystemCall::kSendDatagram, ENOBUFS}};
     const auto [call, error] = OneOf(kErrors);
-    const bool breaks = error == ETIMEDOUT || error == EHOSTUNREACH;
-    faults::Episode episode = EpisodeOf(call, error, {0.5, kLasts}, breaks ? 0.05 : Rounded(0.02, 1));
-    if (breaks) episode.chance = 0.1;  // of several connections, some
+    const bool breaks_connection = error == ETIMEDOUT || error == EHOSTUNREACH;
+    faults::Episode episode =
+        RandomEpisode(call, error, {0.5, kArrivalDuration}, breaks_connection ? 0.05 : Rounded(0.02, 1));
+    if (breaks_connection) episode.probability = 0.1;  // breaks some of the connections, not all
     return episode;
   }
 
-  faults::Episode FileEpisode() {
-    static constexpr std::pair<Call, int> kErrors[] = {
-        {Call::kStore, ENOSPC}, {Call::kStore, EIO},   {Call::kStore, 0},    {Call::kCut, EIO},
-        {Call::kOpen, ENFILE},  {Call::kOpen, ENOSPC}, {Call::kRename, EIO}, {Call::kRename, ENOSPC}};
+  faults::Episode RandomFileEpisode() {
+    static constexpr std::pair<SystemCall, int> kErrors[] = {
+        {SystemCall::kFileWrite, ENOSPC}, {SystemCall::kFileWrite, EIO},    {SystemCall::kFileWrite, 0},
+        {SystemCall::kFileTruncate, EIO}, {SystemCall::kFileOpen, ENFILE},  {SystemCall::kFileOpen, ENOSPC},
+        {SystemCall::kFileRename, EIO},   {SystemCall::kFileRename, ENOSPC}};
     const auto [call, error] = OneOf(kErrors);
-    faults::Episode episode = EpisodeOf(call, error, {0, kLasts}, Rounded(0.02, 0.6));
-    episode.bytes = static_cast<std::uint64_t>(Below(40));
+    faults::Episode episode = RandomEpisode(call, error, {0, kArrivalDuration}, Rounded(0.02, 0.6));
+    episode.max_bytes = static_cast<std::uint64_t>(Below(40));
     return episode;
   }
 
-  faults::ClockStep StepOf() {
-    static constexpr double kSteps[] = {-3600, -10, -1, 1, 10, 3600};
-    return {OneIn(2) ? 0 : Rounded(0, kLasts), OneOf(kSteps)};
+  faults::ClockStep RandomClockStep() {
+    static constexpr double kShifts[] = {-3600, -10, -1, 1, 10, 3600};
+    return {OneIn(2) ? 0 : Rounded(0, kArrivalDuration), OneOf(kShifts)};
   }
 };
 
 }  // namespace
 
-json DrawSoakScenario(std::uint64_t seed) { return ScenarioDrawer(seed).Draw(seed); }
+json GenerateSoakScenario(std::uint64_t seed) { return ScenarioGenerator(seed).Generate(seed); }
 
-faults::Plan DrawFaults(std::uint64_t seed, int relay, int start, const std::string& state_folder) {
-  return FaultDrawer(seed, relay, start).Draw(state_folder);
+faults::Plan GenerateFaultPlan(std::uint64_t seed, int relay, int start, const std::string& state_folder) {
+  return FaultPlanGenerator(seed, relay, start).Generate(state_folder);
 }
 
-RunResult PlaySoak(std::uint64_t seed, const SoakOptions& options) {
-  SocketOptions play;
-  play.program = options.program;
-  play.relay_arguments = {"--log-level", "debug"};
-  play.folder = options.folder;
-  play.clients_stay = true;
-  // Bounds of the auditor are wider than that.
-  play.most_lateness_p99 = 0.1;
-  play.most_lateness = 0.3;
-  play.requests_read = kRequestsRead;
+RunResult RunSoak(std::uint64_t seed, const SoakOptions& options) {
+  SocketOptions sockets;
+  sockets.program = options.program;
+  sockets.relay_arguments = {"--log-level", "debug"};
+  sockets.folder = options.folder;
+  sockets.clients_stay = true;
+  // The auditor's tolerances are wider than these.
+  sockets.most_lateness_p99 = 0.1;
+  sockets.most_lateness = 0.3;
+  sockets.requests_read = kRequestsRead;
   auto starts = std::make_shared<std::map<int, int>>();
-  if (!options.library.empty())
-    play.variables = [seed, starts, library = options.library](int relay, const std::string& state_folder) {
-      faults::Plan plan = DrawFaults(seed, relay, (*starts)[relay]++, state_folder);
+  if (!options.fault_library.empty())
+    sockets.variables = [seed, starts, library = options.fault_library](int relay,
+                                                                        const std::string& state_folder) {
+      faults::Plan plan = GenerateFaultPlan(seed, relay, (*starts)[relay]++, state_folder);
       plan.requests_read = std::filesystem::path(state_folder).replace_filename(kRequestsRead);
       return std::map<std::string, std::string>{{"LD_PRELOAD", library},
-                                                {faults::kPlanVariable, plan.Write()}};
+                                                {faults::kPlanVariable, plan.Serialize()}};
     };
-  return PlayOnSockets(ReadScenario(DrawSoakScenario(seed)), seed, play);
+  return PlayOnSockets(ReadScenario(GenerateSoakScenario(seed)), seed, sockets);
 }
 
 }  // namespace opalroute::lab
--- a/lab/soak/soak.h
+++ b/lab/soak/soak.h
@@ -1,6 +1,6 @@
-// A soak: scenarios and faults drawn from a seed, played with real processes of the relay whose system calls
-// fail in documented ways and whose wall clocks are stepped. The auditor of sockets' runs judges them from
-// outside.
+// Soak runs: a random scenario with random faults, generated from a seed, is run with real relay processes
+// whose system calls fail in documented ways and whose wall clocks are stepped. The auditor of runs on
+// sockets checks them from outside the processes.
 #pragma once
 
 #include <cstdint>
@@ -12,20 +12,20 @@
 
 namespace opalroute::lab {
 
-// As ReadScenario takes it; the same seed gives the same scenario.
-nlohmann::json DrawSoakScenario(std::uint64_t seed);
+// A scenario for ReadScenario. The same seed gives the same scenario.
+nlohmann::json GenerateSoakScenario(std::uint64_t seed);
 
-// What befalls the system calls of one process: a relay's first start, or a later one. The same arguments
+// The fault plan for one process of a relay; `start` counts the relay's starts from 0. The same arguments
 // give the same plan.
-faults::Plan DrawFaults(std::uint64_t seed, int relay, int start, const std::string& state_folder);
+faults::Plan GenerateFaultPlan(std::uint64_t seed, int relay, int start, const std::string& state_folder);
 
 struct SoakOptions {
-  std::string program;  // of the relay
-  std::string library;  // preloaded into its processes; empty: their system calls are left alone
-  std::string folder;   // for configurations, state and logs of this run
+  std::string program;        // of the relay
+  std::string fault_library;  // preloaded into the relay processes; empty: no system call faults
+  std::string folder;         // for configurations, state and logs of this run
 };
 
-// Plays one seed, in real time. Throws std::runtime_error if the relays do not come up.
-RunResult PlaySoak(std::uint64_t seed, const SoakOptions& options);
+// Runs one seed in real time. Throws std::runtime_error if the relays fail to start.
+RunResult RunSoak(std::uint64_t seed, const SoakOptions& options);
 
 }  // namespace opalroute::lab
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -507,7 +507,7 @@
   many.fault = Fault::kNoEdns;
   f.server.Set(f.q, many);
   CHECK(f.Ask(f.q, true).answer->services.size() == 20);
-  CHECK(f.server.tcp_questions() == 1);
+  CHECK(f.server.tcp_queries() == 1);
 }
 
 TEST_CASE("dns: after a timeout another server is asked, and is preferred from then on") {
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -189,10 +189,10 @@
   options.variables = [error](int, const std::string& state_folder) {
     faults::Plan plan;
     plan.seed = 5;
-    plan.folder = state_folder;
-    plan.episodes.push_back({faults::Call::kRead, error, 2, 4, 0.5, 0});
+    plan.state_folder = state_folder;
+    plan.episodes.push_back({faults::SystemCall::kSocketRead, error, 2, 4, 0.5, 0});
     return std::map<std::string, std::string>{{"LD_PRELOAD", FAULTS_LIBRARY},
-                                              {faults::kPlanVariable, plan.Write()}};
+                                              {faults::kPlanVariable, plan.Serialize()}};
   };
   json day = SmallDay();
   day.erase("troubles");
@@ -220,12 +220,12 @@
   options.variables = [writes_fail](int relay, const std::string& state_folder) {
     faults::Plan plan;
     plan.seed = 5;
-    plan.folder = state_folder;
+    plan.state_folder = state_folder;
     plan.requests_read = fs::path(state_folder).replace_filename("requests_read");
     if (writes_fail && relay == 0)
-      plan.episodes.push_back({faults::Call::kWrite, EIO, kStopsAt, kStopsAt + 5, 1, 0});
+      plan.episodes.push_back({faults::SystemCall::kSocketWrite, EIO, kStopsAt, kStopsAt + 5, 1, 0});
     return std::map<std::string, std::string>{{"LD_PRELOAD", FAULTS_LIBRARY},
-                                              {faults::kPlanVariable, plan.Write()}};
+                                              {faults::kPlanVariable, plan.Serialize()}};
   };
   json day = SmallDay();
   day.erase("troubles");
@@ -258,11 +258,11 @@
   const Folder folder;
   const std::string path = folder / "requests_read";
   constexpr int kDescriptor = 7;
-  faults::RequestsRead requests(path);
+  faults::RequestRecorder requests(path);
   const auto read = [&requests](std::string bytes) {
     const std::size_t half = bytes.size() / 2;
     const iovec parts[] = {{bytes.data(), half}, {bytes.data() + half, bytes.size() - half}};
-    requests.Read(kDescriptor, parts, 2, bytes.size());
+    requests.OnRead(kDescriptor, parts, 2, bytes.size());
   };
   const auto recorded = [&path] {
     std::ifstream file(path);
@@ -273,7 +273,7 @@
   };
   read(request("m1"));  // of a descriptor that is no client's
   CHECK(recorded().empty());
-  requests.Accepted(kDescriptor);
+  requests.OnAccepted(kDescriptor);
   const std::string second = request("m2");
   for (std::size_t i = 0; i + 1 < second.size(); ++i) read(second.substr(i, 1));
   CHECK(recorded().empty());
@@ -281,23 +281,23 @@
   CHECK(recorded() == "m2\n");
   read(request("m3") + request("m4") + request("m5").substr(0, 20));
   CHECK(recorded() == "m2\nm3\nm4\n");
-  requests.Closed(kDescriptor);
-  requests.Accepted(kDescriptor);  // the half request was another connection's
+  requests.OnClosed(kDescriptor);
+  requests.OnAccepted(kDescriptor);  // the half request was another connection's
   read(request("m6"));
   CHECK(recorded() == "m2\nm3\nm4\nm6\n");
 }
 
 TEST_CASE("lab: a plan of faults is read as it was written, and a seed draws the same one again") {
   for (std::uint64_t seed = 1; seed < 20; ++seed) {
-    const std::string text = DrawFaults(seed, 3, 1, "/state").Write();
-    CHECK(faults::Plan::Read(text).Write() == text);
-    CHECK(DrawFaults(seed, 3, 1, "/state").Write() == text);
-    CHECK(DrawFaults(seed, 3, 2, "/state").Write() != text);
-    CHECK(DrawSoakScenario(seed) == DrawSoakScenario(seed));
-    CHECK_NOTHROW(ReadScenario(DrawSoakScenario(seed)));
+    const std::string text = GenerateFaultPlan(seed, 3, 1, "/state").Serialize();
+    CHECK(faults::Plan::Parse(text).Serialize() == text);
+    CHECK(GenerateFaultPlan(seed, 3, 1, "/state").Serialize() == text);
+    CHECK(GenerateFaultPlan(seed, 3, 2, "/state").Serialize() != text);
+    CHECK(GenerateSoakScenario(seed) == GenerateSoakScenario(seed));
+    CHECK_NOTHROW(ReadScenario(GenerateSoakScenario(seed)));
   }
-  CHECK_THROWS_AS(faults::Plan::Read("5 /state fails 99 1 0 1 1 0"), std::invalid_argument);
-  CHECK_THROWS_AS(faults::Plan::Read("5 /state breaks"), std::invalid_argument);
+  CHECK_THROWS_AS(faults::Plan::Parse("5 /state fails 99 1 0 1 1 0"), std::invalid_argument);
+  CHECK_THROWS_AS(faults::Plan::Parse("5 /state breaks"), std::invalid_argument);
 }
 
 TEST_CASE("lab: a relay that does not come up ends the run with its log") {
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -117,20 +117,21 @@
 
 TEST_CASE(
     "state transfer: a relay that starts during an outage keeps to the Retry-After of the others, with each "
-    "carrier") {
+    "transfer method") {
   spdlog::set_level(spdlog::level::off);
   const std::string folder =
       (fs::temp_directory_path() / ("opalroute-experiment-" + std::to_string(getpid()))).string();
-  using Carrier = lab::LearningRun::Carrier;
-  const auto without = lab::RunLearning({3, true, Carrier::kNone}, folder);
-  CHECK(without.newcomer_shut + without.in_wait > 0);  // otherwise the runs below would prove nothing
-  for (const Carrier carrier : {Carrier::kTcp, Carrier::kNotes, Carrier::kState}) {
-    CAPTURE(static_cast<int>(carrier));
-    const auto with = lab::RunLearning({3, true, carrier}, folder);
+  using Transfer = lab::StateTransferRun::Transfer;
+  const auto without = lab::RunStateTransfer({3, true, Transfer::kNone}, folder);
+  CHECK(without.new_relay_calls_in_outage + without.new_relay_calls_in_wait >
+        0);  // otherwise the runs below would prove nothing
+  for (const Transfer transfer : {Transfer::kTcp, Transfer::kDatagrams, Transfer::kStateFolder}) {
+    CAPTURE(static_cast<int>(transfer));
+    const auto with = lab::RunStateTransfer({3, true, transfer}, folder);
     CHECK(with.collapses == 0);
-    CHECK(with.in_wait == 0);
-    CHECK(with.own_breaches == 0);
-    CHECK(with.twice == 0);
+    CHECK(with.new_relay_calls_in_wait == 0);
+    CHECK(with.calls_in_own_wait == 0);
+    CHECK(with.duplicate_payments == 0);
     CHECK(with.lost == 0);
   }
 }
