--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -61,17 +61,17 @@
     if (server_.silent_) return true;
     const std::string whole = AddLengthPrefix(server_.BuildAnswer(*query, entry, true));
     switch (entry.tcp) {
-      case Entry::Tcp::kWhole:
+      case Entry::Tcp::kComplete:
         connection_->Write(whole);
         return true;
       case Entry::Tcp::kTwice:
         connection_->Write(whole + whole);
         return true;
-      case Entry::Tcp::kHalf:
+      case Entry::Tcp::kFirstByteOnly:
         connection_->Write(whole.substr(0, 1));
         break;
       case Entry::Tcp::kRefuses:
-      case Entry::Tcp::kClosesAtOnce:
+      case Entry::Tcp::kClosesImmediately:
         break;
     }
     server_.sessions_.Drop(*this);
--- a/lab/dns/name_server.h
+++ b/lab/dns/name_server.h
@@ -32,7 +32,13 @@
       kNoEdns,         // FORMERR to a query with EDNS0
       kUpperCase       // the answer repeats the name in upper case
     } fault = Fault::kNone;
-    enum class Tcp { kWhole, kRefuses, kClosesAtOnce, kHalf, kTwice } tcp = Tcp::kWhole;
+    enum class Tcp {
+      kComplete,
+      kRefuses,            // closes the connection; a test also closes the port with SetTcp
+      kClosesImmediately,  // closes the connection without an answer
+      kFirstByteOnly,      // closes it after the answer's first byte
+      kTwice               // sends the answer twice
+    } tcp = Tcp::kComplete;
     bool truncated = false;  // over UDP, regardless of the answer's length
   };
 
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -170,9 +170,9 @@
       settings.learn.from = {*relays_[0]->state_transfer()->snapshot_address()};
     if (run_.transfer == Transfer::kStateFolder) settings.learn.state = true;
     configs_.push_back(std::make_unique<Config>(ConfigOf(relay)));
+    // As if the new relay had saved the file itself before a restart.
     if (run_.transfer == Transfer::kStateFolder && relay == 1 && fs::exists(folder_ + "/0/learned"))
-      fs::copy_file(folder_ + "/0/learned",
-                    folder_ + "/1/learned");  // as if the relay had saved it itself before a restart
+      fs::copy_file(folder_ + "/0/learned", folder_ + "/1/learned");
     relays_.push_back(std::make_unique<Relay>(loop_, *configs_.back(), settings));
     loads_[static_cast<std::size_t>(relay)]->SetRelay(relays_.back()->address());
   }
@@ -219,8 +219,8 @@
   std::mt19937_64 random_;
   Clock clock_;
   net::EventLoop loop_;
-  std::vector<std::unique_ptr<Platform>>
-      platforms_;  // one per relay: the partner has a different address for each
+  // One per relay: the partner has a different address for each.
+  std::vector<std::unique_ptr<Platform>> platforms_;
   std::unique_ptr<Partner> partner_;
   std::vector<std::unique_ptr<Load>> loads_;
   std::vector<std::string> peer_ports_;
--- a/lab/experiments/snapshot_table.cpp
+++ b/lab/experiments/snapshot_table.cpp
@@ -183,7 +183,7 @@
     for (const int fd : {address_pipe[0], address_pipe[1], report_pipe[0], report_pipe[1]}) close(fd);
     if (collector.report.result != state_transfer::SnapshotResult::kComplete ||
         collector.routes != destinations) {
-      std::printf("a run ended %s with %d lanes\n", NameOf(collector.report.result), collector.routes);
+      std::printf("a run ended %s with %d routes\n", NameOf(collector.report.result), collector.routes);
       return 1;
     }
     figures[0].push_back(collector.report.duration * 1000);
--- a/lab/experiments/soak_table.cpp
+++ b/lab/experiments/soak_table.cpp
@@ -105,7 +105,7 @@
         std::ofstream(folder + "/result.json") << result.ToJson().dump(1) << '\n';
         report = MakeReport(seed, result, folder);
       } catch (const std::runtime_error& error) {
-        report.text = "seed " + std::to_string(seed) + ": NOT PLAYED: " + error.what() + "\n";
+        report.text = "seed " + std::to_string(seed) + ": NOT RUN: " + error.what() + "\n";
       }
       const std::lock_guard<std::mutex> lock(mutex);
       std::fputs(report.text.c_str(), stdout);
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -26,8 +26,8 @@
 constexpr double kMaxTotalFailure = 0.2;              // seconds: only shorter periods may fail every call
 constexpr int kConnectionFlood = 520;                 // more connections than a relay keeps
 constexpr int kLargeFleetOneIn = 10;                  // one seed in so many has a large fleet
-constexpr int kRareFaultOneIn =
-    5;  // one seed in so many has a connection flood; likewise an unreachable platform
+// One seed in so many has a connection flood, and one in so many an unreachable platform.
+constexpr int kRareFaultOneIn = 5;
 constexpr double kKillGracePeriod = RelayProcess::kKilledAfter;
 constexpr const char* kRequestsRead = "requests_read";  // file name in a relay's folder
 
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -435,7 +435,7 @@
 }
 
 TEST_CASE("dns: if TCP fails after a truncation the stale answer is used, never the truncated one") {
-  for (const Tcp tcp : {Tcp::kClosesAtOnce, Tcp::kHalf, Tcp::kRefuses}) {
+  for (const Tcp tcp : {Tcp::kClosesImmediately, Tcp::kFirstByteOnly, Tcp::kRefuses}) {
     ResolverFixture f;
     f.server.Set(f.q, f.Entry(3));
     CHECK(f.Ask(f.q).answer->services.size() == 3);
