--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -20,9 +20,9 @@
 
 }  // namespace
 
-class NameServer::Session : public net::Connection::Owner {
+class FakeNameServer::Session : public net::Connection::Owner {
  public:
-  explicit Session(NameServer& server) : server_(server) {}
+  explicit Session(FakeNameServer& server) : server_(server) {}
   bool Open(int fd) {
     connection_ = net::Connection::Adopt(server_.loop_, fd, *this, 2 * kMaxMessageSize, 4 * kMaxMessageSize);
     return connection_ != nullptr;
@@ -78,12 +78,12 @@
     return false;
   }
 
-  NameServer& server_;
+  FakeNameServer& server_;
   std::unique_ptr<net::Connection> connection_;
   std::string bytes_;
 };
 
-NameServer::NameServer(net::EventLoop& loop) : loop_(loop), sessions_(loop) {
+FakeNameServer::FakeNameServer(net::EventLoop& loop) : loop_(loop), sessions_(loop) {
   nx_domain_.rcode = dns::Rcode::kNxDomain;
   const auto any = *net::ParseAddress("127.0.0.1:0");
   other_port_ = std::make_unique<net::DatagramSocket>(loop, any, kMaxMessageSize,
@@ -101,9 +101,9 @@
   }
 }
 
-NameServer::~NameServer() = default;
+FakeNameServer::~FakeNameServer() = default;
 
-void NameServer::SetTcp(bool open) {
+void FakeNameServer::SetTcp(bool open) {
   tcp_.reset();
   if (!open) return;
   tcp_ = std::make_unique<net::Listener>(loop_, address(), [this](int fd) {
@@ -112,14 +112,14 @@
   });
 }
 
-void NameServer::Set(const dns::Question& question, Entry entry) { zone_[question] = std::move(entry); }
+void FakeNameServer::Set(const dns::Question& question, Entry entry) { zone_[question] = std::move(entry); }
 
-const NameServer::Entry& NameServer::FindEntry(const dns::Message& query) const {
+const FakeNameServer::Entry& FakeNameServer::FindEntry(const dns::Message& query) const {
   const auto it = zone_.find(query.questions[0]);
   return it == zone_.end() ? nx_domain_ : it->second;
 }
 
-std::string NameServer::BuildAnswer(const dns::Message& query, const Entry& entry, bool tcp) const {
+std::string FakeNameServer::BuildAnswer(const dns::Message& query, const Entry& entry, bool tcp) const {
   dns::Message answer;
   answer.id = query.id;
   answer.response = answer.recursion_available = true;
@@ -151,14 +151,14 @@
   return bytes;
 }
 
-void NameServer::RunAfter(net::Seconds delay, std::function<void()> action) {
+void FakeNameServer::RunAfter(net::Seconds delay, std::function<void()> action) {
   if (delay <= 0) return action();
   loop_.At(loop_.Now() + delay, [alive = std::weak_ptr<bool>(alive_), action = std::move(action)] {
     if (!alive.expired()) action();
   });
 }
 
-void NameServer::OnDatagram(const sockaddr_in& from, const std::string& bytes) {
+void FakeNameServer::OnDatagram(const sockaddr_in& from, const std::string& bytes) {
   const auto decoded = dns::Decode(bytes);
   const auto* query = std::get_if<dns::Message>(&decoded);
   if (query == nullptr || query->questions.size() != 1) return;
--- a/lab/dns/name_server.h
+++ b/lab/dns/name_server.h
@@ -15,7 +15,7 @@
 
 namespace opalroute::lab {
 
-class NameServer {
+class FakeNameServer {
  public:
   // The answer to one question, over UDP and TCP.
   struct Entry {
@@ -42,8 +42,8 @@
     bool truncated = false;  // over UDP, regardless of the answer's length
   };
 
-  explicit NameServer(net::EventLoop& loop);
-  ~NameServer();
+  explicit FakeNameServer(net::EventLoop& loop);
+  ~FakeNameServer();
 
   sockaddr_in address() const { return udp_->address(); }
   void Set(const dns::Question& question, Entry entry);
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -191,12 +191,13 @@
       const bool by_new_relay = call.relay == 1;
       if (by_new_relay && call.at >= recovery && call.at < recovery + 2) ++r.new_relay_calls;
       if (by_new_relay && call.at < recovery) ++r.new_relay_calls_in_outage;
-      if (by_new_relay && call.wait_since > 0 && call.wait_since < new_relay_at_) ++r.new_relay_calls_in_wait;
+      if (by_new_relay && call.wait_since > 0 && call.wait_since < new_relay_at_)
+        ++r.new_relay_calls_during_retry_after;
       const auto second = static_cast<int>(call.at - recovery);
       if (call.at >= recovery && second < static_cast<int>(r.calls_by_second.size()))
         ++r.calls_by_second[static_cast<std::size_t>(second)];
     }
-    r.calls_in_own_wait = model.Count(PartnerModel::BreachKind::kInWait);
+    r.calls_during_own_retry_after = model.Count(PartnerModel::BreachKind::kInWait);
     r.collapses = model.Count(PartnerModel::BreachKind::kCollapse);
     r.duplicate_payments = model.Count(PartnerModel::BreachKind::kTwice);
     for (const auto& load : loads_) {
--- a/lab/experiments/learning_experiment.h
+++ b/lab/experiments/learning_experiment.h
@@ -21,8 +21,9 @@
   int new_relay_calls = 0;            // calls of the new relay in the first 2 s after the recovery
   int new_relay_calls_in_outage = 0;  // calls of the new relay before the recovery
   // Calls of the new relay during a Retry-After period that began, for any relay, before its start.
-  int new_relay_calls_in_wait = 0;
-  int calls_in_own_wait = 0;  // calls of any relay during a Retry-After period that it was told itself
+  int new_relay_calls_during_retry_after = 0;
+  int calls_during_own_retry_after =
+      0;  // calls of any relay during a Retry-After period that it was told itself
   int collapses = 0;
   int duplicate_payments = 0;  // payments that took effect twice
   // Priority weight of the requests due in the first 10 s after the recovery: of all of them, and of those
--- a/lab/experiments/learning_table.cpp
+++ b/lab/experiments/learning_table.cpp
@@ -82,9 +82,9 @@
     };
     std::printf("| %s | %s | %s | %s | %d | %d | %d | %d | %s |\n", arm.name,
                 spread([](const auto& r) { return r.new_relay_calls_in_outage; }, "%.0f").c_str(),
-                spread([](const auto& r) { return r.new_relay_calls_in_wait; }, "%.0f").c_str(),
+                spread([](const auto& r) { return r.new_relay_calls_during_retry_after; }, "%.0f").c_str(),
                 spread([](const auto& r) { return r.new_relay_calls; }, "%.0f").c_str(),
-                sum(&StateTransferResult::collapses), sum(&StateTransferResult::calls_in_own_wait),
+                sum(&StateTransferResult::collapses), sum(&StateTransferResult::calls_during_own_retry_after),
                 sum(&StateTransferResult::duplicate_payments), sum(&StateTransferResult::lost),
                 spread([](const auto& r) { return r.weight / r.weight_due; }, "%.3f").c_str());
     std::vector<int> calls_by_second(16, 0);
@@ -98,8 +98,9 @@
     });
     if (!valid) std::printf("the arm '%s' is void\n", arm.name);
     holds = holds && valid;
-    const bool rules_kept =
-        sum(&StateTransferResult::calls_in_own_wait) + sum(&StateTransferResult::duplicate_payments) == 0;
+    const bool rules_kept = sum(&StateTransferResult::calls_during_own_retry_after) +
+                                sum(&StateTransferResult::duplicate_payments) ==
+                            0;
     holds = holds && rules_kept;
     if (!arm.outage) {
       double weight = 0;
@@ -108,8 +109,9 @@
       holds = holds && weight >= weight_without_transfer;
     }
     if (arm.outage && arm.transfer != Transfer::kNone)
-      holds = holds &&
-              sum(&StateTransferResult::collapses) + sum(&StateTransferResult::new_relay_calls_in_wait) == 0;
+      holds = holds && sum(&StateTransferResult::collapses) +
+                               sum(&StateTransferResult::new_relay_calls_during_retry_after) ==
+                           0;
   }
   std::printf("\ncalls at the partner by second after it opened, mean of the seeds:\n\n");
   for (std::size_t arm = 0; arm < kArms.size(); ++arm) {
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -79,12 +79,12 @@
     return {"m" + std::to_string(machine), "z0", "plain", AddressOf(machine), kDestination, status, 0};
   }
   void PublishZone() {
-    NameServer::Entry entry;
+    FakeNameServer::Entry entry;
     for (const int machine : serving_) {
       const std::string host = "h" + std::to_string(machine) + ".example";
       entry.answers.push_back({ParseName("_api._tcp.example"), dns::Type::kSrv, dns::kInternet, ttl_,
                                dns::Srv{1, 1, 80, ParseName(host)}});
-      NameServer::Entry address;
+      FakeNameServer::Entry address;
       address.answers = {{ParseName(host), dns::Type::kA, dns::kInternet, 3600, AddressOf(machine).sin_addr}};
       server_.Set({ParseName(host), dns::Type::kA}, address);
     }
@@ -142,7 +142,7 @@
   pcg32 random_;
   Clock clock_;
   net::EventLoop loop_;
-  NameServer server_;
+  FakeNameServer server_;
   Config config_;
   Operator settings_;
   std::vector<int> serving_;  // machine numbers
@@ -167,18 +167,18 @@
 void MeasureManyNames(int names, std::uint32_t ttl) {
   Clock clock;
   net::EventLoop loop(clock);
-  NameServer server(loop);
+  FakeNameServer server(loop);
   Config config;
   Operator settings;
   NullListener listener;
   settings.dns.servers = {server.address()};
-  NameServer::Entry host;
+  FakeNameServer::Entry host;
   host.answers = {
       {ParseName("host.example"), dns::Type::kA, dns::kInternet, 3600, in_addr{htonl(INADDR_LOOPBACK)}}};
   server.Set({ParseName("host.example"), dns::Type::kA}, host);
   for (int i = 0; i < names; ++i) {
     const std::string name = "_api._tcp.p" + std::to_string(i) + ".example";
-    NameServer::Entry entry;
+    FakeNameServer::Entry entry;
     for (const std::uint16_t port : {80, 81})
       entry.answers.push_back({ParseName(name), dns::Type::kSrv, dns::kInternet, ttl,
                                dns::Srv{1, 1, port, ParseName("host.example")}});
--- a/tests/discovery/srv_records.h
+++ b/tests/discovery/srv_records.h
@@ -29,8 +29,8 @@
 };
 
 // An answer to the SRV question for kSrvName; `ttl` in seconds.
-inline lab::NameServer::Entry SrvAnswer(const std::vector<SrvEndpoint>& endpoints, std::uint32_t ttl) {
-  lab::NameServer::Entry entry;
+inline lab::FakeNameServer::Entry SrvAnswer(const std::vector<SrvEndpoint>& endpoints, std::uint32_t ttl) {
+  lab::FakeNameServer::Entry entry;
   for (const SrvEndpoint& endpoint : endpoints) {
     const dns::Srv record{1, 1, endpoint.port, DomainName(endpoint.target)};
     entry.answers.push_back({DomainName(kSrvName), dns::Type::kSrv, dns::kInternet, ttl, record});
@@ -38,10 +38,11 @@
   return entry;
 }
 
-inline lab::NameServer::Entry AddressAnswer(const std::string& host, const char* address, std::uint32_t ttl) {
+inline lab::FakeNameServer::Entry AddressAnswer(const std::string& host, const char* address,
+                                                std::uint32_t ttl) {
   in_addr ip{};
   inet_pton(AF_INET, address, &ip);
-  lab::NameServer::Entry entry;
+  lab::FakeNameServer::Entry entry;
   entry.answers = {{DomainName(host), dns::Type::kA, dns::kInternet, ttl, ip}};
   return entry;
 }
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -23,7 +23,7 @@
 
 namespace fs = std::filesystem;
 
-using lab::NameServer;
+using lab::FakeNameServer;
 
 TEST_CASE("srv: settings are validated, and no name is queried by default") {
   const auto read = [](std::vector<std::string> flags) {
@@ -88,7 +88,7 @@
   const Folder folder;
   lab::Clock clock;
   net::EventLoop loop(clock);
-  NameServer server(loop);
+  FakeNameServer server(loop);
   lab::Platform platform(loop);
   lab::PartnerSettings partner;
   lab::Partner a(loop, partner, 1, 1), b(loop, partner, 1, 1), unlisted(loop, partner, 1, 1);
@@ -131,7 +131,7 @@
   const Folder folder;
   const net::SystemClock clock;
   net::EventLoop loop(clock);
-  NameServer server(loop);
+  FakeNameServer server(loop);
   server.Set(AddressQuestion("a.example"), AddressAnswer("a.example", "127.0.0.1", 60));
   server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}}, 60));
   lab::Platform platform(loop);
--- a/tests/discovery/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -17,7 +17,7 @@
 namespace opalroute {
 namespace {
 
-using lab::NameServer;
+using lab::FakeNameServer;
 using Status = EndpointRecord::Status;
 
 EndpointRecord MakeRecord(const std::string& id, const std::string& address) {
@@ -55,7 +55,7 @@
   }
   lab::Clock clock;
   net::EventLoop loop;
-  NameServer server;
+  FakeNameServer server;
   Config config;
   Operator settings;
   std::unique_ptr<MergedEndpointSource> source;
@@ -107,13 +107,13 @@
   scenario.server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}, {"b.example", 80}}, 5));
   scenario.Start();
   scenario.Advance(1);
-  NameServer::Entry failing;
+  FakeNameServer::Entry failing;
   failing.rcode = dns::Rcode::kServFail;
   scenario.server.Set(AddressQuestion("b.example"), failing);
   scenario.Advance(30);
   CHECK(scenario.InService("a"));
   CHECK(scenario.InService("b"));
-  NameServer::Entry none;  // the name exists, but has no address
+  FakeNameServer::Entry none;  // the name exists, but has no address
   scenario.server.Set(AddressQuestion("b.example"), none);
   scenario.Advance(15);
   CHECK(scenario.InService("a"));
@@ -237,7 +237,7 @@
   for (int i = 0; i < 5000; ++i) {
     const std::string name = "_api._tcp.p" + std::to_string(i) + ".example";
     scenario.settings.srv_names.emplace_back(name, i);
-    lab::NameServer::Entry entry;
+    lab::FakeNameServer::Entry entry;
     entry.rcode = dns::Rcode::kServFail;
     scenario.server.Set(SrvQuestion(name), entry);
   }
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -351,8 +351,8 @@
     REQUIRE(outcome);
     return *outcome;
   }
-  lab::NameServer::Entry Entry(int targets = 1) const {
-    lab::NameServer::Entry entry;
+  lab::FakeNameServer::Entry Entry(int targets = 1) const {
+    lab::FakeNameServer::Entry entry;
     for (int i = 0; i < targets; ++i)
       entry.answers.push_back(MakeSrvRecord("s.example", 10, "host" + std::to_string(i) + ".example"));
     return entry;
@@ -361,12 +361,12 @@
   Limits limits;
   lab::Clock clock;
   net::EventLoop loop;
-  lab::NameServer server, second;
+  lab::FakeNameServer server, second;
   std::unique_ptr<Resolver> resolver;
 };
 
-using Fault = lab::NameServer::Entry::Fault;
-using Tcp = lab::NameServer::Entry::Tcp;
+using Fault = lab::FakeNameServer::Entry::Fault;
+using Tcp = lab::FakeNameServer::Entry::Tcp;
 
 TEST_CASE("dns: equal questions share a lookup, and the answer is cached for its TTL") {
   ResolverFixture f;
@@ -524,7 +524,7 @@
 
 TEST_CASE("dns: a chain of aliases over several answers is followed, and an endless one is an error") {
   ResolverFixture f;
-  lab::NameServer::Entry alias;
+  lab::FakeNameServer::Entry alias;
   alias.answers = {MakeRecord("s.example", Type::kCname, 5, ParseName("t.example"))};
   f.server.Set(f.q, alias);
   auto entry = f.Entry();
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -123,14 +123,14 @@
       (fs::temp_directory_path() / ("opalroute-experiment-" + std::to_string(getpid()))).string();
   using Transfer = lab::StateTransferRun::Transfer;
   const auto without = lab::RunStateTransfer({3, true, Transfer::kNone}, folder);
-  CHECK(without.new_relay_calls_in_outage + without.new_relay_calls_in_wait >
+  CHECK(without.new_relay_calls_in_outage + without.new_relay_calls_during_retry_after >
         0);  // otherwise the runs below would prove nothing
   for (const Transfer transfer : {Transfer::kTcp, Transfer::kDatagrams, Transfer::kStateFolder}) {
     CAPTURE(static_cast<int>(transfer));
     const auto with = lab::RunStateTransfer({3, true, transfer}, folder);
     CHECK(with.collapses == 0);
-    CHECK(with.new_relay_calls_in_wait == 0);
-    CHECK(with.calls_in_own_wait == 0);
+    CHECK(with.new_relay_calls_during_retry_after == 0);
+    CHECK(with.calls_during_own_retry_after == 0);
     CHECK(with.duplicate_payments == 0);
     CHECK(with.lost == 0);
   }
