--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -176,36 +176,38 @@
   const auto row = [&](const char* name, const std::vector<Throughput>& rounds) {
     long refused = 0, broken = 0;
     for (const Throughput& one : rounds) {
-      refused += one.refused;
-      broken += one.broken;
+      refused += one.rejected;
+      broken += one.disconnected;
     }
-    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(rounds, &Throughput::delivered),
-                median(rounds, &Throughput::cpu_us), refused, broken);
+    std::printf("| %s | %.0f | %.1f | %ld | %ld |\n", name, median(rounds, &Throughput::delivered_per_second),
+                median(rounds, &Throughput::cpu_us_per_request), refused, broken);
   };
   row("bare forwarder", r.forwarder);
   row("relay, journal on", r.relay);
   std::printf("\nrelay over forwarder: %.3f; its journal alone: %.1f us of CPU a message\n\n",
-              median(r.relay, &Throughput::delivered) / median(r.forwarder, &Throughput::delivered),
+              median(r.relay, &Throughput::delivered_per_second) /
+                  median(r.forwarder, &Throughput::delivered_per_second),
               r.journal_us);
   std::printf(
       "| of capacity | messages a second | 202 after: p50 ms | p99 ms | p99.9 ms | refused | broken |\n"
       "|---|---|---|---|---|---|---|\n");
-  for (const CapacityResult::Answer& a : r.answers)
+  for (const CapacityResult::ResponseTime& a : r.response_times)
     std::printf("| %.0f%% | %.0f | %.2f | %.2f | %.2f | %ld | %ld |\n", a.share * 100, a.rate, a.p50 * 1e3,
-                a.p99 * 1e3, a.p99_9 * 1e3, a.refused, a.broken);
+                a.p99 * 1e3, a.p99_9 * 1e3, a.rejected, a.disconnected);
   std::printf("\nmemory: %.0f bytes per open request (of %ld), %.0f bytes per idle destination (of %ld)\n",
-              r.bytes_per_transaction, r.transactions, r.bytes_per_destination, r.destinations);
+              r.bytes_per_open_request, r.open_requests, r.bytes_per_destination, r.destinations);
   return 0;
 }
 
-int Soak(SoakOrder order, bool no_system_call_faults) {
+int Soak(SoakBatch batch, bool no_system_call_faults) {
   std::signal(SIGPIPE, SIG_IGN);
-  order.program = FindRelayProgram(order.program);
+  batch.program = FindRelayProgram(batch.program);
   if (!no_system_call_faults)
-    order.library = (std::filesystem::path(OwnPath()).parent_path() / "libopalroute_faults.so").string();
+    batch.fault_library =
+        (std::filesystem::path(OwnPath()).parent_path() / "libopalroute_faults.so").string();
   const TemporaryFolder temporary;
-  if (order.folder.empty()) order.folder = temporary.path();
-  return SoakTable(order);
+  if (batch.folder.empty()) batch.folder = temporary.path();
+  return RunSoakBatch(batch);
 }
 
 // The hold model, a standard benchmark of event queues: each event that is removed inserts another, a random
@@ -325,17 +327,17 @@
   script->add_option("--count", scripts)->check(CLI::Range(1, 1000000));
   script->add_option("--jobs", jobs, "concurrent runs (default: one per core)")->check(CLI::Range(1, 256));
   script->add_flag("--print", print, "print the first script as a scenario file and run none");
-  SoakOrder soak_order;
+  SoakBatch soak_batch;
   std::string follow;
   CLI::App* soak = app.add_subcommand(
       "soak",
       "run seeds with real processes under faults; exit status 1 if one breaks a rule, 3 if one is void");
-  soak->add_option("--seed", soak_order.first, "first seed");
-  soak->add_option("--count", soak_order.count)->check(CLI::Range(1, 100000));
-  soak->add_option("--jobs", soak_order.jobs, "concurrent runs")->check(CLI::Range(1, 16));
-  soak->add_option("--relay", soak_order.program,
+  soak->add_option("--seed", soak_batch.first_seed, "first seed");
+  soak->add_option("--count", soak_batch.count)->check(CLI::Range(1, 100000));
+  soak->add_option("--jobs", soak_batch.jobs, "concurrent runs")->check(CLI::Range(1, 16));
+  soak->add_option("--relay", soak_batch.program,
                    "path of the relay program (default: in this program's folder)");
-  soak->add_option("--out", soak_order.folder, "folder for logs (default: they are removed after the run)");
+  soak->add_option("--out", soak_batch.folder, "folder for logs (default: they are removed after the run)");
   soak->add_option("--follow", follow,
                    "run nothing; print what the logs of the run under --out contain about a message");
   bool no_system_call_faults = false;
@@ -351,30 +353,31 @@
       std::filesystem::create_directories(temporary.path());
       if (jobs == 0)
         jobs = sockets.enabled ? 1 : static_cast<int>(std::max(1U, std::thread::hardware_concurrency()));
-      const PlayOrder order{seeds, jobs, sockets.enabled, sockets.arguments, OwnPath(), temporary.path()};
-      return *compare ? Compare({source, sets, build_a}, {other_source, sets, build_b}, order)
-                      : Sweep({source, {}, {}}, key, values, order);
+      const ComparisonOptions options{seeds,           jobs, sockets.enabled, sockets.arguments, OwnPath(),
+                                      temporary.path()};
+      return *compare ? Compare({source, sets, build_a}, {other_source, sets, build_b}, options)
+                      : Sweep({source, {}, {}}, key, values, options);
     }
     if (*script && print) {
       std::printf("%s\n", DrawFaultScript(seed).dump(1).c_str());
       return 0;
     }
     if (*script)
-      return ScriptTable(
+      return RunScripts(
           seed, scripts,
           jobs > 0 ? jobs : static_cast<int>(std::max(1U, std::thread::hardware_concurrency())));
     if (*soak && print) {
-      std::printf("%s\n", DrawSoakScenario(soak_order.first).dump(1).c_str());
+      std::printf("%s\n", GenerateSoakScenario(soak_batch.first_seed).dump(1).c_str());
       return 0;
     }
     if (*soak && !follow.empty()) {
-      std::fputs(FollowMessage(soak_order.folder, follow).c_str(), stdout);
+      std::fputs(FindMessageInLogs(soak_batch.folder, follow).c_str(), stdout);
       return 0;
     }
-    if (*soak) return Soak(soak_order, no_system_call_faults);
-    if (*learning) return LearningTable(seeds);
-    if (*snapshot) return SnapshotTable(destinations, rounds);
-    if (*srv) return SrvTable(changes);
+    if (*soak) return Soak(soak_batch, no_system_call_faults);
+    if (*learning) return RunStateTransferExperiment(seeds);
+    if (*snapshot) return RunSnapshotExperiment(destinations, rounds);
+    if (*srv) return RunSrvExperiment(changes);
     if (*capacity_command) return Capacity(capacity);
     if (*report) return Report(folders, report_path);
     if (*queues) return QueueTable();
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -351,8 +351,8 @@
     REQUIRE(outcome);
     return *outcome;
   }
-  lab::NameServer::Entry Entry(int targets = 1) const {
-    lab::NameServer::Entry entry;
+  lab::FakeNameServer::Entry Entry(int targets = 1) const {
+    lab::FakeNameServer::Entry entry;
     for (int i = 0; i < targets; ++i)
       entry.answers.push_back(MakeSrvRecord("s.example", 10, "host" + std::to_string(i) + ".example"));
     return entry;
@@ -361,12 +361,12 @@
   Limits limits;
   lab::Clock clock;
   net::EventLoop loop;
-  lab::NameServer server, second;
+  lab::FakeNameServer server, second;
   std::unique_ptr<Resolver> resolver;
 };
 
-using Fault = lab::NameServer::Entry::Fault;
-using Tcp = lab::NameServer::Entry::Tcp;
+using Fault = lab::FakeNameServer::Entry::Fault;
+using Tcp = lab::FakeNameServer::Entry::Tcp;
 
 TEST_CASE("dns: equal questions share a lookup, and the answer is cached for its TTL") {
   ResolverFixture f;
@@ -435,7 +435,7 @@
 }
 
 TEST_CASE("dns: if TCP fails after a truncation the stale answer is used, never the truncated one") {
-  for (const Tcp tcp : {Tcp::kClosesAtOnce, Tcp::kHalf, Tcp::kRefuses}) {
+  for (const Tcp tcp : {Tcp::kClosesImmediately, Tcp::kFirstByteOnly, Tcp::kRefuses}) {
     ResolverFixture f;
     f.server.Set(f.q, f.Entry(3));
     CHECK(f.Ask(f.q).answer->services.size() == 3);
@@ -507,7 +507,7 @@
   many.fault = Fault::kNoEdns;
   f.server.Set(f.q, many);
   CHECK(f.Ask(f.q, true).answer->services.size() == 20);
-  CHECK(f.server.tcp_questions() == 1);
+  CHECK(f.server.tcp_queries() == 1);
 }
 
 TEST_CASE("dns: after a timeout another server is asked, and is preferred from then on") {
@@ -524,7 +524,7 @@
 
 TEST_CASE("dns: a chain of aliases over several answers is followed, and an endless one is an error") {
   ResolverFixture f;
-  lab::NameServer::Entry alias;
+  lab::FakeNameServer::Entry alias;
   alias.answers = {MakeRecord("s.example", Type::kCname, 5, ParseName("t.example"))};
   f.server.Set(f.q, alias);
   auto entry = f.Entry();
