--- a/lab/auditor.cpp
+++ b/lab/auditor.cpp
@@ -11,37 +11,37 @@
       return "two_answers";
     case BreachKind::kNoAnswer:
       return "no_answer";
-    case BreachKind::kAfterEnd:
+    case BreachKind::kSentAfterEnd:
       return "sent_after_end";
-    case BreachKind::kUnsafeRepeat:
+    case BreachKind::kNonIdempotentRepeat:
       return "unsafe_repeat";
-    case BreachKind::kKeyedRepeat:
+    case BreachKind::kDeduplicatedRepeat:
       return "keyed_repeat";
-    case BreachKind::kRanTwice:
+    case BreachKind::kNonIdempotentRanTwice:
       return "ran_twice";
-    case BreachKind::kKeyRanTwice:
+    case BreachKind::kDeduplicatedRanTwice:
       return "key_ran_twice";
-    case BreachKind::kUnsafeRefused:
+    case BreachKind::kUnsafeRejection:
       return "unsafe_refused";
-    case BreachKind::kInWait:
+    case BreachKind::kSentDuringRetryAfter:
       return "in_wait";
-    case BreachKind::kDrained:
+    case BreachKind::kSentToDrained:
       return "drained";
-    case BreachKind::kForeign:
+    case BreachKind::kForeignEndpoint:
       return "foreign_endpoint";
-    case BreachKind::kPushedOver:
+    case BreachKind::kRecoveryOverload:
       return "pushed_over";
-    case BreachKind::kOverParts:
+    case BreachKind::kQuotaExceeded:
       return "over_parts";
-    case BreachKind::kStalled:
+    case BreachKind::kStalledClient:
       return "stalled_client";
-    case BreachKind::kClosed:
+    case BreachKind::kClosedUnanswered:
       return "closed_unanswered";
     case BreachKind::kNotReady:
       return "not_ready";
-    case BreachKind::kUntried:
+    case BreachKind::kRecoveredNotAttempted:
       return "untried";
-    case BreachKind::kOutOfTurn:
+    case BreachKind::kOutOfOrder:
       return "out_of_turn";
   }
   return "";
@@ -58,7 +58,7 @@
     char line[96];
     std::snprintf(line, sizeof(line), "%ssent %.3f to %u%s", trace.empty() ? "" : ", ", a.sent,
                   static_cast<unsigned>(a.endpoint),
-                  a.out            ? " (out)"
+                  a.in_flight      ? " (out)"
                   : a.may_have_run ? " (may have run)"
                                    : " (never ran)");
     trace += line;
@@ -72,52 +72,53 @@
       {kind, now, relay, message, endpoint, it == messages_.end() ? "" : TraceOf(it->second)});
 }
 
-void Auditor::Taken(Seconds now, int relay, std::uint64_t message, std::uint64_t origin, int message_class,
-                    DestinationId destination, Seconds deadline) {
+void Auditor::OnAccepted(Seconds now, int relay, std::uint64_t message, std::uint64_t origin,
+                         int message_class, DestinationId destination, Seconds deadline) {
   const auto [it, fresh] = messages_.try_emplace(
       message, Message{relay, message_class, origin, destination, std::max(now, deadline), false, {}, 0});
-  if (!fresh) {  // restored by the next process
+  if (!fresh) {  // recovered by the next process
     it->second.relay = relay;
     return;
   }
-  deadlines_.insert({std::max(now, deadline) + rules_.answer_slack, message});
+  deadlines_.insert({std::max(now, deadline) + rules_.deadline_tolerance, message});
 }
 
-void Auditor::Ended(Seconds now, std::uint64_t message, End end) {
+void Auditor::OnEnded(Seconds now, std::uint64_t message, End end) {
   const auto it = messages_.find(message);
-  if (it == messages_.end() || it->second.over)
+  if (it == messages_.end() || it->second.ended)
     return Report(BreachKind::kTwoAnswers, now, it == messages_.end() ? -1 : it->second.relay, message, 0);
   Message& m = it->second;
   const RequestClass& c = classes_[static_cast<std::size_t>(m.message_class)];
-  const bool ran = std::any_of(m.attempts.begin(), m.attempts.end(),
-                               [](const Attempt& a) { return a.out || a.may_have_run; });
-  const bool binds =
+  const bool may_have_run = std::any_of(m.attempts.begin(), m.attempts.end(),
+                                        [](const Attempt& a) { return a.in_flight || a.may_have_run; });
+  const bool must_not_repeat =
       c.idempotency == Idempotency::kNonIdempotent ||
       (c.idempotency == Idempotency::kIdempotencyKey && c.deduplication_scope != DeduplicationScope::kAll);
-  if (end == End::kRefused && ran && binds) Report(BreachKind::kUnsafeRefused, now, m.relay, message, 0);
-  if (end == End::kWithdrawn) {
+  if (end == End::kRejected && may_have_run && must_not_repeat)
+    Report(BreachKind::kUnsafeRejection, now, m.relay, message, 0);
+  if (end == End::kAborted) {
     const auto run = first_run_.find(m.origin);
     if (run != first_run_.end() && run->second.second == message) first_run_.erase(run);
   }
-  m.over = true;
-  deadlines_.erase({m.deadline + rules_.answer_slack, message});
-  ForgetIfDone(message);
+  m.ended = true;
+  deadlines_.erase({m.deadline + rules_.deadline_tolerance, message});
+  EraseIfDone(message);
 }
 
-void Auditor::Until(Seconds now) {
+void Auditor::CheckDeadlines(Seconds now) {
   while (!deadlines_.empty() && deadlines_.begin()->first < now) {
     const std::uint64_t id = deadlines_.begin()->second;
     const Seconds at = deadlines_.begin()->first;
     deadlines_.erase(deadlines_.begin());
     const auto it = messages_.find(id);
-    if (it == messages_.end() || it->second.over) continue;
-    const auto excused = excused_.find(it->second.relay);
-    if (excused != excused_.end() && excused->second > at) {
-      deadlines_.insert({excused->second, id});
+    if (it == messages_.end() || it->second.ended) continue;
+    const auto extension = extended_until_.find(it->second.relay);
+    if (extension != extended_until_.end() && extension->second > at) {
+      deadlines_.insert({extension->second, id});
       continue;
     }
     Report(BreachKind::kNoAnswer, at, it->second.relay, id, 0);
-    it->second.over = true;
+    it->second.ended = true;
   }
 }
 
@@ -125,78 +126,81 @@
   const RequestClass& c = classes_[static_cast<std::size_t>(m.message_class)];
   if (c.idempotency == Idempotency::kIdempotent) return;
   for (const Attempt& a : m.attempts) {
-    if (!a.out && !a.may_have_run) continue;
+    if (!a.in_flight && !a.may_have_run) continue;
     if (c.idempotency == Idempotency::kNonIdempotent)
-      return Report(BreachKind::kUnsafeRepeat, now, relay, id, endpoint);
-    if (now > a.sent + c.deduplication_window) Report(BreachKind::kKeyedRepeat, now, relay, id, endpoint);
+      return Report(BreachKind::kNonIdempotentRepeat, now, relay, id, endpoint);
+    if (now > a.sent + c.deduplication_window)
+      Report(BreachKind::kDeduplicatedRepeat, now, relay, id, endpoint);
     return;
   }
 }
 
-void Auditor::InOrder(std::uint64_t message, std::uint64_t key) {
+void Auditor::SetOrderingKey(std::uint64_t message, std::uint64_t key) {
   Message& m = messages_.at(message);
-  m.key = key;
-  key_lines_[{m.relay, key}].messages.push_back(message);
+  m.ordering_key = key;
+  key_queues_[{m.relay, key}].messages.push_back(message);
 }
 
-// The first of its key that is not over with nothing out has the turn.
-void Auditor::CheckTurn(Seconds now, int relay, std::uint64_t id, const Message& m, EndpointId endpoint) {
-  const auto it = key_lines_.find({relay, m.key});
-  if (m.key == 0 || it == key_lines_.end()) return;  // restored: taken before the relay's start
-  KeyLine& line = it->second;
-  while (!line.messages.empty() && messages_.count(line.messages.front()) == 0) line.messages.pop_front();
-  const bool known = std::find(line.messages.begin(), line.messages.end(), id) != line.messages.end();
+// Only the oldest message of a key may be sent, until it has ended and none of its attempts is in flight.
+void Auditor::CheckOrder(Seconds now, int relay, std::uint64_t id, const Message& m, EndpointId endpoint) {
+  const auto it = key_queues_.find({relay, m.ordering_key});
+  if (m.ordering_key == 0 || it == key_queues_.end())
+    return;  // no key, or accepted before the relay's restart
+  KeyQueue& queue = it->second;
+  while (!queue.messages.empty() && messages_.count(queue.messages.front()) == 0) queue.messages.pop_front();
+  const bool known = std::find(queue.messages.begin(), queue.messages.end(), id) != queue.messages.end();
   if (!known) return;
-  const bool rests = line.rested_by != id && now < line.rest_until - 1e-9;
-  if (line.messages.front() != id || rests) Report(BreachKind::kOutOfTurn, now, relay, id, endpoint);
+  const bool paused = queue.paused_by != id && now < queue.paused_until - 1e-9;
+  if (queue.messages.front() != id || paused) Report(BreachKind::kOutOfOrder, now, relay, id, endpoint);
 }
 
-void Auditor::MayStillRun(Seconds now, std::uint64_t message) {
+void Auditor::OnMayStillBeRunning(Seconds now, std::uint64_t message) {
   const auto it = messages_.find(message);
-  if (it == messages_.end() || it->second.key == 0) return;
-  const auto line = key_lines_.find({it->second.relay, it->second.key});
-  if (line == key_lines_.end()) return;
-  line->second.rest_until = now + rules_.key_rest;
-  line->second.rested_by = message;
+  if (it == messages_.end() || it->second.ordering_key == 0) return;
+  const auto queue = key_queues_.find({it->second.relay, it->second.ordering_key});
+  if (queue == key_queues_.end()) return;
+  queue->second.paused_until = now + rules_.ordered_key_pause;
+  queue->second.paused_by = message;
 }
 
-void Auditor::Sent(Seconds now, int relay, std::uint64_t id, EndpointId endpoint) {
+void Auditor::OnSent(Seconds now, int relay, std::uint64_t id, EndpointId endpoint) {
   const auto it = messages_.find(id);
-  if (it == messages_.end() || it->second.over)
-    return Report(BreachKind::kAfterEnd, now, relay, id, endpoint);
+  if (it == messages_.end() || it->second.ended)
+    return Report(BreachKind::kSentAfterEnd, now, relay, id, endpoint);
   Message& m = it->second;
   CheckRepeat(now, relay, id, m, endpoint);
-  CheckTurn(now, relay, id, m, endpoint);
+  CheckOrder(now, relay, id, m, endpoint);
   m.attempts.push_back({now, endpoint});
-  const auto place = places_.find(endpoint);
-  if (place == places_.end() || place->second.destination != m.destination)
-    return Report(BreachKind::kForeign, now, relay, id, endpoint);
-  const auto drain = drains_.find({relay, endpoint});
-  if (drain != drains_.end() && now > drain->second + rules_.drain_grace)
-    Report(BreachKind::kDrained, now, relay, id, endpoint);
-  const auto wait = waits_.find({relay, place->second.lane});
-  if (wait != waits_.end() && now > wait->second.first + rules_.wait_grace && now < wait->second.second)
-    Report(BreachKind::kInWait, now, relay, id, endpoint);
+  const auto listed = endpoints_.find(endpoint);
+  if (listed == endpoints_.end() || listed->second.destination != m.destination)
+    return Report(BreachKind::kForeignEndpoint, now, relay, id, endpoint);
+  const auto drain = drains_received_at_.find({relay, endpoint});
+  if (drain != drains_received_at_.end() && now > drain->second + rules_.drain_grace_period)
+    Report(BreachKind::kSentToDrained, now, relay, id, endpoint);
+  const auto retry_after = retry_afters_.find({relay, listed->second.route});
+  if (retry_after != retry_afters_.end() &&
+      now > retry_after->second.first + rules_.retry_after_grace_period && now < retry_after->second.second)
+    Report(BreachKind::kSentDuringRetryAfter, now, relay, id, endpoint);
 }
 
-void Auditor::Over(std::uint64_t message, int attempt, bool may_have_run) {
+void Auditor::OnAttemptEnded(std::uint64_t message, int attempt, bool may_have_run) {
   const auto it = messages_.find(message);
   if (it == messages_.end() || attempt < 0 || attempt >= static_cast<int>(it->second.attempts.size())) return;
   Attempt& a = it->second.attempts[static_cast<std::size_t>(attempt)];
-  a.out = false;
+  a.in_flight = false;
   a.may_have_run = may_have_run;
-  ForgetIfDone(message);
+  EraseIfDone(message);
 }
 
-void Auditor::ForgetIfDone(std::uint64_t id) {
+void Auditor::EraseIfDone(std::uint64_t id) {
   const auto it = messages_.find(id);
-  if (it == messages_.end() || !it->second.over) return;
+  if (it == messages_.end() || !it->second.ended) return;
   const auto& attempts = it->second.attempts;
-  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out; }))
+  if (std::none_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.in_flight; }))
     messages_.erase(it);
 }
 
-void Auditor::Ran(Seconds now, std::uint64_t message) {
+void Auditor::OnRan(Seconds now, std::uint64_t message) {
   const auto it = messages_.find(message);
   if (it == messages_.end()) return;
   const Message& m = it->second;
@@ -205,88 +209,91 @@
   const auto [first, fresh] = first_run_.try_emplace(m.origin, std::make_pair(now, message));
   if (fresh) return;
   if (c.idempotency == Idempotency::kNonIdempotent)
-    return Report(BreachKind::kRanTwice, now, m.relay, message, 0);
-  if (now <= first->second.first + c.deduplication_window) return;  // the partner has dropped it
-  // A keyed message of the widest group may be handed back though it may have run: what a client then hands
-  // in again too late is its own doing, and counted apart.
+    return Report(BreachKind::kNonIdempotentRanTwice, now, m.relay, message, 0);
+  if (now <= first->second.first + c.deduplication_window) return;  // the partner has dropped the repeat
+  // A deduplicated message whose scope is all endpoints may be rejected though it may have run. A client that
+  // submits it again after the window causes the second run itself; these are counted separately.
   if (first->second.second != message) {
-    ++client_doubles_;
+    ++client_duplicates_;
     return;
   }
-  Report(BreachKind::kKeyRanTwice, now, m.relay, message, 0);
+  Report(BreachKind::kDeduplicatedRanTwice, now, m.relay, message, 0);
 }
 
-void Auditor::ClosedUnanswered(Seconds now, int relay, std::uint64_t message) {
-  Report(BreachKind::kClosed, now, relay, message, 0);
+void Auditor::ReportClosedUnanswered(Seconds now, int relay, std::uint64_t message) {
+  Report(BreachKind::kClosedUnanswered, now, relay, message, 0);
 }
 
-// (The standing test's gate: nine in ten are ready in time, and at most half of the untried end early.)
-void Auditor::Restarted(Seconds now, const Restarts& restarts) {
+// The bounds of the standing test: nine in ten processes must be ready in time, and at most half of the
+// unattempted messages may end early.
+void Auditor::CheckRestarts(Seconds now, const Restarts& restarts) {
   constexpr int kAllRelays = -1;
-  constexpr int kLateOneIn = 10, kEndedOneIn = 2;
-  if (restarts.late * kLateOneIn > restarts.ready) Report(BreachKind::kNotReady, now, kAllRelays, 0, 0);
-  if (restarts.untried_ended * kEndedOneIn > restarts.untried)
-    Report(BreachKind::kUntried, now, kAllRelays, 0, 0);
+  constexpr int kMaxLateOneIn = 10, kMaxEndedOneIn = 2;
+  if (restarts.late * kMaxLateOneIn > restarts.ready) Report(BreachKind::kNotReady, now, kAllRelays, 0, 0);
+  if (restarts.unattempted_ended * kMaxEndedOneIn > restarts.unattempted)
+    Report(BreachKind::kRecoveredNotAttempted, now, kAllRelays, 0, 0);
 }
 
-void Auditor::Stalled(Seconds now, int relay) { Report(BreachKind::kStalled, now, relay, 0, 0); }
+void Auditor::ReportStalledClient(Seconds now, int relay) {
+  Report(BreachKind::kStalledClient, now, relay, 0, 0);
+}
 
-void Auditor::Listed(EndpointId endpoint, DestinationId destination, std::uint64_t lane) {
-  places_[endpoint] = {destination, lane};
+void Auditor::OnEndpointListed(EndpointId endpoint, DestinationId destination, std::uint64_t route) {
+  endpoints_[endpoint] = {destination, route};
 }
 
-void Auditor::ToldDrain(Seconds now, int relay, EndpointId endpoint) {
-  drains_.try_emplace({relay, endpoint}, now);
+void Auditor::OnDrainReceived(Seconds now, int relay, EndpointId endpoint) {
+  drains_received_at_.try_emplace({relay, endpoint}, now);
 }
 
-void Auditor::ToldWait(Seconds now, int relay, std::uint64_t lane, Seconds wait) {
-  auto& known = waits_[{relay, lane}];
-  if (now + wait <= known.second) return;
+void Auditor::OnRetryAfterReceived(Seconds now, int relay, std::uint64_t route, Seconds retry_after) {
+  auto& known = retry_afters_[{relay, route}];
+  if (now + retry_after <= known.second) return;
   if (known.second <= now) known.first = now;
-  known.second = now + wait;
+  known.second = now + retry_after;
 }
 
-void Auditor::SawOutage(int relay, std::uint64_t lane) { informed_now_[lane].insert(relay); }
+void Auditor::OnOutageObserved(int relay, std::uint64_t route) { informed_relays_[route].insert(relay); }
 
-void Auditor::ReachedCold(Seconds now, int relay, std::uint64_t lane, bool fell_over) {
-  std::deque<Weighed>& calls = cold_[lane];
-  const auto informed = informed_now_.find(lane);
-  calls.push_back({now, relay, informed != informed_now_.end() && informed->second.count(relay) > 0});
-  while (calls.front().at <= now - rules_.overload_for) calls.pop_front();
-  if (!fell_over) return;
+void Auditor::OnCallDuringRecovery(Seconds now, int relay, std::uint64_t route, bool caused_collapse) {
+  std::deque<RecoveryCall>& calls = recovery_calls_[route];
+  const auto informed = informed_relays_.find(route);
+  calls.push_back({now, relay, informed != informed_relays_.end() && informed->second.count(relay) > 0});
+  while (calls.front().at <= now - rules_.overload_window) calls.pop_front();
+  if (!caused_collapse) return;
   const auto by_informed =
-      std::count_if(calls.begin(), calls.end(), [](const Weighed& w) { return w.informed; });
-  if (static_cast<double>(by_informed) < rules_.informed_part * static_cast<double>(calls.size())) return;
+      std::count_if(calls.begin(), calls.end(), [](const RecoveryCall& call) { return call.informed; });
+  if (static_cast<double>(by_informed) < rules_.informed_share * static_cast<double>(calls.size())) return;
   std::map<int, int> by_relay;
-  for (const Weighed& call : calls) ++by_relay[call.relay];
-  std::string trace = "calls within " + std::to_string(rules_.overload_for) + " s by relay:";
+  for (const RecoveryCall& call : calls) ++by_relay[call.relay];
+  std::string trace = "calls within " + std::to_string(rules_.overload_window) + " s by relay:";
   for (const auto& [number, count] : by_relay)
     trace += " " + std::to_string(number) + ":" + std::to_string(count);
-  breaches_.push_back({BreachKind::kPushedOver, now, relay, 0, 0, trace});
+  breaches_.push_back({BreachKind::kRecoveryOverload, now, relay, 0, 0, trace});
 }
 
-void Auditor::ToldParts(Seconds now, int relay, double parts) {
-  if (tier_size_ <= 0) return;
-  parts_[relay] = 1 / parts;
+void Auditor::OnShareCount(Seconds now, int relay, double share_count) {
+  if (fleet_size_ <= 0) return;
+  shares_[relay] = 1 / share_count;
   double sum = 0;
-  for (const auto& [other, part] : parts_) sum += part;
-  if (sum > 1 + 1.0 / tier_size_ + 1e-9) Report(BreachKind::kOverParts, now, relay, 0, 0);
+  for (const auto& [other, share] : shares_) sum += share;
+  if (sum > 1 + 1.0 / fleet_size_ + 1e-9) Report(BreachKind::kQuotaExceeded, now, relay, 0, 0);
 }
 
-void Auditor::LostParts(Seconds, int relay) { parts_.erase(relay); }
+void Auditor::OnShareReleased(Seconds, int relay) { shares_.erase(relay); }
 
-void Auditor::Excuse(int relay, Seconds until) {
-  Seconds& excused = excused_[relay];
-  excused = std::max(excused, until);
+void Auditor::ExtendDeadlines(int relay, Seconds until) {
+  Seconds& extension = extended_until_[relay];
+  extension = std::max(extension, until);
 }
 
-void Auditor::RelayDied(int relay, Seconds excused) {
-  excused_[relay] = excused;
-  for (auto it = waits_.begin(); it != waits_.end();)
-    it = it->first.first == relay ? waits_.erase(it) : std::next(it);
-  for (auto& [lane, relays] : informed_now_) relays.erase(relay);
-  for (auto it = key_lines_.begin(); it != key_lines_.end();)
-    it = it->first.first == relay ? key_lines_.erase(it) : std::next(it);
+void Auditor::OnRelayStopped(int relay, Seconds extended_until) {
+  extended_until_[relay] = extended_until;
+  for (auto it = retry_afters_.begin(); it != retry_afters_.end();)
+    it = it->first.first == relay ? retry_afters_.erase(it) : std::next(it);
+  for (auto& [route, relays] : informed_relays_) relays.erase(relay);
+  for (auto it = key_queues_.begin(); it != key_queues_.end();)
+    it = it->first.first == relay ? key_queues_.erase(it) : std::next(it);
 }
 
 }  // namespace opalroute::lab
--- a/lab/auditor.h
+++ b/lab/auditor.h
@@ -1,5 +1,6 @@
-// Watches both sides of a run and reports each broken rule with its trace. Pure: it is told facts, in the
-// order of time, and knows nothing of how a relay decides. docs/lab.md names the rules' sources.
+// Observes both sides of a run, relays and partners, and reports every broken rule with a trace. No I/O: it
+// is told the facts in the order of time, and knows nothing of how a relay decides. docs/lab.md names the
+// sources of the rules.
 #pragma once
 
 #include <cstdint>
@@ -15,24 +16,27 @@
 namespace opalroute::lab {
 
 enum class BreachKind {
-  kTwoAnswers,     // a message that was over was ended again
-  kNoAnswer,       // not over when its time was up, and some
-  kAfterEnd,       // sent though it was over
-  kUnsafeRepeat,   // an at-most-once message sent though an earlier call may have run
-  kKeyedRepeat,    // a keyed one sent after its window, though an earlier call may have run
-  kRanTwice,       // an at-most-once message took effect twice
-  kKeyRanTwice,    // a keyed one did, outside the window in which the partner drops repeats
-  kUnsafeRefused,  // the client was told that it may come again, though a call may have run
-  kInWait,         // sent to a lane in a wait that this relay was told
-  kDrained,        // sent to an endpoint longer after its drain was told than allowed
-  kForeign,        // sent to an endpoint of another destination, or one that no list has named
-  kPushedOver,     // a returning lane fell over, two thirds of it by relays that had seen the outage
-  kOverParts,      // relays together hold more than a whole and one part
-  kStalled,        // a client that stopped in its request heard no end in time
-  kClosed,         // a request was read, and its connection closed with no answer
-  kNotReady,       // over one in ten restarted processes was not ready in time
-  kUntried,        // over half of what restarts found untried in good time ended early with no call
-  kOutOfTurn       // sent though an earlier one of its key was not over, or the key had to rest
+  kTwoAnswers,             // a message that had ended was ended again
+  kNoAnswer,               // not ended at its deadline plus a tolerance
+  kSentAfterEnd,           // sent though it had ended, or is unknown
+  kNonIdempotentRepeat,    // a non-idempotent message sent though an earlier attempt may have run
+  kDeduplicatedRepeat,     // a deduplicated message sent after its window, though an earlier attempt may have
+                           // run
+  kNonIdempotentRanTwice,  // a non-idempotent message ran twice
+  kDeduplicatedRanTwice,   // a deduplicated one did, after the window in which the partner drops repeats
+  kUnsafeRejection,        // rejected, so that its client may submit it again, though an attempt may have run
+  kSentDuringRetryAfter,   // sent to a route during a Retry-After that this relay had received
+  kSentToDrained,          // sent to an endpoint after the drain grace period
+  kForeignEndpoint,        // sent to an endpoint of another destination, or one that was never listed
+  kRecoveryOverload,  // a recovering route collapsed, two thirds of its load from relays that knew of the
+                      // outage
+  kQuotaExceeded,     // the relays' shares of a limit add up to more than the whole limit and one share
+  kStalledClient,     // a client that stopped in the middle of its request wasn't disconnected in time
+  kClosedUnanswered,  // a request was read, and its connection closed without a response
+  kNotReady,          // more than one in ten restarted processes wasn't ready in time
+  kRecoveredNotAttempted,  // over half of what restarts found unattempted, with time left, ended early
+                           // without an attempt
+  kOutOfOrder  // sent before an earlier message of its ordering key had ended, or while the key was paused
 };
 const char* NameOf(BreachKind kind);
 
@@ -42,120 +46,131 @@
   int relay = -1;
   std::uint64_t message = 0;
   EndpointId endpoint = 0;
-  std::string trace;  // what happened before, one line
+  std::string trace;  // what happened before, in one line
 };
 
 class Auditor {
  public:
   struct Rules {
-    Seconds answer_slack = 0.07;  // past a message's time
-    Seconds drain_grace = 2;
-    Seconds wait_grace = 0;  // calls that arrive so soon after a wait was told had left before
-    double informed_part = 2.0 / 3;
-    Seconds overload_for = 2;
-    Seconds key_rest = 0;  // after an attempt that may still run, for the messages behind it
+    Seconds deadline_tolerance = 0.07;
+    Seconds drain_grace_period = 2;
+    Seconds retry_after_grace_period = 0;  // calls seen this soon after a Retry-After had been sent before it
+    double informed_share = 2.0 / 3;       // of the calls before a collapse, for kRecoveryOverload
+    Seconds overload_window = 2;
+    Seconds ordered_key_pause =
+        0;  // after an attempt that may still be running, for the later messages of its key
   };
   Auditor(const Rules& rules, std::vector<RequestClass> classes)
       : rules_(rules), classes_(std::move(classes)) {}
 
-  // `origin`: the same for all handings-in of one message of a client.
-  void Taken(Seconds now, int relay, std::uint64_t message, std::uint64_t origin, int message_class,
-             DestinationId destination, Seconds deadline);
-  // A message that was just taken goes in turn with the others of this key at its relay.
-  void InOrder(std::uint64_t message, std::uint64_t key);
-  // Withdrawn: the client got no answer in time, and nothing done under this id counts any more.
-  enum class End { kDelivered, kRefused, kFailed, kWithdrawn };
-  void Ended(Seconds now, std::uint64_t message, End end);
-  void Sent(Seconds now, int relay, std::uint64_t message, EndpointId endpoint);
-  // An attempt is over: whether it may have run. `attempt` counts as it was sent, from 0.
-  void Over(std::uint64_t message, int attempt, bool may_have_run);
-  // One of its attempts ended in a way that leaves it open whether it still runs.
-  void MayStillRun(Seconds now, std::uint64_t message);
-  void Ran(Seconds now, std::uint64_t message);  // at the partner
-  // A client's connection was closed after its request, without an answer.
-  void ClosedUnanswered(Seconds now, int relay, std::uint64_t message);
-  void Stalled(Seconds now, int relay);
-  // At the end of a run, of all restarts together.
+  // A relay has accepted a message, or recovered it after a restart. `origin`: the same for all submissions
+  // of one message of a client.
+  void OnAccepted(Seconds now, int relay, std::uint64_t message, std::uint64_t origin, int message_class,
+                  DestinationId destination, Seconds deadline);
+  // Puts a message that was just accepted into the order of this key at its relay.
+  void SetOrderingKey(std::uint64_t message, std::uint64_t key);
+  // kAborted: the client got no response in time, and a run under this id no longer counts.
+  enum class End { kDelivered, kRejected, kFailed, kAborted };
+  void OnEnded(Seconds now, std::uint64_t message, End end);
+  void OnSent(Seconds now, int relay, std::uint64_t message, EndpointId endpoint);
+  // `attempt`: its index in the order of sending, from 0.
+  void OnAttemptEnded(std::uint64_t message, int attempt, bool may_have_run);
+  // An attempt ended without proof that it isn't running any more.
+  void OnMayStillBeRunning(Seconds now, std::uint64_t message);
+  void OnRan(Seconds now, std::uint64_t message);  // at the partner
+  // A client's connection was closed after its request, without a response.
+  void ReportClosedUnanswered(Seconds now, int relay, std::uint64_t message);
+  void ReportStalledClient(Seconds now, int relay);
+  // Totals of all restarts of a run.
   struct Restarts {
     int ready = 0, late = 0;  // processes; late: not ready in time
-    int untried = 0,
-        untried_ended = 0;  // messages that they found, and those of them that ended with no call
+    // Messages that a restart found without an attempt in the first half of their time, and those of them
+    // that ended early, still without any.
+    int unattempted = 0, unattempted_ended = 0;
   };
-  void Restarted(Seconds now, const Restarts& restarts);
-  // The time of each message is checked once it is past.
-  void Until(Seconds now);
+  void CheckRestarts(Seconds now, const Restarts& restarts);
+  // Reports the messages whose deadlines have passed.
+  void CheckDeadlines(Seconds now);
 
-  void Listed(EndpointId endpoint, DestinationId destination, std::uint64_t lane);
-  void ToldDrain(Seconds now, int relay, EndpointId endpoint);
-  void ToldWait(Seconds now, int relay, std::uint64_t lane, Seconds wait);
-  void SawOutage(int relay, std::uint64_t lane);  // a call or probe failed, or was refused, while it lasted
-  void ReachedCold(Seconds now, int relay, std::uint64_t lane, bool fell_over);
-  // Ends its waits and what it knew. What it held may be answered late until `excused`.
-  void RelayDied(int relay, Seconds excused);
-  // Its next process is ready: what it holds may be answered late until `excused` and no longer.
-  void RelayReady(int relay, Seconds excused) { excused_[relay] = excused; }
-  // A tier of so many relays, each of which holds a part of every limit; 0: nobody looks.
-  void Tier(int size) { tier_size_ = size; }
-  void ToldParts(Seconds now, int relay, double parts);  // its process takes one of so many
-  void LostParts(Seconds now, int relay);                // it has ended
-  void Excuse(int relay, Seconds until);                 // nothing that it holds is overdue before
+  void OnEndpointListed(EndpointId endpoint, DestinationId destination, std::uint64_t route);
+  void OnDrainReceived(Seconds now, int relay, EndpointId endpoint);
+  void OnRetryAfterReceived(Seconds now, int relay, std::uint64_t route, Seconds retry_after);
+  // A call or health check failed, or was rejected, during an outage of the route.
+  void OnOutageObserved(int relay, std::uint64_t route);
+  void OnCallDuringRecovery(Seconds now, int relay, std::uint64_t route, bool caused_collapse);
+  // The process forgets its Retry-Afters and observed outages. Its messages aren't overdue before
+  // `extended_until`.
+  void OnRelayStopped(int relay, Seconds extended_until);
+  // Its next process is ready: its messages aren't overdue before `extended_until`, in place of an earlier
+  // extension.
+  void OnRelayReady(int relay, Seconds extended_until) { extended_until_[relay] = extended_until; }
+  // The number of relays that share every limit; 0: shares aren't checked.
+  void SetFleetSize(int size) { fleet_size_ = size; }
+  // A relay now uses a share of one in `share_count` of every limit.
+  void OnShareCount(Seconds now, int relay, double share_count);
+  // Its process has ended, and uses no share.
+  void OnShareReleased(Seconds now, int relay);
+  // Its messages aren't overdue before `until`.
+  void ExtendDeadlines(int relay, Seconds until);
 
   const std::vector<Breach>& breaches() const { return breaches_; }
   int Count(BreachKind kind) const;
-  long client_doubles() const { return client_doubles_; }  // keyed ones, by a client that came again too late
-  std::size_t open() const { return messages_.size(); }
+  // Second runs of deduplicated messages that a client submitted again after the deduplication window.
+  long client_duplicates() const { return client_duplicates_; }
+  std::size_t open_messages() const { return messages_.size(); }
 
  private:
   struct Attempt {
     Seconds sent;
     EndpointId endpoint;
-    bool out = true, may_have_run = true;
+    bool in_flight = true, may_have_run = true;
   };
   struct Message {
     int relay, message_class;
     std::uint64_t origin;
     DestinationId destination;
     Seconds deadline;
-    bool over = false;
+    bool ended = false;
     std::vector<Attempt> attempts;
-    std::uint64_t key = 0;  // of its order; 0: none
+    std::uint64_t ordering_key = 0;  // 0: none
   };
-  struct KeyLine {
-    std::deque<std::uint64_t> messages;  // as they were taken
-    Seconds rest_until = 0;
-    std::uint64_t rested_by = 0;
+  struct KeyQueue {
+    std::deque<std::uint64_t> messages;  // in the order accepted
+    Seconds paused_until = 0;
+    std::uint64_t paused_by = 0;  // a message
   };
-  struct Place {
+  struct ListedEndpoint {
     DestinationId destination;
-    std::uint64_t lane;
+    std::uint64_t route;
   };
-  struct Weighed {
+  struct RecoveryCall {
     Seconds at;
     int relay;
-    bool informed;
+    bool informed;  // the relay had observed the outage
   };
   void Report(BreachKind kind, Seconds now, int relay, std::uint64_t message, EndpointId endpoint);
   void CheckRepeat(Seconds now, int relay, std::uint64_t id, const Message& message, EndpointId endpoint);
-  void CheckTurn(Seconds now, int relay, std::uint64_t id, const Message& message, EndpointId endpoint);
-  void ForgetIfDone(std::uint64_t id);
+  void CheckOrder(Seconds now, int relay, std::uint64_t id, const Message& message, EndpointId endpoint);
+  void EraseIfDone(std::uint64_t id);
   std::string TraceOf(const Message& message) const;
 
   const Rules rules_;
   const std::vector<RequestClass> classes_;
   std::unordered_map<std::uint64_t, Message> messages_;
   std::set<std::pair<Seconds, std::uint64_t>> deadlines_;
-  // By origin, of keyed and unsafe ones: when, and by which handing-in.
+  // By origin, of messages that aren't idempotent: when the first run was, and under which message id.
   std::unordered_map<std::uint64_t, std::pair<Seconds, std::uint64_t>> first_run_;
-  long client_doubles_ = 0;
-  std::unordered_map<EndpointId, Place> places_;
-  std::map<std::pair<int, EndpointId>, Seconds> drains_;
-  std::map<std::pair<int, std::uint64_t>, std::pair<Seconds, Seconds>> waits_;  // told at, until
-  std::map<std::uint64_t, std::set<int>> informed_now_;
-  std::map<std::uint64_t, std::deque<Weighed>> cold_;
-  std::map<int, Seconds> excused_;
-  std::map<std::pair<int, std::uint64_t>, KeyLine> key_lines_;  // by relay and key
-  int tier_size_ = 0;
-  std::map<int, double> parts_;  // by relay, of those that run
+  long client_duplicates_ = 0;
+  std::unordered_map<EndpointId, ListedEndpoint> endpoints_;
+  std::map<std::pair<int, EndpointId>, Seconds> drains_received_at_;  // by relay
+  // By relay and route: when it was received, and when it ends.
+  std::map<std::pair<int, std::uint64_t>, std::pair<Seconds, Seconds>> retry_afters_;
+  std::map<std::uint64_t, std::set<int>> informed_relays_;            // by route
+  std::map<std::uint64_t, std::deque<RecoveryCall>> recovery_calls_;  // by route, within overload_window
+  std::map<int, Seconds> extended_until_;                             // by relay
+  std::map<std::pair<int, std::uint64_t>, KeyQueue> key_queues_;      // by relay and ordering key
+  int fleet_size_ = 0;
+  std::map<int, double> shares_;  // by relay, of the running ones
   std::vector<Breach> breaches_;
 };
 
--- a/lab/call.h
+++ b/lab/call.h
@@ -1,4 +1,4 @@
-// What is the same for a call that reaches its partner in simulated time and on sockets.
+// How an endpoint handles a call, shared by the simulation and by the runs over sockets.
 #pragma once
 
 #include <algorithm>
@@ -10,24 +10,26 @@
 
 namespace opalroute::lab {
 
-// What becomes of a call whose last byte has come, with what auditor and tally have to know of it: its
-// machine is asked, and then the limit that it shares with others.
-inline LaneModel::Verdict TakeCall(World& world, Auditor& auditor, Tally& tally, Seconds now, int relay,
-                                   const PartnerEndpoint& endpoint) {
-  const auto take = [&](std::uint32_t number) {
-    LaneModel& lane = world.lane(number);
-    const bool cold = lane.ColdAt(now) && !lane.collapsed();
-    const LaneModel::Verdict verdict = lane.Take(now);
-    if (cold) auditor.ReachedCold(now, relay, number, verdict.fell_over);
-    if (verdict.fell_over) ++tally.result().collapses;
-    if (verdict.fate == LaneModel::Fate::kFull) tally.Full(now);
-    return verdict;
+// Handles a call whose last byte has arrived, and reports it to the auditor and the tally: first by the
+// endpoint's own machine, then, if that served it, by the route whose limit the endpoint shares. The longer
+// of the two response times counts.
+inline RouteModel::CallResult ServeCall(World& world, Auditor& auditor, Tally& tally, Seconds now, int relay,
+                                        const PartnerEndpoint& endpoint) {
+  const auto handle = [&](std::uint32_t number) {
+    RouteModel& route = world.lane(number);
+    const bool recovering = route.IsRecovering(now) && !route.collapsed();
+    const RouteModel::CallResult result = route.HandleCall(now);
+    if (recovering) auditor.OnCallDuringRecovery(now, relay, number, result.caused_collapse);
+    if (result.caused_collapse) ++tally.result().collapses;
+    if (result.status == RouteModel::CallStatus::kRejected) tally.Full(now);
+    return result;
   };
-  const LaneModel::Verdict machine = take(endpoint.machine);
-  if (endpoint.machine == endpoint.lane || machine.fate != LaneModel::Fate::kServed) return machine;
-  LaneModel::Verdict verdict = take(endpoint.lane);
-  if (verdict.fate == LaneModel::Fate::kServed) verdict.takes = std::max(verdict.takes, machine.takes);
-  return verdict;
+  const RouteModel::CallResult machine = handle(endpoint.machine);
+  if (endpoint.machine == endpoint.lane || machine.status != RouteModel::CallStatus::kServed) return machine;
+  RouteModel::CallResult result = handle(endpoint.lane);
+  if (result.status == RouteModel::CallStatus::kServed)
+    result.duration = std::max(result.duration, machine.duration);
+  return result;
 }
 
 }  // namespace opalroute::lab
--- a/lab/clock.h
+++ b/lab/clock.h
@@ -1,5 +1,4 @@
-// A clock that only the laboratory moves, and the loop that moves it: real sockets on loopback, simulated
-// time.
+// A simulated clock, and the loop that advances it: real sockets on loopback, run in simulated time.
 #pragma once
 
 #include <arpa/inet.h>
@@ -15,7 +14,7 @@
 
 namespace opalroute::lab {
 
-class Clock : public net::Clock {
+class SimulatedClock : public net::Clock {
  public:
   net::Seconds Now() const override { return now_; }
   std::int64_t WallMicros() const override {
@@ -27,9 +26,10 @@
   net::Seconds now_ = 1000;
 };
 
-// Told that what was sent before on the loopback device can be read by now. A busy machine may deliver later
-// than the next call (a datagram waits for its processor's turn), and a clock that runs on meanwhile counts
-// that as silence. A datagram of its own, sent last on the same processor, is delivered last.
+// Waits until everything that was sent before on the loopback device can be read. On a busy machine the
+// kernel may deliver a datagram only after the next system call, when its processor gets to it; a simulated
+// clock that moves on meanwhile would count the delay as a peer's silence. The barrier pins the thread to one
+// processor and sends itself a datagram: it was sent last on this processor, so it is delivered last.
 class LoopbackBarrier {
  public:
   LoopbackBarrier() : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)) {
@@ -41,19 +41,19 @@
     if (fd_ < 0 || bind(fd_, address, size) != 0 || getsockname(fd_, address, &size) != 0 ||
         connect(fd_, address, size) != 0)
       throw std::system_error(errno, std::generic_category(), "loopback barrier");
-    sched_getaffinity(0, sizeof(before_), &before_);
+    sched_getaffinity(0, sizeof(original_affinity_), &original_affinity_);
     cpu_set_t one;
     CPU_ZERO(&one);
     CPU_SET(sched_getcpu(), &one);
     sched_setaffinity(0, sizeof(one), &one);
   }
   ~LoopbackBarrier() {
-    sched_setaffinity(0, sizeof(before_), &before_);
+    sched_setaffinity(0, sizeof(original_affinity_), &original_affinity_);
     close(fd_);
   }
   LoopbackBarrier(const LoopbackBarrier&) = delete;
   LoopbackBarrier& operator=(const LoopbackBarrier&) = delete;
-  void Pass() const {
+  void Wait() const {
     char byte = 0;
     if (send(fd_, &byte, 1, 0) == 1 && recv(fd_, &byte, 1, 0) == 1) return;
     throw std::system_error(errno, std::generic_category(), "loopback barrier");
@@ -61,19 +61,19 @@
 
  private:
   int fd_;
-  cpu_set_t before_{};
+  cpu_set_t original_affinity_{};
 };
 
-// Plays until that time in steps of a millisecond. On loopback what one socket has sent the other can read at
-// once; a few rounds a step let an answer come in the step of its request.
-inline void PlayUntil(net::EventLoop& loop, Clock& clock, net::Seconds until) {
+// Advances the clock to `until` in steps of a millisecond. Each step runs a few iterations of the loop, so
+// that a request and its response over loopback fall into the same step.
+inline void RunEventLoopUntil(net::EventLoop& loop, SimulatedClock& clock, net::Seconds until) {
   constexpr net::Seconds kStep = 0.001;
-  constexpr int kRounds = 3;
-  const LoopbackBarrier sent;
+  constexpr int kIterationsPerStep = 3;
+  const LoopbackBarrier barrier;
   while (clock.Now() < until) {
-    for (int i = 0; i < kRounds; ++i) {
+    for (int i = 0; i < kIterationsPerStep; ++i) {
       loop.RunOnce(0);
-      sent.Pass();
+      barrier.Wait();
     }
     clock.Advance(kStep);
   }
--- a/lab/dns/name_server.cpp
+++ b/lab/dns/name_server.cpp
@@ -27,7 +27,7 @@
     connection_ = net::Connection::Adopt(server_.loop_, fd, *this, 2 * kLongest, 4 * kLongest);
     return connection_ != nullptr;
   }
-  void Shut() { connection_->Close(); }
+  void Close() { connection_->Close(); }
 
   void OnData(net::Connection& connection) override {
     net::RingBuffer& in = connection.in();
@@ -45,7 +45,7 @@
       if (!Answer(query)) return;
     }
   }
-  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Remove(*this); }
 
  private:
   // False: the connection is no more.
@@ -53,7 +53,7 @@
     const auto decoded = dns::Decode(bytes);
     const auto* query = std::get_if<dns::Message>(&decoded);
     if (query == nullptr || query->questions.size() != 1) {
-      server_.sessions_.Drop(*this);
+      server_.sessions_.Remove(*this);
       return false;
     }
     ++server_.tcp_questions_;
@@ -74,7 +74,7 @@
       case Entry::Tcp::kClosesAtOnce:
         break;
     }
-    server_.sessions_.Drop(*this);
+    server_.sessions_.Remove(*this);
     return false;
   }
 
@@ -107,7 +107,7 @@
   if (!open) return;
   tcp_ = std::make_unique<net::Listener>(loop_, address(), [this](int fd) {
     ++connections_;
-    sessions_.Adopt(std::make_unique<Session>(*this), fd);
+    sessions_.Add(std::make_unique<Session>(*this), fd);
   });
 }
 
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -91,17 +91,17 @@
       : run_(run), folder_(std::move(folder)), draw_(run.seed), loop_(clock_) {
     start_ = clock_.Now();
     PartnerSettings partner;
-    partner.lane.limit = 30;
-    partner.lane.window = 1;
-    partner.lane.latency_cv = 0.3;
-    partner.lane.refused_count = false;
-    partner.lane.overload_slack = 0;  // no chance is allowed for
+    partner.route.rate_limit = 30;
+    partner.route.window = 1;
+    partner.route.latency_cv = 0.3;
+    partner.route.rejected_calls_count = false;
+    partner.route.overload_tolerance = 0;  // no chance is allowed for
     partner.seed = run.seed;
     if (run.outage) {
-      partner.shut_from = start_ + kShutAfter;
-      partner.shut_to = start_ + kOpensAfter;
+      partner.outage_from = start_ + kShutAfter;
+      partner.outage_to = start_ + kOpensAfter;
     }
-    partner_ = std::make_unique<Partner>(loop_, partner, kEndpoints, kRelays);
+    partner_ = std::make_unique<FakePartner>(loop_, partner, kEndpoints, kRelays);
     // The newcomer starts between 5 s before the partner opens and 2 s after.
     newcomer_at_ = start_ + kOpensAfter + std::uniform_real_distribution<double>(-5, 2)(draw_);
     for (int i = 0; i < kRelays; ++i) {
@@ -120,9 +120,9 @@
 
   LearningResult Play() {
     Start(0);
-    PlayUntil(loop_, clock_, newcomer_at_);
+    RunEventLoopUntil(loop_, clock_, newcomer_at_);
     Start(1);
-    PlayUntil(loop_, clock_, start_ + kEndsAfter);
+    RunEventLoopUntil(loop_, clock_, start_ + kEndsAfter);
     return Reckon();
   }
 
@@ -135,7 +135,7 @@
   }
 
   Config ConfigOf(int relay) {
-    platforms_.push_back(std::make_unique<Platform>(loop_));
+    platforms_.push_back(std::make_unique<FakePlatform>(loop_));
     json file = {{"name", "n" + std::to_string(relay)},
                  {"listen", "127.0.0.1:0"},
                  {"discovery", net::FormatAddress(platforms_.back()->address())},
@@ -154,7 +154,7 @@
                                             {"cell", kDestination},
                                             {"lifecycle", "ready"},
                                             {"weight", 30.0}});
-    platforms_.back()->SetList(file["known"]);
+    platforms_.back()->SetEndpointList(file["known"]);
     fs::create_directories(folder_ + "/" + std::to_string(relay));
     return config::Parse(file, [](const char*) { return std::nullopt; });
   }
@@ -177,7 +177,7 @@
 
   bool Noticed(const std::string& id) const {
     return std::any_of(platforms_.begin(), platforms_.end(),
-                       [&](const auto& platform) { return platform->notices().count(id) > 0; });
+                       [&](const auto& platform) { return platform->notifications().count(id) > 0; });
   }
 
   LearningResult Reckon() const {
@@ -189,14 +189,14 @@
       const bool newcomer = call.relay == 1;
       if (newcomer && call.at >= opens && call.at < opens + 2) ++r.newcomer_calls;
       if (newcomer && call.at < opens) ++r.newcomer_shut;
-      if (newcomer && call.wait_since > 0 && call.wait_since < newcomer_at_) ++r.in_wait;
+      if (newcomer && call.retry_after_since > 0 && call.retry_after_since < newcomer_at_) ++r.in_wait;
       const auto second = static_cast<int>(call.at - opens);
       if (call.at >= opens && second < static_cast<int>(r.load.size()))
         ++r.load[static_cast<std::size_t>(second)];
     }
-    r.own_breaches = model.Count(PartnerModel::BreachKind::kInWait);
+    r.own_breaches = model.Count(PartnerModel::BreachKind::kDuringRetryAfter);
     r.collapses = model.Count(PartnerModel::BreachKind::kCollapse);
-    r.twice = model.Count(PartnerModel::BreachKind::kTwice);
+    r.twice = model.Count(PartnerModel::BreachKind::kRanTwice);
     for (const auto& load : loads_) {
       for (const auto& [id, message] : load->messages()) {
         const auto delivered = partner_->delivered().find(id);
@@ -215,10 +215,10 @@
   const LearningRun run_;
   const std::string folder_;
   std::mt19937_64 draw_;
-  Clock clock_;
+  SimulatedClock clock_;
   net::EventLoop loop_;
-  std::vector<std::unique_ptr<Platform>> platforms_;  // one a relay: each has its own addresses
-  std::unique_ptr<Partner> partner_;
+  std::vector<std::unique_ptr<FakePlatform>> platforms_;  // one a relay: each has its own addresses
+  std::unique_ptr<FakePartner> partner_;
   std::vector<std::unique_ptr<Load>> loads_;
   std::vector<std::string> peer_ports_;
   std::vector<std::unique_ptr<Config>> configs_;
--- a/lab/experiments/soak_table.cpp
+++ b/lab/experiments/soak_table.cpp
@@ -58,8 +58,8 @@
                 "restarts, %d of %d untried "
                 "ended early: %s\n",
                 static_cast<unsigned long long>(seed), r.processes.size(), told.messages, told.delivered,
-                told.calls, told.closed_unread, r.restarts.ready, r.restarts.untried_ended,
-                r.restarts.untried,
+                told.calls, told.closed_unread, r.restarts.ready, r.restarts.unattempted_ended,
+                r.restarts.unattempted,
                 !told.judged ? "VOID"
                 : told.sound ? "sound"
                              : "BROKEN");
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -60,10 +60,10 @@
 
   void Play(int changes) {
     Message();
-    PlayUntil(loop_, clock_, clock_.Now() + 5);
+    RunEventLoopUntil(loop_, clock_, clock_.Now() + 5);
     for (int i = 0; i < changes; ++i) {
       Replace(static_cast<std::size_t>(random_(kEndpoints)));
-      PlayUntil(loop_, clock_, clock_.Now() + kBetween * (0.8 + 0.4 * DrawUnit(random_)));
+      RunEventLoopUntil(loop_, clock_, clock_.Now() + kBetween * (0.8 + 0.4 * DrawUnit(random_)));
     }
   }
 
@@ -137,7 +137,7 @@
 
   const std::uint32_t lifetime_;
   pcg32 random_;
-  Clock clock_;
+  SimulatedClock clock_;
   net::EventLoop loop_;
   NameServer server_;
   Config config_;
@@ -160,7 +160,7 @@
 };
 
 void PrintNames(int names, std::uint32_t lifetime) {
-  Clock clock;
+  SimulatedClock clock;
   net::EventLoop loop(clock);
   NameServer server(loop);
   Config config;
@@ -183,14 +183,14 @@
   const std::size_t before = mallinfo2().uordblks;
   MergedEndpointSource pool(loop, config, settings, nobody);
   const double from = clock.Now();
-  while (pool.pending_names() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
+  while (pool.pending_names() > 0) RunEventLoopUntil(loop, clock, clock.Now() + 0.01);
   const std::size_t after = mallinfo2().uordblks;
   const double took = clock.Now() - from;
   long most = 0, all = 0;
   const double steady = clock.Now();
   while (clock.Now() < steady + 2 * lifetime) {
     const long asked = server.datagrams();
-    PlayUntil(loop, clock, clock.Now() + 1);
+    RunEventLoopUntil(loop, clock, clock.Now() + 1);
     most = std::max(most, server.datagrams() - asked);
     all += server.datagrams() - asked;
   }
--- a/lab/lane_model.cpp
+++ b/lab/lane_model.cpp
@@ -8,153 +8,160 @@
 
 namespace {
 
-constexpr double kMostlyFails = 0.5;     // chance above which an outage counts as one
-constexpr Seconds kRefusalTakes = 0.01;  // a refusal costs next to nothing
-constexpr double kDepth = 0.5;           // seconds of a plain rate that may come at once
+constexpr double kMinOutageProbability = 0.5;  // a probabilistic fault above this is an outage
+constexpr Seconds kRejectionDuration = 0.01;   // a rejection takes almost no work
+constexpr double kBurstSeconds = 0.5;          // size of the token bucket, in seconds of the rate limit
 
 }  // namespace
 
-const LaneOutage* LaneModel::At(Seconds now) const {
-  for (const LaneOutage& outage : outages_)
-    if (now >= outage.from && now < outage.to) return &outage;
+const RouteFault* RouteModel::ActiveFault(Seconds now) const {
+  for (const RouteFault& fault : faults_)
+    if (now >= fault.from && now < fault.to) return &fault;
   return nullptr;
 }
 
-bool LaneModel::IsOutage(const LaneOutage& outage) {
-  return outage.kind != TroubleKind::kSlow && (!ByChance(outage.kind) || outage.chance > kMostlyFails);
+bool RouteModel::IsOutage(const RouteFault& fault) {
+  return fault.kind != RouteFaultKind::kSlow &&
+         (!IsProbabilistic(fault.kind) || fault.probability > kMinOutageProbability);
 }
 
-bool LaneModel::OutAt(Seconds now) const {
-  const LaneOutage* outage = At(now);
-  return collapsed_ || (outage != nullptr && IsOutage(*outage));
+bool RouteModel::InOutage(Seconds now) const {
+  const RouteFault* fault = ActiveFault(now);
+  return collapsed_ || (fault != nullptr && IsOutage(*fault));
 }
 
-std::optional<Seconds> LaneModel::OpenedAt(Seconds now) const {
-  std::optional<Seconds> opened;
-  for (const LaneOutage& outage : outages_)
-    if (IsOutage(outage) && outage.to <= now && (!opened || outage.to > *opened)) opened = outage.to;
-  return opened;
+std::optional<Seconds> RouteModel::LastOutageEnd(Seconds now) const {
+  std::optional<Seconds> outage_end;
+  for (const RouteFault& fault : faults_)
+    if (IsOutage(fault) && fault.to <= now && (!outage_end || fault.to > *outage_end)) outage_end = fault.to;
+  return outage_end;
 }
 
-bool LaneModel::ColdAt(Seconds now) const {
-  const auto opened = OpenedAt(now);
-  return opened && now < *opened + s_.ramp && !OutAt(now);
+bool RouteModel::IsRecovering(Seconds now) const {
+  const auto outage_end = LastOutageEnd(now);
+  return outage_end && now < *outage_end + s_.recovery_time && !InOutage(now);
 }
 
-double LaneModel::CapacityAt(Seconds now) const {
-  if (OutAt(now)) return 0;
-  const auto opened = OpenedAt(now);
-  if (!opened) return s_.capacity;
-  const double warm = s_.ramp > 0 ? std::clamp((now - *opened) / s_.ramp, 0.0, 1.0) : 1;
-  return s_.capacity * (s_.cold_from + (1 - s_.cold_from) * warm);
+double RouteModel::CapacityAt(Seconds now) const {
+  if (InOutage(now)) return 0;
+  const auto outage_end = LastOutageEnd(now);
+  if (!outage_end) return s_.capacity;
+  const double progress =
+      s_.recovery_time > 0 ? std::clamp((now - *outage_end) / s_.recovery_time, 0.0, 1.0) : 1;
+  return s_.capacity * (s_.initial_capacity_share + (1 - s_.initial_capacity_share) * progress);
 }
 
-bool LaneModel::RefusesConnections(Seconds now) const {
-  const LaneOutage* outage = At(now);
-  return collapsed_ || (outage != nullptr && outage->kind == TroubleKind::kRefuse);
+bool RouteModel::RefusesConnections(Seconds now) const {
+  const RouteFault* fault = ActiveFault(now);
+  return collapsed_ || (fault != nullptr && fault->kind == RouteFaultKind::kRefuseConnections);
 }
 
-bool LaneModel::VanishedAt(Seconds now) const {
-  const LaneOutage* outage = At(now);
-  return outage != nullptr && outage->kind == TroubleKind::kVanish;
+bool RouteModel::IsUnreachable(Seconds now) const {
+  const RouteFault* fault = ActiveFault(now);
+  return fault != nullptr && fault->kind == RouteFaultKind::kUnreachable;
 }
 
-std::optional<Seconds> LaneModel::TakePlace(Seconds now, Seconds takes) {
-  const auto places = static_cast<std::size_t>(std::max(1L, std::lround(s_.capacity * s_.latency)));
-  while (!places_.empty() && *places_.begin() <= now) places_.erase(places_.begin());
-  while (!begins_.empty() && begins_.front() <= now) begins_.pop_front();
-  if (places_.size() < places) {
-    places_.insert(now + takes);
+std::optional<Seconds> RouteModel::AssignWorker(Seconds now, Seconds duration) {
+  const auto workers = static_cast<std::size_t>(std::max(1L, std::lround(s_.capacity * s_.mean_latency)));
+  while (!workers_free_at_.empty() && *workers_free_at_.begin() <= now)
+    workers_free_at_.erase(workers_free_at_.begin());
+  while (!queued_starts_.empty() && queued_starts_.front() <= now) queued_starts_.pop_front();
+  if (workers_free_at_.size() < workers) {
+    workers_free_at_.insert(now + duration);
     return now;
   }
-  if (begins_.size() >= static_cast<std::size_t>(s_.queue)) return std::nullopt;
-  const Seconds begins = *places_.begin();
-  places_.erase(places_.begin());
-  places_.insert(begins + takes);
-  begins_.push_back(begins);
-  return begins;
+  if (queued_starts_.size() >= static_cast<std::size_t>(s_.max_queued_calls)) return std::nullopt;
+  const Seconds start = *workers_free_at_.begin();
+  workers_free_at_.erase(workers_free_at_.begin());
+  workers_free_at_.insert(start + duration);
+  queued_starts_.push_back(start);
+  return start;
 }
 
-// `share` of its capacity that it has at the moment.
-bool LaneModel::AboveLimit(Seconds now, double share) {
-  if (s_.limit <= 0) return false;
-  const double limit = s_.limit * share;
+// `capacity_share`: the share of its full capacity that it has now.
+bool RouteModel::ExceedsRateLimit(Seconds now, double capacity_share) {
+  if (s_.rate_limit <= 0) return false;
+  const double limit = s_.rate_limit * capacity_share;
   if (s_.window > 0) {
-    const auto span = static_cast<std::int64_t>(std::floor(now / s_.window));
-    if (span != span_) count_ = 0;
-    span_ = span;
-    const bool above = count_ + 1 > std::max(1.0, limit * s_.window);
-    if (!above || s_.refused_count) ++count_;
-    return above;
+    const auto index = static_cast<std::int64_t>(std::floor(now / s_.window));
+    if (index != window_index_) window_count_ = 0;
+    window_index_ = index;
+    const bool exceeds = window_count_ + 1 > std::max(1.0, limit * s_.window);
+    if (!exceeds || s_.rejected_calls_count) ++window_count_;
+    return exceeds;
   }
-  const double depth = std::max(1.0, kDepth * limit);
-  tokens_ = std::min(depth, tokens_ + limit * (now - filled_));
-  filled_ = now;
-  const bool above = tokens_ < 1;
-  if (!above) {
+  const double bucket_size = std::max(1.0, kBurstSeconds * limit);
+  tokens_ = std::min(bucket_size, tokens_ + limit * (now - refilled_at_));
+  refilled_at_ = now;
+  const bool exceeds = tokens_ < 1;
+  if (!exceeds) {
     tokens_ -= 1;
-  } else if (s_.refused_count) {
-    tokens_ = std::max(-depth, tokens_ - 0.2);  // a refused call uses up some
+  } else if (s_.rejected_calls_count) {
+    tokens_ = std::max(-bucket_size, tokens_ - 0.2);  // a rejected call takes a fifth of a token
   }
-  return above;
+  return exceeds;
 }
 
-// Honest: at its end there is room again, unless others have taken it.
-Seconds LaneModel::WaitToTell(Seconds now, const LaneOutage* shut) {
-  if (Draw() >= s_.tells_wait) return 0;
-  if (shut != nullptr) return shut->to - now;
-  if (s_.window > 0) return (static_cast<double>(span_) + 1) * s_.window - now;
-  return std::max(s_.wait, (1 - tokens_) / std::max(0.01, s_.limit * CapacityAt(now) / s_.capacity));
+// A truthful Retry-After: when it ends, calls are accepted again, unless other callers have used up the
+// limit.
+Seconds RouteModel::DrawRetryAfter(Seconds now, const RouteFault* reject_all) {
+  if (Draw() >= s_.retry_after_share) return 0;
+  if (reject_all != nullptr) return reject_all->to - now;
+  if (s_.window > 0) return (static_cast<double>(window_index_) + 1) * s_.window - now;
+  return std::max(s_.retry_after,
+                  (1 - tokens_) / std::max(0.01, s_.rate_limit * CapacityAt(now) / s_.capacity));
 }
 
-LaneModel::Verdict LaneModel::Take(Seconds now) {
-  Verdict v;
-  if (!collapsed_ && ColdAt(now)) {
-    weight_.push_back(now);
-    while (weight_.front() <= now - s_.overload_for) weight_.pop_front();
-    const double budget = s_.overload_factor * CapacityAt(now) * s_.overload_for;
-    // A little slack for chance, as the rule allows.
-    if (static_cast<double>(weight_.size()) > budget + s_.overload_slack * std::sqrt(budget))
-      collapsed_ = v.fell_over = true;
+RouteModel::CallResult RouteModel::HandleCall(Seconds now) {
+  CallResult result;
+  if (!collapsed_ && IsRecovering(now)) {
+    recovery_calls_.push_back(now);
+    while (recovery_calls_.front() <= now - s_.overload_window) recovery_calls_.pop_front();
+    const double tolerated_calls = s_.overload_factor * CapacityAt(now) * s_.overload_window;
+    // The number of calls in a window varies at random, with the root of its mean as the standard deviation.
+    if (static_cast<double>(recovery_calls_.size()) >
+        tolerated_calls + s_.overload_tolerance * std::sqrt(tolerated_calls))
+      collapsed_ = result.caused_collapse = true;
   }
-  const LaneOutage* outage = At(now);
-  if (outage != nullptr && outage->kind == TroubleKind::kVanish) {
-    v.fate = Fate::kHangs;
-    return v;
+  const RouteFault* fault = ActiveFault(now);
+  if (fault != nullptr && fault->kind == RouteFaultKind::kUnreachable) {
+    result.status = CallStatus::kNoResponse;
+    return result;
   }
-  const bool shut = collapsed_ || (outage != nullptr && outage->kind == TroubleKind::kShut);
-  if (shut || (outage == nullptr && AboveLimit(now, CapacityAt(now) / s_.capacity))) {
-    v.fate = Fate::kFull;
-    v.takes = kRefusalTakes;
-    v.wait = collapsed_ ? 0 : WaitToTell(now, shut ? outage : nullptr);
-    return v;
+  const bool reject_all = collapsed_ || (fault != nullptr && fault->kind == RouteFaultKind::kRejectAll);
+  if (reject_all || (fault == nullptr && ExceedsRateLimit(now, CapacityAt(now) / s_.capacity))) {
+    result.status = CallStatus::kRejected;
+    result.duration = kRejectionDuration;
+    result.retry_after = collapsed_ ? 0 : DrawRetryAfter(now, reject_all ? fault : nullptr);
+    return result;
   }
   const double sigma2 = std::log(1 + s_.latency_cv * s_.latency_cv);
-  std::lognormal_distribution<double> latency(std::log(s_.latency) - sigma2 / 2, std::sqrt(sigma2));
-  v.takes = latency(random_);
-  if (outage != nullptr && outage->kind == TroubleKind::kSlow) v.takes *= outage->factor;
-  if (s_.queue >= 0) {
-    const Seconds next = places_.empty() ? now : *places_.begin();
-    const auto begins = TakePlace(now, v.takes * s_.capacity / std::max(0.01, CapacityAt(now)));
-    if (!begins) {
-      v.fate = Fate::kFull;
-      v.takes = kRefusalTakes;
-      if (Draw() < s_.tells_wait) v.wait = std::max(0.0, next - now);
-      return v;
+  std::lognormal_distribution<double> latency(std::log(s_.mean_latency) - sigma2 / 2, std::sqrt(sigma2));
+  result.duration = latency(random_);
+  if (fault != nullptr && fault->kind == RouteFaultKind::kSlow) result.duration *= fault->latency_factor;
+  if (s_.max_queued_calls >= 0) {
+    const Seconds next_free = workers_free_at_.empty() ? now : *workers_free_at_.begin();
+    const auto start = AssignWorker(now, result.duration * s_.capacity / std::max(0.01, CapacityAt(now)));
+    if (!start) {
+      result.status = CallStatus::kRejected;
+      result.duration = kRejectionDuration;
+      if (Draw() < s_.retry_after_share) result.retry_after = std::max(0.0, next_free - now);
+      return result;
     }
-    v.takes += *begins - now;
+    result.duration += *start - now;
   }
-  v.ran = true;
-  if (outage == nullptr) return v;
-  if (outage->kind == TroubleKind::kHang) v.fate = Fate::kHangs;
-  const bool strikes = Draw() < outage->chance;
-  if (strikes && outage->kind == TroubleKind::kErrors) {
-    v.fate = Fate::kError;
-    v.takes *= 0.2;
+  result.ran = true;
+  if (fault == nullptr) return result;
+  if (fault->kind == RouteFaultKind::kNoResponse) result.status = CallStatus::kNoResponse;
+  const bool affected = Draw() < fault->probability;
+  if (affected && fault->kind == RouteFaultKind::kErrors) {
+    result.status = CallStatus::kError;
+    result.duration *= 0.2;
   }
-  if (strikes && outage->kind == TroubleKind::kReset) v.fate = Fate::kReset;
-  if (strikes && outage->kind == TroubleKind::kSpoilt) v.fate = Fate::kSpoilt;
-  return v;
+  if (affected && fault->kind == RouteFaultKind::kReset) result.status = CallStatus::kReset;
+  if (affected && fault->kind == RouteFaultKind::kInvalidResponses)
+    result.status = CallStatus::kInvalidResponse;
+  return result;
 }
 
 }  // namespace opalroute::lab
--- a/lab/lane_model.h
+++ b/lab/lane_model.h
@@ -1,6 +1,7 @@
-// A lane of a partner: what has one limit, one pace and one outage at a time (a destination, or one endpoint
-// where routes are apart). As the operators describe theirs: limit, told waits, outages, cold return,
-// collapse. Pure: the clock is handed in.
+// A model of one upstream route of a partner: of what has a rate limit, a response time and faults of its
+// own. That is a destination, or each endpoint of a partner whose endpoints are separate routes. It behaves
+// as the operators describe their partners: rate limits, Retry-After, outages, slow recovery after them, and
+// collapse under too much load. No I/O; the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -14,95 +15,102 @@
 
 namespace opalroute::lab {
 
-enum class TroubleKind {
-  kShut,    // turns all calls away, and tells some how long it lasts
-  kRefuse,  // its connections are refused
-  kHang,    // takes calls and answers none
-  kReset,   // breaks the connection after the call ran, by chance
-  kErrors,  // calls fail after they may have run, by chance
-  kSlow,    // takes so many times as long
-  kSpoilt,  // calls run, and their answers are no HTTP, by chance
-  kVanish   // its machine is cut off: nothing that is sent to it is answered, nor a new connection
+enum class RouteFaultKind {
+  kRejectAll,          // rejects every call, and tells some how long this lasts
+  kRefuseConnections,  // refuses new connections
+  kNoResponse,         // runs calls and never responds
+  kReset,              // runs calls, then resets the connections of some
+  kErrors,             // runs calls, and answers some with an error
+  kSlow,               // multiplies the response times
+  kInvalidResponses,   // runs calls, and responds to some with what isn't HTTP
+  kUnreachable         // the machine is off the network: nothing sent to it is answered, nor does it accept
+                       // connections
 };
 
-// Strikes each call by chance, rather than all of them.
-constexpr bool ByChance(TroubleKind kind) {
-  return kind == TroubleKind::kErrors || kind == TroubleKind::kReset || kind == TroubleKind::kSpoilt;
+// Whether the fault affects each call with a probability, rather than all of them.
+constexpr bool IsProbabilistic(RouteFaultKind kind) {
+  return kind == RouteFaultKind::kErrors || kind == RouteFaultKind::kReset ||
+         kind == RouteFaultKind::kInvalidResponses;
 }
 
-struct LaneOutage {
-  TroubleKind kind{};
+struct RouteFault {
+  RouteFaultKind kind{};
   Seconds from = 0, to = 0;
-  double chance = 1;  // of a call, where it strikes by chance
-  double factor = 1;  // kSlow
+  double probability = 1;     // of a call, if the kind is probabilistic
+  double latency_factor = 1;  // kSlow
 };
 
-struct LaneSettings {
-  double limit = 0;    // calls a second that it takes from all relays; more are answered 'full'. 0: none
-  Seconds window = 0;  // above 0: the limit is a count in each span of this length, else a plain rate
-  bool refused_count = true;  // refused calls use up the limit
-  double capacity = 40;       // calls a second that it can do, warm
-  double tells_wait = 0.7;    // share of the refusals that tell how long to wait
-  Seconds wait = 0.5;  // told above a plain rate; above a count, to the end of the span; shut, until it opens
-  Seconds latency = 0.2;       // mean time of a call
-  double latency_cv = 0.4;     // its coefficient of variation (log-normal)
-  double cold_from = 0.22;     // of its capacity and limit, as an outage ends
-  Seconds ramp = 13;           // until it is warm
-  double overload_factor = 2;  // sent more than this many times what it can do ...
-  Seconds overload_for = 2;    // ... for this long while cold, it falls over and stays down
-  double overload_slack = 2;   // standard deviations above that left to chance
-  // Calls that wait for one of its places, of which it has as many as its capacity needs; one that finds no
-  // room is answered 'full'. Below 0: places without end.
-  int queue = -1;
+struct RouteSettings {
+  double rate_limit = 0;  // calls a second from all relays; more are rejected. 0: none
+  Seconds window = 0;     // above 0: the limit is a count in each window of this length, else a token bucket
+  bool rejected_calls_count = true;  // towards the limit
+  double capacity = 40;              // calls a second that it can do, once fully recovered
+  double retry_after_share = 0.7;    // of the rejections
+  // The least Retry-After of a token bucket. With a window it is the time to the window's end; while
+  // everything is rejected, the time to the end of the fault; with a full queue, the time until a worker is
+  // free.
+  Seconds retry_after = 0.5;
+  Seconds mean_latency = 0.2;
+  double latency_cv = 0.4;               // coefficient of variation (log-normal)
+  double initial_capacity_share = 0.22;  // and of its limit, right after an outage
+  Seconds recovery_time = 13;            // until its full capacity is back
+  double overload_factor =
+      2;  // it collapses and stays down if it gets more than this many times its capacity ...
+  Seconds overload_window = 2;    // ... for this long while it recovers
+  double overload_tolerance = 2;  // and this many standard deviations more, for random variation
+  // Calls that may wait for one of its workers, of which it has as many as its capacity needs; further calls
+  // are rejected. Below 0: workers without limit.
+  int max_queued_calls = -1;
 };
 
-class LaneModel {
+class RouteModel {
  public:
-  LaneModel(const LaneSettings& settings, std::vector<LaneOutage> outages, std::uint64_t seed)
-      : s_(settings), outages_(std::move(outages)), random_(seed) {}
+  RouteModel(const RouteSettings& settings, std::vector<RouteFault> faults, std::uint64_t seed)
+      : s_(settings), faults_(std::move(faults)), random_(seed) {}
 
-  enum class Fate { kServed, kFull, kError, kReset, kHangs, kSpoilt };
-  struct Verdict {
-    Fate fate{};
-    Seconds wait = 0;   // told
-    Seconds takes = 0;  // until its answer, or its end, leaves
+  enum class CallStatus { kServed, kRejected, kError, kReset, kNoResponse, kInvalidResponse };
+  struct CallResult {
+    CallStatus status{};
+    Seconds retry_after = 0;  // 0: none
+    Seconds duration = 0;     // until the response is sent, or the connection reset
     bool ran = false;
-    bool fell_over = false;  // by this call
+    bool caused_collapse = false;
   };
-  // A call, or a probe, whose last byte has arrived.
-  Verdict Take(Seconds now);
+  // A call or health check whose last byte has arrived.
+  CallResult HandleCall(Seconds now);
   bool RefusesConnections(Seconds now) const;
-  bool VanishedAt(Seconds now) const;
+  bool IsUnreachable(Seconds now) const;
 
-  // Calls that it can do at that moment, a second.
+  // Calls a second that it can do at this time.
   double CapacityAt(Seconds now) const;
-  // Cold: back from an outage for less than the ramp.
-  bool ColdAt(Seconds now) const;
-  // Down, shut, silent, or failing most calls: what happens in it tells a relay of the outage.
-  bool OutAt(Seconds now) const;
+  // Whether its last outage ended less than recovery_time ago.
+  bool IsRecovering(Seconds now) const;
+  // Collapsed, unreachable, rejecting or refusing everything, not responding, or failing most calls: a call
+  // that fails now tells its relay of the outage.
+  bool InOutage(Seconds now) const;
   bool collapsed() const { return collapsed_; }
-  const LaneSettings& settings() const { return s_; }
-  const std::vector<LaneOutage>& outages() const { return outages_; }
+  const RouteSettings& settings() const { return s_; }
+  const std::vector<RouteFault>& faults() const { return faults_; }
 
  private:
-  const LaneOutage* At(Seconds now) const;
-  std::optional<Seconds> OpenedAt(Seconds now) const;
+  const RouteFault* ActiveFault(Seconds now) const;
+  std::optional<Seconds> LastOutageEnd(Seconds now) const;
   double Draw() { return DrawUnit(random_); }
-  bool AboveLimit(Seconds now, double share);
-  Seconds WaitToTell(Seconds now, const LaneOutage* shut);
-  static bool IsOutage(const LaneOutage& outage);
-  // For a call that takes so long: when it begins. None: there is no room in the queue.
-  std::optional<Seconds> TakePlace(Seconds now, Seconds takes);
+  bool ExceedsRateLimit(Seconds now, double capacity_share);
+  Seconds DrawRetryAfter(Seconds now, const RouteFault* reject_all);
+  static bool IsOutage(const RouteFault& fault);
+  // When a call that occupies a worker for `duration` starts. None: the queue is full.
+  std::optional<Seconds> AssignWorker(Seconds now, Seconds duration);
 
-  const LaneSettings s_;
-  const std::vector<LaneOutage> outages_;  // by time, apart from one another
+  const RouteSettings s_;
+  const std::vector<RouteFault> faults_;  // of several active ones, the first applies
   pcg32 random_;
-  double tokens_ = 1, count_ = 0;
-  Seconds filled_ = 0;
-  std::int64_t span_ = 0;
-  std::deque<Seconds> weight_;     // calls while cold, within overload_for
-  std::multiset<Seconds> places_;  // when each is free
-  std::deque<Seconds> begins_;     // of calls that have not begun
+  double tokens_ = 1, window_count_ = 0;
+  Seconds refilled_at_ = 0;
+  std::int64_t window_index_ = 0;
+  std::deque<Seconds> recovery_calls_;      // times of the calls while recovering, within overload_window
+  std::multiset<Seconds> workers_free_at_;  // of the busy ones
+  std::deque<Seconds> queued_starts_;       // when the queued calls start
   bool collapsed_ = false;
 };
 
--- a/lab/links.cpp
+++ b/lab/links.cpp
@@ -7,44 +7,46 @@
 
 namespace {
 
-bool InGroup(const Cut& cut, int relay) { return relay >= cut.first && relay <= cut.last; }
+bool InGroup(const LinkCut& cut, int relay) { return relay >= cut.first && relay <= cut.last; }
 
 }  // namespace
 
-bool Links::Holds(const Cut& cut, Seconds now) {
-  if (now < cut.from || now >= cut.from + cut.lasts) return false;
-  return cut.on <= 0 || std::fmod(now - cut.from, cut.on + cut.off) < cut.on;
+bool LinkModel::IsActive(const LinkCut& cut, Seconds now) {
+  if (now < cut.from || now >= cut.from + cut.duration) return false;
+  return cut.cut_time <= 0 || std::fmod(now - cut.from, cut.cut_time + cut.open_time) < cut.cut_time;
 }
 
-bool Links::PeersCut(Seconds now, int from, int to) const {
-  return std::any_of(plan_.cuts.begin(), plan_.cuts.end(), [&](const Cut& cut) {
-    if (cut.what != Cut::What::kPeers || !Holds(cut, now) || InGroup(cut, from) == InGroup(cut, to))
+bool LinkModel::IsPeerLinkCut(Seconds now, int from, int to) const {
+  return std::any_of(settings_.cuts.begin(), settings_.cuts.end(), [&](const LinkCut& cut) {
+    if (cut.target != LinkCut::Target::kPeers || !IsActive(cut, now) ||
+        InGroup(cut, from) == InGroup(cut, to))
       return false;
-    return cut.way == Cut::Way::kBoth || (cut.way == Cut::Way::kOut) == InGroup(cut, from);
+    return cut.direction == LinkCut::Direction::kBoth ||
+           (cut.direction == LinkCut::Direction::kOutbound) == InGroup(cut, from);
   });
 }
 
-bool Links::EndpointsCut(Seconds now, int relay, int zone) const {
-  return std::any_of(plan_.cuts.begin(), plan_.cuts.end(), [&](const Cut& cut) {
-    return cut.what == Cut::What::kEndpoints && Holds(cut, now) && InGroup(cut, relay) &&
+bool LinkModel::IsEndpointLinkCut(Seconds now, int relay, int zone) const {
+  return std::any_of(settings_.cuts.begin(), settings_.cuts.end(), [&](const LinkCut& cut) {
+    return cut.target == LinkCut::Target::kEndpoints && IsActive(cut, now) && InGroup(cut, relay) &&
            (cut.zone < 0 || cut.zone == zone);
   });
 }
 
-bool Links::DiscoveryCut(Seconds now, int relay) const {
-  return std::any_of(plan_.cuts.begin(), plan_.cuts.end(), [&](const Cut& cut) {
-    return cut.what == Cut::What::kDiscovery && Holds(cut, now) && InGroup(cut, relay);
+bool LinkModel::IsDiscoveryLinkCut(Seconds now, int relay) const {
+  return std::any_of(settings_.cuts.begin(), settings_.cuts.end(), [&](const LinkCut& cut) {
+    return cut.target == LinkCut::Target::kDiscovery && IsActive(cut, now) && InGroup(cut, relay);
   });
 }
 
-std::vector<Seconds> Links::Arrivals(Seconds now, int from, int to) {
+std::vector<Seconds> LinkModel::DrawArrivals(Seconds now, int from, int to) {
   std::vector<Seconds> arrivals;
-  if (PeersCut(now, from, to) || DrawUnit(random_) < plan_.loss) return arrivals;
-  const auto one = [this] {
-    return DrawFrom(plan_.delay, random_) * (DrawUnit(random_) < plan_.reorder ? 10 : 1);
+  if (IsPeerLinkCut(now, from, to) || DrawUnit(random_) < settings_.loss) return arrivals;
+  const auto draw_delay = [this] {
+    return DrawFrom(settings_.delay, random_) * (DrawUnit(random_) < settings_.reorder ? 10 : 1);
   };
-  arrivals.push_back(now + one());
-  if (DrawUnit(random_) < plan_.duplicate) arrivals.push_back(now + one());
+  arrivals.push_back(now + draw_delay());
+  if (DrawUnit(random_) < settings_.duplicate) arrivals.push_back(now + draw_delay());
   return arrivals;
 }
 
--- a/lab/links.h
+++ b/lab/links.h
@@ -1,6 +1,6 @@
-// What lies between processes, and how it fails: relay to relay (datagrams), relay to the endpoints of a
-// zone, relay to discovery. Cuts are silent: nothing is refused, what is open stays open. Pure, but for its
-// draws.
+// A model of the network between processes and of its failures: relay to relay (datagrams), relay to the
+// endpoints of a zone, and relay to discovery. A cut drops traffic silently: connections are not refused, and
+// open ones stay open. No I/O; the random draws follow from the seed.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,37 @@
 
 namespace opalroute::lab {
 
-struct Cut {
-  enum class What { kPeers, kEndpoints, kDiscovery } what{};
-  enum class Way { kBoth, kOut, kIn } way{};  // of notes: seen from the group
-  int first = 0, last = 0;                    // relays of the group, both counted; of kPeers from all others
-  int zone = -1;                              // of kEndpoints; -1: all
-  Seconds from = 0, lasts = 0;
-  Seconds on = 0, off = 0;  // above 0: cut for so long, open for so long, over and over
+// An interruption of the links of a group of relays.
+struct LinkCut {
+  enum class Target { kPeers, kEndpoints, kDiscovery } target{};
+  enum class Direction { kBoth, kOutbound, kInbound } direction{};  // of datagrams, as seen from the group
+  int first = 0, last = 0;  // the group, inclusive; with kPeers it is cut off from all other relays
+  int zone = -1;            // kEndpoints: the zone that is cut off; -1: all
+  Seconds from = 0, duration = 0;
+  Seconds cut_time = 0,
+          open_time = 0;  // cut_time above 0: the links flap, cut and open in turn for these times
 };
 
-struct LinkPlan {
+struct LinkSettings {
   Range delay{0.0005, 0.003};  // of a datagram
   double loss = 0, duplicate = 0;
-  double reorder = 0;  // of the datagrams: they take ten times as long
-  std::vector<Cut> cuts;
+  double reorder = 0;  // share of the datagrams that take ten times as long
+  std::vector<LinkCut> cuts;
 };
 
-class Links {
+class LinkModel {
  public:
-  Links(const LinkPlan& plan, std::uint64_t seed) : plan_(plan), random_(seed, 11) {}
+  LinkModel(const LinkSettings& settings, std::uint64_t seed) : settings_(settings), random_(seed, 11) {}
 
-  bool PeersCut(Seconds now, int from, int to) const;
-  bool EndpointsCut(Seconds now, int relay, int zone) const;
-  bool DiscoveryCut(Seconds now, int relay) const;
-  // When a datagram that is sent now arrives: never, once or twice.
-  std::vector<Seconds> Arrivals(Seconds now, int from, int to);
+  bool IsPeerLinkCut(Seconds now, int from, int to) const;
+  bool IsEndpointLinkCut(Seconds now, int relay, int zone) const;
+  bool IsDiscoveryLinkCut(Seconds now, int relay) const;
+  // When a datagram that is sent now arrives: empty if it is lost, two times if it is duplicated.
+  std::vector<Seconds> DrawArrivals(Seconds now, int from, int to);
 
  private:
-  static bool Holds(const Cut& cut, Seconds now);
-  const LinkPlan plan_;
+  static bool IsActive(const LinkCut& cut, Seconds now);
+  const LinkSettings settings_;
   pcg32 random_;
 };
 
--- a/lab/partner.h
+++ b/lab/partner.h
@@ -1,6 +1,6 @@
-// A stand-in partner on loopback sockets round a partner model: every relay has an address of its own for
-// every endpoint, so that the partner knows who calls. One process, one event loop, as many endpoints as
-// descriptors.
+// A fake partner on loopback sockets, backed by a PartnerModel. It listens at a separate address for every
+// pair of endpoint and relay, and so knows which relay calls. All in one event loop; file descriptors bound
+// the number of endpoints.
 #pragma once
 
 #include <map>
@@ -15,14 +15,14 @@
 
 namespace opalroute::lab {
 
-class Partner {
+class FakePartner {
  public:
-  Partner(net::EventLoop& loop, const PartnerSettings& settings, int endpoints, int relays);
-  ~Partner();
+  FakePartner(net::EventLoop& loop, const PartnerSettings& settings, int endpoints, int relays);
+  ~FakePartner();
 
   sockaddr_in Address(int endpoint, int relay) const;
   const PartnerModel& model() const { return model_; }
-  // When a first line with 200 was written for it; none: not delivered.
+  // When the first 200 was written, by message; absent: not delivered.
   const std::map<std::string, Seconds>& delivered() const { return delivered_; }
 
  private:
--- a/lab/partner_model.h
+++ b/lab/partner_model.h
@@ -1,5 +1,5 @@
-// The partner of the learning experiment: one lane, and what it saw of the rules that bind relays towards it.
-// Pure: the clock is handed in.
+// The partner of the state transfer experiment: one route, and a record of the calls and of the rules that
+// relays broke towards it. No I/O; the caller passes the time.
 #pragma once
 
 #include <cstdint>
@@ -12,9 +12,8 @@
 namespace opalroute::lab {
 
 struct PartnerSettings {
-  LaneSettings lane;
-  Seconds shut_from = 0;  // an outage: all calls are turned away ...
-  Seconds shut_to = 0;    // ... until then (0: there is none)
+  RouteSettings route;
+  Seconds outage_from = 0, outage_to = 0;  // all calls are rejected; outage_to 0: no outage
   std::uint64_t seed = 1;
 };
 
@@ -22,21 +21,22 @@
  public:
   explicit PartnerModel(const PartnerSettings& settings);
 
-  struct Verdict {
-    int status = 200;       // 200, 429 with a wait, or 503
-    Seconds wait = 0;       // told
-    Seconds answer_in = 0;  // seconds from now
+  struct Response {
+    int status = 200;         // 200, 429 with a Retry-After, or 503
+    Seconds retry_after = 0;  // 0: none
+    Seconds delay = 0;        // until it is sent
   };
-  // One call of a relay with one message, as its last byte has come.
-  Verdict Take(Seconds now, int relay, const std::string& message, bool unsafe);
+  // A relay's call with one message, when its last byte has arrived.
+  Response HandleCall(Seconds now, int relay, const std::string& message, bool non_idempotent);
 
   struct Call {
     Seconds at;
     int relay;
     int status;
-    Seconds wait_since;  // when the earliest wait still in force was told, to any relay; 0: none is
+    Seconds
+        retry_after_since;  // when the earliest Retry-After still in force was sent, to any relay; 0: none is
   };
-  enum class BreachKind { kInWait, kCollapse, kTwice };
+  enum class BreachKind { kDuringRetryAfter, kCollapse, kRanTwice };
   struct Breach {
     Seconds at;
     int relay;
@@ -48,17 +48,17 @@
   int Count(BreachKind kind) const;
 
  private:
-  struct Told {
+  struct RetryAfter {
     int relay;
     Seconds from, until;
   };
-  Seconds CountWait(Seconds now, int relay, const std::string& message);
+  Seconds CheckRetryAfter(Seconds now, int relay, const std::string& message);
 
-  LaneModel lane_;
+  RouteModel route_;
   std::vector<Call> calls_;
   std::vector<Breach> breaches_;
-  std::vector<Told> told_;
-  std::set<std::string> ran_;  // messages that may take effect only once
+  std::vector<RetryAfter> retry_afters_;
+  std::set<std::string> ran_;  // the non-idempotent messages that ran
 };
 
 }  // namespace opalroute::lab
--- a/lab/platform.h
+++ b/lab/platform.h
@@ -1,4 +1,5 @@
-// A stand-in for the platform: hands out one list of endpoints and takes notices.
+// A fake platform: answers every GET with one list of endpoints and records the notifications that it is
+// sent.
 #pragma once
 
 #include <map>
@@ -12,14 +13,16 @@
 
 namespace opalroute::lab {
 
-class Platform : private net::HttpServer::Handler {
+class FakePlatform : private net::HttpServer::Handler {
  public:
-  explicit Platform(net::EventLoop& loop)
+  explicit FakePlatform(net::EventLoop& loop)
       : server_(loop, *net::ParseAddress("127.0.0.1:0"), Bounds(), *this) {}
 
   sockaddr_in address() const { return server_.address(); }
-  void SetList(nlohmann::json list) { list_ = std::move(list); }
-  const std::map<std::string, std::string>& notices() const { return notices_; }  // outcome by message
+  void SetEndpointList(nlohmann::json endpoint_list) { endpoint_list_ = std::move(endpoint_list); }
+  const std::map<std::string, std::string>& notifications() const {
+    return notifications_;
+  }  // outcome by request id
 
  private:
   static net::ServerBounds Bounds() {
@@ -35,18 +38,20 @@
     return bounds;
   }
   net::HttpResponse OnRequest(net::HttpMessage& request) override {
-    if (request.method == "GET") return {200, {}, list_.dump() + "\n", 0};
+    if (request.method == "GET") return {200, {}, endpoint_list_.dump() + "\n", 0};
     std::istringstream lines(request.body);
     for (std::string line; std::getline(lines, line);) {
-      const auto notice = nlohmann::json::parse(line, nullptr, false);
-      if (notice.is_object()) notices_[notice.value("message", "")] = notice.value("outcome", "");
+      const auto notification = nlohmann::json::parse(line, nullptr, false);
+      if (notification.is_object())
+        notifications_[notification.value("message", "")] = notification.value("outcome", "");
     }
     return {204, {}, {}, 0};
   }
   void OnResponseLost(std::uint64_t) override {}
 
-  nlohmann::json list_ = {{"generation", 1}, {"reset", true}, {"instances", nlohmann::json::array()}};
-  std::map<std::string, std::string> notices_;
+  nlohmann::json endpoint_list_ = {
+      {"generation", 1}, {"reset", true}, {"instances", nlohmann::json::array()}};
+  std::map<std::string, std::string> notifications_;
   net::HttpServer server_;
 };
 
--- a/lab/scenario.cpp
+++ b/lab/scenario.cpp
@@ -247,15 +247,15 @@
 void ReadTroubles(Reader& root, Scenario& s) {
   root.Each("troubles", [&](Reader& r) {
     Trouble t;
-    r.Word<TroubleKind>("kind", t.kind,
-                        {{"shut", TroubleKind::kShut},
-                         {"refuse", TroubleKind::kRefuse},
-                         {"hang", TroubleKind::kHang},
-                         {"reset", TroubleKind::kReset},
-                         {"errors", TroubleKind::kErrors},
-                         {"slow", TroubleKind::kSlow},
-                         {"spoilt", TroubleKind::kSpoilt},
-                         {"vanish", TroubleKind::kVanish}});
+    r.Word<RouteFaultKind>("kind", t.kind,
+                           {{"shut", RouteFaultKind::kRejectAll},
+                            {"refuse", RouteFaultKind::kRefuseConnections},
+                            {"hang", RouteFaultKind::kNoResponse},
+                            {"reset", RouteFaultKind::kReset},
+                            {"errors", RouteFaultKind::kErrors},
+                            {"slow", RouteFaultKind::kSlow},
+                            {"spoilt", RouteFaultKind::kInvalidResponses},
+                            {"vanish", RouteFaultKind::kUnreachable}});
     if (const json* kind = r.Find("kind"); kind != nullptr && kind->is_string())
       t.name = kind->get<std::string>();
     r.Number("share", t.share, 0, 1);
@@ -346,22 +346,24 @@
     r.Number("duplicate", s.links.duplicate, 0, 1);
     r.Number("reorder", s.links.reorder, 0, 1);
     r.Each("cuts", [&](Reader& c) {
-      Cut cut;
-      c.Word<Cut::What>("what", cut.what,
-                        {{"peers", Cut::What::kPeers},
-                         {"endpoints", Cut::What::kEndpoints},
-                         {"discovery", Cut::What::kDiscovery}});
+      LinkCut cut;
+      c.Word<LinkCut::Target>("what", cut.target,
+                              {{"peers", LinkCut::Target::kPeers},
+                               {"endpoints", LinkCut::Target::kEndpoints},
+                               {"discovery", LinkCut::Target::kDiscovery}});
       if (c.Has("way"))
-        c.Word<Cut::Way>("way", cut.way,
-                         {{"both", Cut::Way::kBoth}, {"out", Cut::Way::kOut}, {"in", Cut::Way::kIn}});
+        c.Word<LinkCut::Direction>("way", cut.direction,
+                                   {{"both", LinkCut::Direction::kBoth},
+                                    {"out", LinkCut::Direction::kOutbound},
+                                    {"in", LinkCut::Direction::kInbound}});
       c.Whole("first", cut.first, 0, s.relays - 1);
       cut.last = cut.first;
       c.Whole("last", cut.last, cut.first, s.relays - 1);
       c.Whole("zone", cut.zone, 0, static_cast<int>(s.zones.size()) - 1);
       c.Number("from_s", cut.from, 0, kDay);
-      c.Number("lasts_s", cut.lasts, 0, kDay);
-      c.Number("on_s", cut.on, 0, kDay);
-      c.Number("off_s", cut.off, 0, kDay);
+      c.Number("lasts_s", cut.duration, 0, kDay);
+      c.Number("on_s", cut.cut_time, 0, kDay);
+      c.Number("off_s", cut.open_time, 0, kDay);
       s.links.cuts.push_back(cut);
     });
   });
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -16,7 +16,7 @@
 namespace opalroute::lab {
 
 struct Trouble {
-  TroubleKind kind{};
+  RouteFaultKind kind{};
   std::string name;
   double share = 0;  // of the partners, the busiest of a draw first; or ...
   int partner = -1;  // ... this one
@@ -137,7 +137,7 @@
   Range one_way{0.005, 0.015};  // of the network, drawn for each relay and zone
   Seconds handshake = 0.001;    // a new connection costs the call a round trip and this
   Range list_late{1, 4};        // a change of the list reaches a relay so long after it was made
-  LinkPlan links;
+  LinkSettings links;
   bool notes = false;   // relays may send one another datagrams
   bool tier = false;    // they follow who is there (src/tier) ...
   bool leave = false;   // ... and leave failing zones together (src/zones)
--- a/lab/sessions.h
+++ b/lab/sessions.h
@@ -1,5 +1,5 @@
-// The connections that a stand-in has accepted, each with a session of its own. A session has Open(fd), which
-// says whether it stands, and Shut().
+// The accepted connections of a fake server, each with a session. A session type has Open(fd), which returns
+// false if the connection could not be set up, and Close().
 #pragma once
 
 #include <map>
@@ -15,20 +15,21 @@
  public:
   explicit Sessions(net::EventLoop& loop) : loop_(loop) {}
   ~Sessions() {
-    for (const auto& [key, session] : all_) session->Shut();
+    for (const auto& [key, session] : all_) session->Close();
   }
   Sessions(const Sessions&) = delete;
   Sessions& operator=(const Sessions&) = delete;
 
-  void Adopt(std::unique_ptr<Session> session, int fd) {
+  void Add(std::unique_ptr<Session> session, int fd) {
     Session* const key = session.get();
     if (session->Open(fd)) all_.emplace(key, std::move(session));
   }
-  // It stands until the loop's turn is over; dropping it once more does nothing.
-  void Drop(Session& session) {
+  // Closes the session. It is destroyed only after the current iteration of the event loop, so a second call
+  // is harmless.
+  void Remove(Session& session) {
     const auto it = all_.find(&session);
     if (it == all_.end()) return;
-    session.Shut();
+    session.Close();
     loop_.Retire(std::move(it->second));
     all_.erase(it);
   }
--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -20,17 +20,17 @@
 constexpr Seconds kFullAdvice = 0.5;     // what a relay without room tells its clients
 constexpr Seconds kAfterReady = 1.5;     // after a restart what was overdue may be answered until then
 
-Outcome OutcomeOf(LaneModel::Fate fate) {
+Outcome OutcomeOf(RouteModel::CallStatus fate) {
   switch (fate) {
-    case LaneModel::Fate::kServed:
+    case RouteModel::CallStatus::kServed:
       return Outcome::kServed;
-    case LaneModel::Fate::kFull:
+    case RouteModel::CallStatus::kRejected:
       return Outcome::kRejected;
-    case LaneModel::Fate::kError:
+    case RouteModel::CallStatus::kError:
       return Outcome::kError;
-    case LaneModel::Fate::kReset:
-    case LaneModel::Fate::kHangs:
-    case LaneModel::Fate::kSpoilt:
+    case RouteModel::CallStatus::kReset:
+    case RouteModel::CallStatus::kNoResponse:
+    case RouteModel::CallStatus::kInvalidResponse:
       break;
   }
   return Outcome::kReset;
@@ -72,8 +72,8 @@
       auditor_(
           [&] {
             Auditor::Rules rules;
-            rules.overload_for = scenario.settings.overload_window;
-            rules.key_rest = scenario.settings.ordered_key_pause.value_or(0);
+            rules.overload_window = scenario.settings.overload_window;
+            rules.ordered_key_pause = scenario.settings.ordered_key_pause.value_or(0);
             return rules;
           }(),
           scenario.settings.classes),
@@ -82,8 +82,8 @@
       tier_(s_, seed, *this, auditor_, result_) {
   listings_.assign(world_.endpoint_count(), EndpointStatus::kInService);
   for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
-    auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
-  auditor_.Tier(tier_.on() ? s_.relays : 0);
+    auditor_.OnEndpointListed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
+  auditor_.SetFleetSize(tier_.on() ? s_.relays : 0);
   for (int i = 0; i < s_.relays; ++i) {
     relays_.push_back(std::make_unique<Relay>());
     relays_.back()->number = i;
@@ -106,7 +106,7 @@
   const Micros ends = ToMicros(EndOf(s_));
   Micros told = 0;
   long at_once = 0;
-  while (!queue_.empty() && queue_.next() <= ends) {
+  while (!queue_.empty() && queue_.next_time() <= ends) {
     const auto event = queue_.Pop();
     at_once = event.at == now_ ? at_once + 1 : 0;
     if (at_once > kMostAtOnce)
@@ -116,14 +116,14 @@
     Play(event.payload);
     if (now_ / 1'000'000 != told / 1'000'000) {
       told = now_;
-      auditor_.Until(now());
+      auditor_.CheckDeadlines(now());
       tally_.Sample(now());
       if (progress) progress(now());
     }
   }
-  auditor_.Until(static_cast<double>(ends) * 1e-6 + 1);
+  auditor_.CheckDeadlines(static_cast<double>(ends) * 1e-6 + 1);
   result_.breaches = auditor_.breaches();
-  result_.client_doubles = auditor_.client_doubles();
+  result_.client_doubles = auditor_.client_duplicates();
   return std::move(result_);
 }
 
@@ -216,7 +216,7 @@
 }
 
 bool Simulation::Reaches(int relay, const PartnerEndpoint& endpoint) const {
-  return !tier_.links().EndpointsCut(now(), relay, endpoint.zone);
+  return !tier_.links().IsEndpointLinkCut(now(), relay, endpoint.zone);
 }
 
 // ---- relays -----------------------------------------------------------------------------------------
@@ -284,7 +284,7 @@
 
 void Simulation::Gather(Relay& relay, const Send& send) {
   const auto it = handings_.find(send.request_id);
-  auditor_.Sent(now(), relay.number, send.request_id, send.endpoint);
+  auditor_.OnSent(now(), relay.number, send.request_id, send.endpoint);
   if (it == handings_.end()) return;
   Handing& h = it->second;
   const int attempt = static_cast<int>(h.attempts.size());
@@ -323,18 +323,18 @@
   if (idle.last + kIdleTime < now()) idle.count = 0;
   const bool kept = idle.count > 0;
   if (kept) --idle.count;
-  const LaneModel& lane = world_.lane(e.machine);
+  const RouteModel& lane = world_.lane(e.machine);
   const bool cut = !Reaches(relay.number, e);
   const bool gone = listings_[endpoint - 1] == EndpointStatus::kRemoved;
   const bool crowded = !kept && e.connections > 0 && ConnectionsTo(endpoint) >= e.connections;
   call.connects =
-      kept || !(gone || crowded || cut || lane.RefusesConnections(now()) || lane.VanishedAt(now()));
+      kept || !(gone || crowded || cut || lane.RefusesConnections(now()) || lane.IsUnreachable(now()));
   if (!call.connects) {
     // A full table answers the first request on the new connection with 503 and ends it.
-    call.crowded = crowded && !gone && !cut && !lane.RefusesConnections(now()) && !lane.VanishedAt(now());
+    call.crowded = crowded && !gone && !cut && !lane.RefusesConnections(now()) && !lane.IsUnreachable(now());
     if (call.crowded) return At(now() + 4 * way + s_.handshake, {Kind::kBack, relay.number, number});
-    call.in_outage = lane.OutAt(now());
-    const Seconds told = !gone && (cut || lane.VanishedAt(now())) ? kDialTime : 2 * way;
+    call.in_outage = lane.InOutage(now());
+    const Seconds told = !gone && (cut || lane.IsUnreachable(now())) ? kDialTime : 2 * way;
     return At(now() + told, {Kind::kBack, relay.number, number});
   }
   ++idle.busy;
@@ -367,16 +367,16 @@
 void Simulation::Reach(std::uint64_t number) {
   Call& call = calls_.at(number);
   const PartnerEndpoint& e = world_.endpoint(call.endpoint);
-  call.in_outage = world_.lane(e.machine).OutAt(now());
+  call.in_outage = world_.lane(e.machine).InOutage(now());
   if (Reaches(call.relay, e))
-    call.verdict = TakeCall(world_, auditor_, tally_, now(), call.relay, e);
+    call.result = ServeCall(world_, auditor_, tally_, now(), call.relay, e);
   else
-    call.verdict.fate = LaneModel::Fate::kHangs;  // what is open stays open and silent
-  if (call.probe) call.verdict.wait = 0;          // what answers a probe says 503 at most
-  if (call.verdict.ran)
-    for (const auto& [id, attempt] : call.members) auditor_.Ran(now(), id);
+    call.result.status = RouteModel::CallStatus::kNoResponse;  // what is open stays open and silent
+  if (call.probe) call.result.retry_after = 0;                 // what answers a probe says 503 at most
+  if (call.result.ran)
+    for (const auto& [id, attempt] : call.members) auditor_.OnRan(now(), id);
   // One that hangs never comes back: its relay gives it up.
-  if (call.verdict.fate == LaneModel::Fate::kHangs && !call.probe) {
+  if (call.result.status == RouteModel::CallStatus::kNoResponse && !call.probe) {
     if (Awaited(call)) return;
     EndConnection(call);
     calls_.erase(number);
@@ -384,7 +384,8 @@
   }
   const Seconds way =
       relays_[static_cast<std::size_t>(call.relay)]->one_way[static_cast<std::size_t>(e.zone)];
-  const Seconds takes = call.verdict.fate == LaneModel::Fate::kHangs ? 1.5 : call.verdict.takes;
+  const Seconds takes =
+      call.result.status == RouteModel::CallStatus::kNoResponse ? 1.5 : call.result.duration;
   At(now() + takes + way, {Kind::kBack, call.relay, number});
 }
 
@@ -395,9 +396,9 @@
   if (!relay.up || relay.life != call.life) return;
   EndConnection(call);
   const PartnerEndpoint& e = world_.endpoint(call.endpoint);
-  Outcome outcome = call.connects ? OutcomeOf(call.verdict.fate) : Outcome::kConnectFailed;
+  Outcome outcome = call.connects ? OutcomeOf(call.result.status) : Outcome::kConnectFailed;
   if (call.crowded) outcome = call.probe ? Outcome::kRejected : Outcome::kOutOfConnections;
-  if (call.probe && call.verdict.fate == LaneModel::Fate::kHangs) outcome = Outcome::kTimeout;
+  if (call.probe && call.result.status == RouteModel::CallStatus::kNoResponse) outcome = Outcome::kTimeout;
   if (call.connects &&
       (outcome == Outcome::kServed || outcome == Outcome::kRejected || outcome == Outcome::kError)) {
     Relay::Idle& idle = relay.idle[call.endpoint];
@@ -406,8 +407,9 @@
   }
   // What the relay has given up it reads no more: it learns nothing from it.
   if (!Awaited(call)) return;
-  if (outcome != Outcome::kServed && call.in_outage) auditor_.SawOutage(relay.number, e.machine);
-  if (call.verdict.wait > 0) auditor_.ToldWait(now(), relay.number, e.lane, call.verdict.wait);
+  if (outcome != Outcome::kServed && call.in_outage) auditor_.OnOutageObserved(relay.number, e.machine);
+  if (call.result.retry_after > 0)
+    auditor_.OnRetryAfterReceived(now(), relay.number, e.lane, call.result.retry_after);
   if (call.probe) {
     HealthCheckOutcome told;
     told.endpoint = call.endpoint;
@@ -416,7 +418,7 @@
     tier_.Ended(relay.number, EntryOf(call.endpoint, EndpointStatus::kInService), outcome, told.duration);
     return Post(relay, told);
   }
-  for (const auto& [id, attempt] : call.members) EndAttempt(id, attempt, outcome, call.verdict.wait);
+  for (const auto& [id, attempt] : call.members) EndAttempt(id, attempt, outcome, call.result.retry_after);
 }
 
 // The relay stops waiting for one attempt. What its call does at the partner goes on.
@@ -429,12 +431,12 @@
   if (call != calls_.end()) {
     auto& members = call->second.members;
     // Effects are told by members: they stay, unless its last byte has arrived already.
-    const bool reached = call->second.verdict.takes > 0;
+    const bool reached = call->second.result.duration > 0;
     if (outcome == Outcome::kTimeout && call->second.in_outage)
-      auditor_.SawOutage(call->second.relay, world_.endpoint(call->second.endpoint).machine);
+      auditor_.OnOutageObserved(call->second.relay, world_.endpoint(call->second.endpoint).machine);
     const auto member = std::find(members.begin(), members.end(), std::make_pair(id, attempt));
     if (reached && member != members.end()) members.erase(member);
-    if (members.empty() && call->second.verdict.fate == LaneModel::Fate::kHangs) {
+    if (members.empty() && call->second.result.status == RouteModel::CallStatus::kNoResponse) {
       EndConnection(call->second);
       calls_.erase(call);
     }
@@ -452,14 +454,14 @@
   --h.out;
   Relay& relay = *relays_[static_cast<std::size_t>(h.relay)];
   tally_.AttemptEnded(outcome);
-  auditor_.Over(id, attempt, a.may_have_run);
+  auditor_.OnAttemptEnded(id, attempt, a.may_have_run);
   if (outcome == Outcome::kTimeout || outcome == Outcome::kReset || outcome == Outcome::kCancelled)
-    auditor_.MayStillRun(now(), id);
+    auditor_.OnMayStillBeRunning(now(), id);
   const bool delivered = outcome == Outcome::kServed && !h.over;
   if (delivered) {
     h.over = true;
     relay.held.erase(id);
-    auditor_.Ended(now(), id, Auditor::End::kDelivered);
+    auditor_.OnEnded(now(), id, Auditor::End::kDelivered);
     Deliver(clients_[h.client]);
   }
   AttemptOutcome told;
@@ -506,8 +508,8 @@
   h.deadline = deadline;
   relay->held.insert(id);
   const WorldPartner& partner = world_.partners()[arrival.partner];
-  auditor_.Taken(now(), relay->number, id, client, arrival.message_class, partner.id, deadline);
-  if (arrival.order_key >= 0) auditor_.InOrder(id, OrderKeyOf(arrival));
+  auditor_.OnAccepted(now(), relay->number, id, client, arrival.message_class, partner.id, deadline);
+  if (arrival.order_key >= 0) auditor_.SetOrderingKey(id, OrderKeyOf(arrival));
   NewRequest message;
   message.request_id = id;
   message.request_class = arrival.message_class;
@@ -520,7 +522,7 @@
 
 void Simulation::EndByRelay(std::uint64_t id, bool refused, Seconds advice) {
   const auto it = handings_.find(id);
-  auditor_.Ended(now(), id, refused ? Auditor::End::kRefused : Auditor::End::kFailed);
+  auditor_.OnEnded(now(), id, refused ? Auditor::End::kRejected : Auditor::End::kFailed);
   if (it == handings_.end() || it->second.over) return;
   Handing& h = it->second;
   h.over = true;
@@ -548,7 +550,8 @@
 void Simulation::Publish(EndpointId endpoint, EndpointStatus listing) {
   if (endpoint > listings_.size()) {
     listings_.resize(endpoint, EndpointStatus::kInService);
-    auditor_.Listed(endpoint, world_.endpoint(endpoint).destination, world_.endpoint(endpoint).lane);
+    auditor_.OnEndpointListed(endpoint, world_.endpoint(endpoint).destination,
+                              world_.endpoint(endpoint).lane);
   }
   listings_[endpoint - 1] = listing;
   changes_.push_back({endpoint, listing});
@@ -561,11 +564,13 @@
 // A watch tells changes in the order in which they were made, however late each is.
 void Simulation::TellNews(Relay& relay) {
   if (relay.news.empty()) return;
-  if (tier_.links().DiscoveryCut(now(), relay.number))  // it hears what it has missed once it hears again
+  if (tier_.links().IsDiscoveryLinkCut(now(),
+                                       relay.number))  // it hears what it has missed once it hears again
     return At(now() + 0.25, {Kind::kNews, relay.number, 0, 0, relay.life});
   const World::ListChange change = changes_[relay.news.front()];
   relay.news.pop_front();
-  if (change.listing != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay.number, change.endpoint);
+  if (change.listing != EndpointStatus::kInService)
+    auditor_.OnDrainReceived(now(), relay.number, change.endpoint);
   ListUpdate update;
   update.scope = ListScope::kChanges;
   update.entries = {EntryOf(change.endpoint, change.listing)};
@@ -592,7 +597,7 @@
   if (!relay.up || on_sockets_alone) return;
   if (fault.kind == RelayFault::Kind::kFreeze) {
     relay.frozen_until = now() + fault.down;
-    return auditor_.Excuse(relay.number, relay.frozen_until + kAfterReady);
+    return auditor_.ExtendDeadlines(relay.number, relay.frozen_until + kAfterReady);
   }
   if (fault.kind == RelayFault::Kind::kStop && !forced) {
     relay.takes_on = false;
@@ -612,7 +617,7 @@
   relay.idle.clear();
   relay.gathered.clear();
   relay.turn_armed = false;
-  auditor_.RelayDied(relay.number, now() + fault.down + kAfterReady);
+  auditor_.OnRelayStopped(relay.number, now() + fault.down + kAfterReady);
   for (auto it = handings_.begin(); it != handings_.end();) {
     Handing& h = it->second;
     const std::uint64_t id = it->first;
@@ -623,7 +628,7 @@
       if (!std::exchange(h.attempts[i].out, false)) continue;
       h.attempts[i].may_have_run = true;
       --h.out;
-      auditor_.Over(id, static_cast<int>(i), true);
+      auditor_.OnAttemptEnded(id, static_cast<int>(i), true);
     }
     if (h.over) handings_.erase(id);
   }
--- a/lab/simulation.h
+++ b/lab/simulation.h
@@ -81,7 +81,7 @@
     Seconds sent = 0;
     std::vector<std::pair<std::uint64_t, int>> members;  // id and attempt, as long as the relay awaits them
     bool probe = false, connects = true, crowded = false, in_outage = false;
-    LaneModel::Verdict verdict;
+    RouteModel::CallResult result;
   };
   struct Relay;
 
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -54,7 +54,7 @@
     return connection_ != nullptr;
   }
   EndpointId endpoint() const { return endpoint_; }
-  void Shut() {
+  void Close() {
     all_.loop_.Cancel(timer_);
     connection_->Close();
   }
@@ -75,12 +75,13 @@
 
   // It is over: its relay has given up, or its machine goes. A call on its way still arrives.
   void End(Outcome outcome) {
-    const LaneModel& lane = Lane();
-    if (phase_ != Phase::kRests && lane.OutAt(all_.now())) all_.auditor_.SawOutage(relay_, Machine());
+    const RouteModel& lane = Lane();
+    if (phase_ != Phase::kRests && lane.InOutage(all_.now()))
+      all_.auditor_.OnOutageObserved(relay_, Machine());
     for (const Member& member : std::exchange(awaited_, {}))
       if (member.attempt != Ledger::kVoid) all_.ledger_.Over(all_.now(), member.id, member.attempt, outcome);
     if (phase_ == Phase::kComing && !std::exchange(left_, true)) return connection_->Close();
-    if (phase_ != Phase::kComing) all_.sessions_.Drop(*this);
+    if (phase_ != Phase::kComing) all_.sessions_.Remove(*this);
   }
 
  private:
@@ -93,7 +94,7 @@
 
   std::uint32_t LaneNumber() const { return all_.world_.endpoint(endpoint_).lane; }
   std::uint32_t Machine() const { return all_.world_.endpoint(endpoint_).machine; }
-  LaneModel& Lane() const { return all_.world_.lane(Machine()); }
+  RouteModel& Lane() const { return all_.world_.lane(Machine()); }
 
   void Begin(const net::HttpMessage& request) {
     probe_ = request.method == "GET" && (request.target == "/health/live" || request.target == "/stats");
@@ -145,48 +146,48 @@
         if (member.attempt != Ledger::kVoid)
           all_.ledger_.Over(now, member.id, member.attempt, Outcome::kOutOfConnections);
       connection_->Write(net::FormatResponse(503, {{"Connection", "close"}}, {}));
-      return all_.sessions_.Drop(*this);
+      return all_.sessions_.Remove(*this);
     }
     const bool all_void = !probe_ && std::all_of(members_.begin(), members_.end(), [](const Member& member) {
       return member.attempt == Ledger::kVoid;
     });
-    if (all_void) return left_ ? all_.sessions_.Drop(*this) : Answer({});
-    const LaneModel::Verdict verdict =
-        TakeCall(all_.world_, all_.auditor_, all_.tally_, now, relay_, all_.world_.endpoint(endpoint_));
+    if (all_void) return left_ ? all_.sessions_.Remove(*this) : Answer({});
+    const RouteModel::CallResult verdict =
+        ServeCall(all_.world_, all_.auditor_, all_.tally_, now, relay_, all_.world_.endpoint(endpoint_));
     if (verdict.ran)
       for (const Member& member : members_)
         if (member.attempt != Ledger::kVoid) all_.ledger_.Ran(now, member.id);
-    if (left_) return all_.sessions_.Drop(*this);
-    if (verdict.fate == LaneModel::Fate::kHangs) return;  // until its relay gives up
-    After(verdict.takes + all_.WayOf(endpoint_, relay_), [this, verdict] { Answer(verdict); });
+    if (left_) return all_.sessions_.Remove(*this);
+    if (verdict.status == RouteModel::CallStatus::kNoResponse) return;  // until its relay gives up
+    After(verdict.duration + all_.WayOf(endpoint_, relay_), [this, verdict] { Answer(verdict); });
   }
 
   bool IsCut() const { return all_.IsCut(endpoint_, relay_); }
   // What is open stays open, and nothing comes through it any more: its relay gives it up.
   void GoSilent() {
-    if (left_) all_.sessions_.Drop(*this);
+    if (left_) all_.sessions_.Remove(*this);
   }
 
-  void Answer(const LaneModel::Verdict& verdict) {
+  void Answer(const RouteModel::CallResult& verdict) {
     const Seconds now = all_.now();
     if (IsCut()) return GoSilent();
-    if (verdict.fate != LaneModel::Fate::kServed && Lane().OutAt(now))
-      all_.auditor_.SawOutage(relay_, Machine());
-    if (verdict.fate == LaneModel::Fate::kReset) return End(Outcome::kReset);
-    if (verdict.fate == LaneModel::Fate::kSpoilt) {
+    if (verdict.status != RouteModel::CallStatus::kServed && Lane().InOutage(now))
+      all_.auditor_.OnOutageObserved(relay_, Machine());
+    if (verdict.status == RouteModel::CallStatus::kReset) return End(Outcome::kReset);
+    if (verdict.status == RouteModel::CallStatus::kInvalidResponse) {
       connection_->Write("HTTP/1.1 2xx fine\r\nContent-Length: many\r\n\r\n");
       return End(Outcome::kReset);
     }
-    const bool full = verdict.fate == LaneModel::Fate::kFull;
-    const bool error = verdict.fate == LaneModel::Fate::kError;
-    const Seconds wait = full && !probe_ ? verdict.wait : 0;
+    const bool full = verdict.status == RouteModel::CallStatus::kRejected;
+    const bool error = verdict.status == RouteModel::CallStatus::kError;
+    const Seconds wait = full && !probe_ ? verdict.retry_after : 0;
     for (const Member& member : std::exchange(awaited_, {}))
       if (member.attempt != Ledger::kVoid)
         all_.ledger_.Over(now, member.id, member.attempt,
                           full    ? Outcome::kRejected
                           : error ? Outcome::kError
                                   : Outcome::kServed);
-    if (wait > 0) all_.auditor_.ToldWait(now, relay_, LaneNumber(), wait);
+    if (wait > 0) all_.auditor_.OnRetryAfterReceived(now, relay_, LaneNumber(), wait);
     const bool one_void = std::any_of(members_.begin(), members_.end(),
                                       [](const Member& member) { return member.attempt == Ledger::kVoid; });
     if (!batch_) return Write(one_void ? 410 : full ? (wait > 0 ? 429 : 503) : error ? 500 : 200, wait, {});
@@ -242,9 +243,9 @@
                                                          [this, relay](int fd) { Accept(fd, relay); }));
   }
   for (EndpointId id = 1; id <= world.endpoint_count(); ++id) {
-    const auto& outages = world.lane(world.endpoint(id).machine).outages();
-    const bool closes = std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
-      return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
+    const auto& outages = world.lane(world.endpoint(id).machine).faults();
+    const bool closes = std::any_of(outages.begin(), outages.end(), [](const RouteFault& outage) {
+      return outage.kind == RouteFaultKind::kRefuseConnections || outage.kind == RouteFaultKind::kUnreachable;
     });
     for (int relay = 0; relay < s.relays; ++relay) {
       if (!closes && !MeetsCut(id, relay)) continue;
@@ -278,13 +279,14 @@
 }
 
 bool Endpoints::IsCut(EndpointId endpoint, int relay) const {
-  return begun_ && loop_.Now() >= start_ && links_.EndpointsCut(now(), relay, world_.endpoint(endpoint).zone);
+  return begun_ && loop_.Now() >= start_ &&
+         links_.IsEndpointLinkCut(now(), relay, world_.endpoint(endpoint).zone);
 }
 
 bool Endpoints::MeetsCut(EndpointId endpoint, int relay) const {
   const auto& cuts = world_.scenario().links.cuts;
-  return std::any_of(cuts.begin(), cuts.end(), [&](const Cut& cut) {
-    return cut.what == Cut::What::kEndpoints && relay >= cut.first && relay <= cut.last &&
+  return std::any_of(cuts.begin(), cuts.end(), [&](const LinkCut& cut) {
+    return cut.target == LinkCut::Target::kEndpoints && relay >= cut.first && relay <= cut.last &&
            (cut.zone < 0 || cut.zone == world_.endpoint(endpoint).zone);
   });
 }
@@ -306,9 +308,10 @@
   begun_ = true;
   for (auto& [key, value] : doors_) {
     Door& door = value;
-    for (const LaneOutage& outage : world_.lane(world_.endpoint(door.endpoint).machine).outages()) {
-      if (outage.kind != TroubleKind::kRefuse && outage.kind != TroubleKind::kVanish) continue;
-      bool& state = outage.kind == TroubleKind::kVanish ? door.vanished : door.refuses;
+    for (const RouteFault& outage : world_.lane(world_.endpoint(door.endpoint).machine).faults()) {
+      if (outage.kind != RouteFaultKind::kRefuseConnections && outage.kind != RouteFaultKind::kUnreachable)
+        continue;
+      bool& state = outage.kind == RouteFaultKind::kUnreachable ? door.vanished : door.refuses;
       for (const bool holds : {true, false})
         loop_.At(start + (holds ? outage.from : outage.to), [this, &door, &state, holds] {
           state = holds;
@@ -340,7 +343,7 @@
   const bool crowded = Crowded(endpoint);
   if (!crowded && world_.endpoint(endpoint).connections > 0) ++taken_[endpoint];
   if (!crowded) tally_.Connected();
-  sessions_.Adopt(std::make_unique<Session>(*this, endpoint, relay, crowded), fd);
+  sessions_.Add(std::make_unique<Session>(*this, endpoint, relay, crowded), fd);
 }
 
 void Endpoints::Remove(EndpointId endpoint) {
--- a/lab/sockets/endpoints.h
+++ b/lab/sockets/endpoints.h
@@ -61,7 +61,7 @@
   Auditor& auditor_;
   Ledger& ledger_;
   Tally& tally_;
-  const Links links_;
+  const LinkModel links_;
   net::Seconds start_;
   bool begun_ = false;
   std::vector<std::vector<Seconds>> one_way_;  // by relay and zone
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -35,20 +35,20 @@
   handings_.back().relay = relay;
   const std::uint64_t id = handings_.size();
   const Arrival& arrival = clients_[client].arrival;
-  auditor_.Taken(now, relay, id, client, arrival.message_class, world_.partners()[arrival.partner].id,
-                 DeadlineOf(client));
+  auditor_.OnAccepted(now, relay, id, client, arrival.message_class, world_.partners()[arrival.partner].id,
+                      DeadlineOf(client));
   return id;
 }
 
 void Ledger::End(Seconds now, std::uint64_t id, Handing& handing, Auditor::End end) {
-  auditor_.Ended(now, id, end);
+  auditor_.OnEnded(now, id, end);
   if (std::exchange(handing.over, true)) return;
   handing.ended = now;
   --open_;
   Client& client = clients_[handing.client];
   if (end == Auditor::End::kDelivered && !std::exchange(client.delivered, true))
     tally_.Delivered(client.arrival, now);
-  if (end == Auditor::End::kRefused) tally_.Refused(now);
+  if (end == Auditor::End::kRejected) tally_.Refused(now);
   if (end == Auditor::End::kFailed) tally_.Failed(now);
 }
 
@@ -58,11 +58,11 @@
   if (handing.served && !handing.over) End(now, id, handing, Auditor::End::kDelivered);
 }
 
-void Ledger::Refused(Seconds now, std::uint64_t id) { End(now, id, *Find(id), Auditor::End::kRefused); }
+void Ledger::Refused(Seconds now, std::uint64_t id) { End(now, id, *Find(id), Auditor::End::kRejected); }
 void Ledger::Failed(Seconds now, std::uint64_t id) { End(now, id, *Find(id), Auditor::End::kFailed); }
 void Ledger::Withdrawn(Seconds now, std::uint64_t id) {
   Find(id)->withdrawn = true;
-  End(now, id, *Find(id), Auditor::End::kWithdrawn);
+  End(now, id, *Find(id), Auditor::End::kAborted);
 }
 
 void Ledger::Noticed(Seconds now, std::uint64_t id, Notice notice, Seconds advice) {
@@ -71,7 +71,7 @@
   if (handing == nullptr || handing->over) return;
   if (handing->found_untried && handing->attempts == 0 && now < TimeOf(handing->client, kEarly))
     ++untried_ended_;
-  End(now, id, *handing, notice == Notice::kGivenUp ? Auditor::End::kFailed : Auditor::End::kRefused);
+  End(now, id, *handing, notice == Notice::kGivenUp ? Auditor::End::kFailed : Auditor::End::kRejected);
   if (notice == Notice::kHandedBack && on_handed_back) on_handed_back(handing->client, advice);
 }
 
@@ -111,18 +111,18 @@
   Handing* handing = Find(id);
   const bool over = handing == nullptr || handing->over;
   if (over && handing != nullptr && MayArriveLate(now, relay, *handing)) return kVoid;
-  auditor_.Sent(now, relay, id, endpoint);  // which reports it where it is over
+  auditor_.OnSent(now, relay, id, endpoint);  // which reports it where it is over
   if (over) return kVoid;
   ++tally_.result().attempts;
   return handing->attempts++;
 }
 
-void Ledger::Ran(Seconds now, std::uint64_t id) { auditor_.Ran(now, id); }
+void Ledger::Ran(Seconds now, std::uint64_t id) { auditor_.OnRan(now, id); }
 
 void Ledger::Over(Seconds now, std::uint64_t id, int attempt, Outcome outcome) {
   Handing& handing = *Find(id);
   tally_.AttemptEnded(outcome);
-  auditor_.Over(id, attempt, !decision::ProvesNeverRan(outcome));
+  auditor_.OnAttemptEnded(id, attempt, !decision::ProvesNeverRan(outcome));
   if (outcome != Outcome::kServed) return;
   handing.served = true;
   // It counts once its client has heard, too. An end that came first stands.
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -41,10 +41,10 @@
 
 Auditor::Rules RulesOf(const Scenario& scenario) {
   Auditor::Rules rules;
-  rules.answer_slack = 0.35;  // the platform's 0.3 s, and 50 ms for sockets
-  rules.drain_grace = 2.05;
-  rules.wait_grace = 0.1;
-  rules.overload_for = scenario.settings.overload_window;
+  rules.deadline_tolerance = 0.35;  // the platform's 0.3 s, and 50 ms for sockets
+  rules.drain_grace_period = 2.05;
+  rules.retry_after_grace_period = 0.1;
+  rules.overload_window = scenario.settings.overload_window;
   return rules;
 }
 
@@ -65,14 +65,14 @@
             loop_, world_, seed, [this](EndpointId id, int relay) { return endpoints_.AddressOf(id, relay); },
             *this),
         front_(loop_, scenario, traffic_, ledger_, seed),
-        rude_clients_(loop_, [this](int relay) { auditor_.Stalled(now(), relay); }) {
+        rude_clients_(loop_, [this](int relay) { auditor_.ReportStalledClient(now(), relay); }) {
     front_.on_closed = [this](int relay, std::uint64_t id, bool crossed) { CheckClosed(relay, id, crossed); };
     front_.on_accepted = [this](int relay) { KillAfterAccept(relay); };
     if (s_.notes) post_ = std::make_unique<PostThread>(s_.relays, s_.links, seed);
     tally_.result().played = "sockets";
     tally_.result().processes.resize(static_cast<std::size_t>(s_.relays));
     for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
-      auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
+      auditor_.OnEndpointListed(id, world_.endpoint(id).destination, world_.endpoint(id).lane);
     for (int i = 0; i < s_.relays; ++i) {
       RelayProcess::Plan plan;
       plan.program = options.program;
@@ -105,7 +105,7 @@
       loop_.At(start_ + rude.at, [this, rude] {
         rude_clients_.Connect(rude.relay, Of(rude.relay).address(), rude.kind, rude.count);
       });
-    for (const Cut& cut : s_.links.cuts) ExcuseAllAt(cut.from);
+    for (const LinkCut& cut : s_.links.cuts) ExcuseAllAt(cut.from);
     for (const ListFault& fault : s_.list_faults) ExcuseAllAt(fault.from);
     for (const RelayFault& fault : s_.relay_faults)
       loop_.At(start_ + fault.at, [this, fault] { Strike(fault); });
@@ -118,10 +118,10 @@
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
     }
     constexpr Seconds kEver = 1e9;  // what is not over by now never will be
-    auditor_.Until(kEver);
-    restarts_.untried = ledger_.untried();
-    restarts_.untried_ended = ledger_.untried_ended();
-    auditor_.Restarted(now(), restarts_);
+    auditor_.CheckDeadlines(kEver);
+    restarts_.unattempted = ledger_.untried();
+    restarts_.unattempted_ended = ledger_.untried_ended();
+    auditor_.CheckRestarts(now(), restarts_);
     End();
     return Result();
   }
@@ -170,7 +170,7 @@
     if (start_ <= 0) return;
     ++restarts_.ready;
     if (now() > started_at_[relay] + kReadyWithin) ++restarts_.late;
-    auditor_.RelayReady(relay, now() + kAfterReady);  // what it held is due from now on
+    auditor_.OnRelayReady(relay, now() + kAfterReady);  // what it held is due from now on
     ExcuseForCuts(relay);
   }
   void StartRelay(int relay) {
@@ -196,28 +196,29 @@
   // What it was told ends with the process; nothing that it held is overdue until the next one is ready.
   void OnDeath(int relay) {
     if (post_) post_->SetThere(relay, false);
-    auditor_.RelayDied(relay, ReadyAtLatest(relay));
+    auditor_.OnRelayStopped(relay, ReadyAtLatest(relay));
     ExcuseForCuts(relay);
   }
   Seconds ReadyAtLatest(int relay) { return Of(relay).next_start() - start_ + kToReady; }
   void OnCrash(int relay, const std::string& how) override {
     if (post_) post_->SetThere(relay, false);
-    auditor_.RelayDied(relay, 0);
+    auditor_.OnRelayStopped(relay, 0);
     ExcuseForCuts(relay);
     front_.SetAlive(relay, false);
     tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, how, Of(relay).LastLog()});
   }
   // While the platform is out of a relay's reach no notice can arrive there.
   void ExcuseForCuts(int relay) {
-    for (const Cut& cut : s_.links.cuts)
-      if (cut.what == Cut::What::kDiscovery) ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.lasts);
+    for (const LinkCut& cut : s_.links.cuts)
+      if (cut.target == LinkCut::Target::kDiscovery)
+        ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.duration);
     for (const ListFault& fault : s_.list_faults)
       if (fault.kind == ListFault::Kind::kUnreachable)
         ExcuseWhile(relay, fault.first, fault.last, fault.from, fault.lasts);
   }
   void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds lasts) {
     const bool holds = start_ > 0 && now() >= from && now() < from + lasts;
-    if (holds && relay >= first && relay <= last) auditor_.Excuse(relay, from + lasts + kAfterCut);
+    if (holds && relay >= first && relay <= last) auditor_.ExtendDeadlines(relay, from + lasts + kAfterCut);
   }
   void ExcuseAllAt(Seconds from) {
     loop_.At(start_ + from, [this] {
@@ -234,7 +235,7 @@
     const bool owes_all = Of(relay).serves() && !crossed;
     loop_.At(closed + kEndSeen, [this, relay, id, closed, starts, owes_all] {
       if (Of(relay).WasKilled(starts, closed)) return;
-      if (owes_all || HasRead(relay, id)) return auditor_.ClosedUnanswered(closed - start_, relay, id);
+      if (owes_all || HasRead(relay, id)) return auditor_.ReportClosedUnanswered(closed - start_, relay, id);
       ++tally_.result().closed_unread;
     });
   }
@@ -247,7 +248,7 @@
     return false;
   }
   void OnTold(int relay, EndpointId endpoint, EndpointStatus listing) override {
-    if (listing != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
+    if (listing != EndpointStatus::kInService) auditor_.OnDrainReceived(now(), relay, endpoint);
   }
   void OnNotice(const std::string& message, bool handed_back, Seconds advice) override {
     ledger_.Noticed(now(), std::strtoull(message.c_str() + 1, nullptr, 10),
@@ -276,14 +277,14 @@
   void Freeze(int relay, Seconds lasts) {
     Of(relay).Freeze();
     ledger_.Deaf(relay, now() + lasts);
-    auditor_.Excuse(relay, now() + lasts + kAfterReady);
+    auditor_.ExtendDeadlines(relay, now() + lasts + kAfterReady);
     loop_.At(loop_.Now() + lasts, [this, relay] { Of(relay).Thaw(); });
   }
   // From the signal until it is ready again nothing is overdue; OnReady says until when.
   void Stop(int relay, Seconds down) {
     const bool is_first = !Of(relay).stopping();
     Of(relay).Terminate(down);
-    auditor_.Excuse(relay, ReadyAtLatest(relay));
+    auditor_.ExtendDeadlines(relay, ReadyAtLatest(relay));
     if (!is_first) return;
     if (options_.clients_stay) return front_.RelayStops(relay);
     loop_.At(loop_.Now() + kFrontDrains, [this, relay] { front_.SetAlive(relay, false); });
@@ -313,8 +314,8 @@
         [this] { return DrawUnit(random_); });
     for (const World::ListChange& c : changes) {
       if (c.listing == EndpointStatus::kInService)
-        auditor_.Listed(c.endpoint, world_.endpoint(c.endpoint).destination,
-                        world_.endpoint(c.endpoint).lane);
+        auditor_.OnEndpointListed(c.endpoint, world_.endpoint(c.endpoint).destination,
+                                  world_.endpoint(c.endpoint).lane);
       registry_.Publish(c.endpoint, c.listing);
       if (c.listing != EndpointStatus::kDraining) continue;
       loop_.At(loop_.Now() + World::kDrainLasts, [this, id = c.endpoint] {
@@ -336,7 +337,7 @@
   }
 
   void Second(int number) {
-    auditor_.Until(now());
+    auditor_.CheckDeadlines(now());
     tally_.Sample(now());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       auto sample = relays_[i]->Sample();
@@ -363,7 +364,7 @@
   RunResult Result() {
     RunResult& r = tally_.result();
     r.breaches = auditor_.breaches();
-    r.client_doubles = auditor_.client_doubles();
+    r.client_doubles = auditor_.client_duplicates();
     r.restarts = restarts_;
     r.lateness_p99 = lateness_.At(0.99);
     r.lateness_most = most_late_;
--- a/lab/sockets/post.cpp
+++ b/lab/sockets/post.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-Post::Post(net::EventLoop& loop, int relays, const LinkPlan& links, std::uint64_t seed,
+Post::Post(net::EventLoop& loop, int relays, const LinkSettings& links, std::uint64_t seed,
            std::function<Seconds()> now)
     : loop_(loop), links_(links, seed), now_(std::move(now)) {
   const auto count = static_cast<std::size_t>(relays);
@@ -57,7 +57,8 @@
 // wrong.
 bool Post::AnyCut(int relay) const {
   for (int other = 0; other < static_cast<int>(there_.size()); ++other)
-    if (other != relay && (links_.PeersCut(now_(), relay, other) || links_.PeersCut(now_(), other, relay)))
+    if (other != relay &&
+        (links_.IsPeerLinkCut(now_(), relay, other) || links_.IsPeerLinkCut(now_(), other, relay)))
       return true;
   return false;
 }
@@ -88,7 +89,7 @@
   const int sender = known->second;
   std::weak_ptr<bool> alive = alive_;
   const Seconds now = now_();
-  for (const Seconds when : links_.Arrivals(now, sender, to))
+  for (const Seconds when : links_.DrawArrivals(now, sender, to))
     loop_.At(loop_.Now() + when - now, [this, alive, sender, to, bytes] {
       if (!alive.lock()) return;
       auto& out = sockets_[static_cast<std::size_t>(sender)];
--- a/lab/sockets/post.h
+++ b/lab/sockets/post.h
@@ -19,14 +19,14 @@
 class Post {
  public:
   // `now`: the run's time, by which cuts hold.
-  Post(net::EventLoop& loop, int relays, const LinkPlan& links, std::uint64_t seed,
+  Post(net::EventLoop& loop, int relays, const LinkSettings& links, std::uint64_t seed,
        std::function<Seconds()> now);
 
   sockaddr_in ListenOf(int relay) const { return real_[static_cast<std::size_t>(relay)]; }  // its peer_listen
   std::vector<sockaddr_in> Peers() const;  // for the configuration of each
   // Whether its process is there. At first none is.
   void SetThere(int relay, bool there);
-  const Links& links() const { return links_; }
+  const LinkModel& links() const { return links_; }
   long passed() const { return passed_; }
   long bytes() const { return bytes_; }
 
@@ -37,7 +37,7 @@
   void Pass(const sockaddr_in& from, int to, const std::string& bytes);
 
   net::EventLoop& loop_;
-  Links links_;
+  LinkModel links_;
   const std::function<Seconds()> now_;
   std::vector<sockaddr_in> real_;                              // where relays listen
   std::unordered_map<std::uint64_t, int> sender_by_address_;   // by net::KeyOf of `real_`
--- a/lab/sockets/post_thread.cpp
+++ b/lab/sockets/post_thread.cpp
@@ -4,7 +4,7 @@
 
 namespace opalroute::lab {
 
-PostThread::PostThread(int relays, const LinkPlan& links, std::uint64_t seed)
+PostThread::PostThread(int relays, const LinkSettings& links, std::uint64_t seed)
     : loop_(clock_),
       post_(loop_, relays, links, seed,
             [this] {
--- a/lab/sockets/post_thread.h
+++ b/lab/sockets/post_thread.h
@@ -20,7 +20,7 @@
 class PostThread {
  public:
   // Throws std::system_error if there is no room for its sockets.
-  PostThread(int relays, const LinkPlan& links, std::uint64_t seed);
+  PostThread(int relays, const LinkSettings& links, std::uint64_t seed);
   ~PostThread();
   PostThread(const PostThread&) = delete;
   PostThread& operator=(const PostThread&) = delete;
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -48,7 +48,7 @@
   }
   int relay() const { return relay_; }
   bool watches() const { return watches_; }
-  void Shut() {
+  void Close() {
     StopTimers();
     connection_->Close();
   }
@@ -72,16 +72,18 @@
     net::RingBuffer& in = connection.in();
     while (!in.empty()) {
       in.Consume(parser_.Parse(in.Front()));
-      if (parser_.failed()) return registry_.sessions_.Drop(*this);
+      if (parser_.failed()) return registry_.sessions_.Remove(*this);
       if (!parser_.done()) continue;
       const net::HttpMessage request = std::move(parser_.message());
       parser_.Reset();
       Answer(request);
       if (!connection.open()) return;
     }
-    if (connection.peer_closed()) registry_.sessions_.Drop(*this);
+    if (connection.peer_closed()) registry_.sessions_.Remove(*this);
+  }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override {
+    registry_.sessions_.Remove(*this);
   }
-  void OnClosed(net::Connection&, net::Connection::CloseReason) override { registry_.sessions_.Drop(*this); }
 
  private:
   // In a cut nothing comes through; what was sent arrives once it is over.
@@ -94,7 +96,7 @@
     const std::string path = "/registry/instances";
     if (request.method != "GET" || request.target.rfind(path, 0) != 0) return Write(404, {});
     if (registry_.FaultOf(relay_, ListFault::Kind::kRefuse) != nullptr)
-      return registry_.sessions_.Drop(*this);
+      return registry_.sessions_.Remove(*this);
     if (request.target.find("follow=1") == std::string::npos) {
       Write(200, registry_.WholeList(relay_) + "\n");
       return Told(0);
@@ -191,7 +193,7 @@
 void Registry::Listen(int relay) {
   const auto at = static_cast<std::size_t>(relay);
   listeners_[at] = std::make_unique<net::Listener>(loop_, addresses_[at].address(), [this, relay](int fd) {
-    sessions_.Adopt(std::make_unique<Session>(*this, relay), fd);
+    sessions_.Add(std::make_unique<Session>(*this, relay), fd);
   });
 }
 
@@ -212,7 +214,7 @@
       case ListFault::Kind::kReset:
       case ListFault::Kind::kOld:
       case ListFault::Kind::kBusy:  // whose watches are ended, and asked for anew
-        for (Session* session : watches) sessions_.Drop(*session);
+        for (Session* session : watches) sessions_.Remove(*session);
         break;
       case ListFault::Kind::kSilent:
         for (Session* session : watches) session->Mute();
@@ -225,7 +227,7 @@
 
 void Registry::StopListening(int relay, net::Seconds lasts) {
   listeners_[static_cast<std::size_t>(relay)].reset();
-  for (Session* session : SessionsOf(relay)) sessions_.Drop(*session);
+  for (Session* session : SessionsOf(relay)) sessions_.Remove(*session);
   loop_.At(loop_.Now() + lasts, [this, relay] {
     if (!listeners_[static_cast<std::size_t>(relay)]) Listen(relay);
   });
@@ -273,7 +275,7 @@
 Registry::~Registry() = default;
 
 bool Registry::IsCut(int relay) const {
-  return start_ > 0 && links_.DiscoveryCut(loop_.Now() - start_, relay);
+  return start_ > 0 && links_.IsDiscoveryLinkCut(loop_.Now() - start_, relay);
 }
 
 std::string Registry::Row(EndpointId id, EndpointStatus listing, int relay) const {
--- a/lab/sockets/registry.h
+++ b/lab/sockets/registry.h
@@ -71,7 +71,7 @@
   pcg32 random_;
   const std::function<std::string(EndpointId, int)> address_of_;
   Owner& owner_;
-  const Links links_;
+  const LinkModel links_;
   net::Seconds start_ = 0;                                 // 0: it has not begun
   std::vector<EndpointStatus> listings_;                   // by endpoint
   std::vector<Change> changes_;                            // generation: their number, plus one
--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -65,7 +65,7 @@
   if (!members_[i]) return;
   kept_[i] = forgets ? zone_failover::ZoneFailover::SavedState() : members_[i]->Save(host_.TierNow());
   members_[i].reset();
-  auditor_.LostParts(host_.TierNow(), relay);
+  auditor_.OnShareReleased(host_.TierNow(), relay);
 }
 
 void TierPlay::Leave(int relay) {
@@ -97,7 +97,7 @@
 void TierPlay::Do(int relay, zone_failover::ZoneFailover::Actions& what) {
   for (opalroute::Event& event : what.events) {
     if (const auto* size = std::get_if<FleetSize>(&event))
-      auditor_.ToldParts(host_.TierNow(), relay, size->share_count);
+      auditor_.OnShareCount(host_.TierNow(), relay, size->share_count);
     host_.PostTo(relay, std::move(event));
   }
   for (const zone_failover::OutgoingDatagram& datagram : what.datagrams)
@@ -117,7 +117,7 @@
   ++result_.notes;
   ++result_.notes_by_kind[KindOf(*bytes)];
   result_.note_bytes += static_cast<long>(bytes->size());
-  for (const Seconds when : links_.Arrivals(host_.TierNow(), from, to)) {
+  for (const Seconds when : links_.DrawArrivals(host_.TierNow(), from, to)) {
     flying_[++last_note_] = {from, to, bytes};
     host_.NoteAt(when, to, last_note_);
   }
@@ -129,7 +129,7 @@
   flying_.erase(it);
   const Seconds now = host_.TierNow();
   if (!host_.IsUp(note.to)) {  // its machine says so, where the way back is open
-    if (!links_.PeersCut(now, note.to, note.from)) host_.RefusalAt(now + 0.001, note.from, note.to);
+    if (!links_.IsPeerLinkCut(now, note.to, note.from)) host_.RefusalAt(now + 0.001, note.from, note.to);
     return;
   }
   const auto& member = members_[static_cast<std::size_t>(note.to)];
--- a/lab/tier_play.h
+++ b/lab/tier_play.h
@@ -46,7 +46,7 @@
   void Ended(int relay, const ListedEndpoint& endpoint, Outcome outcome, Seconds duration);
   // The oracle's word, as of now.
   void TellTruth();
-  const Links& links() const { return links_; }
+  const LinkModel& links() const { return links_; }
   bool on() const { return s_.tier || s_.leave; }
 
  private:
@@ -62,7 +62,7 @@
   Host& host_;
   Auditor& auditor_;
   RunResult& result_;
-  Links links_;
+  LinkModel links_;
   std::uint64_t last_life_ = 0, last_note_ = 0;
   std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;
   std::vector<zone_failover::ZoneFailover::SavedState> kept_;  // by relay, in its folder
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -41,7 +41,7 @@
     const double headroom = Draw(plan.headroom);
     partner.limit = headroom > 0 ? std::max(plan.least_limit, headroom * load) : 0;
     const double part = partner.limit / (partner.apart ? endpoints : 1);
-    LaneSettings lane = LaneOf(load, partner.limit > 0 ? std::max(plan.least_limit, part) : 0);
+    RouteSettings lane = LaneOf(load, partner.limit > 0 ? std::max(plan.least_limit, part) : 0);
     std::uint32_t shared = 0;
     if (!partner.apart) shared = AddLane(lane, OutagesOf(i, -1));
     for (int e = 0; e < endpoints; ++e) {
@@ -49,25 +49,25 @@
       endpoint.destination = partner.id;
       endpoint.zone = static_cast<int>(random_(static_cast<std::uint32_t>(scenario.zones.size())));
       endpoint.kind = partner.apart ? 1 : 0;
-      std::vector<LaneOutage> own = OutagesOf(i, endpoint.zone);
+      std::vector<RouteFault> own = OutagesOf(i, endpoint.zone);
       if (partner.apart) {
         const auto all = OutagesOf(i, -1);
         own.insert(own.end(), all.begin(), all.end());
         std::sort(own.begin(), own.end(),
-                  [](const LaneOutage& a, const LaneOutage& b) { return a.from < b.from; });
+                  [](const RouteFault& a, const RouteFault& b) { return a.from < b.from; });
         shared = AddLane(lane, std::exchange(own, {}));
       }
       endpoint.lane = endpoint.machine = shared;
       if (!own.empty()) {  // one of several under a shared limit: its machine goes out alone
-        LaneSettings machine = lane;
-        machine.limit = machine.tells_wait = 0;
+        RouteSettings machine = lane;
+        machine.rate_limit = machine.retry_after_share = 0;
         machine.capacity = lane.capacity / endpoints;
-        machine.queue = -1;
+        machine.max_queued_calls = -1;
         endpoint.machine = AddLane(machine, std::move(own));
       }
       const double rough =
           scenario.settings.listed_rate_accuracy == ListedRateAccuracy::kRough ? 0.5 + Unit() : 1;
-      endpoint.rating = lane.limit * rough;
+      endpoint.rating = lane.rate_limit * rough;
       if (plan.connections.most > 0)
         endpoint.connections = std::max(1, static_cast<int>(std::lround(Draw(plan.connections))));
       partner.endpoints.push_back(AddEndpoint(endpoint));
@@ -75,28 +75,28 @@
   }
 }
 
-LaneSettings World::LaneOf(double load, double limit) {
+RouteSettings World::LaneOf(double load, double limit) {
   const Scenario::Partners& plan = scenario_.partners;
   const Settings& rules = scenario_.settings;
-  LaneSettings s;
-  s.limit = limit;
+  RouteSettings s;
+  s.rate_limit = limit;
   s.window = Unit() < plan.window_share ? plan.window : 0;
-  s.refused_count = plan.refused_count;
+  s.rejected_calls_count = plan.refused_count;
   s.capacity = limit > 0 ? plan.spare * limit : std::max(10.0, 4 * load);
-  s.tells_wait = Draw(plan.tells_wait);
-  s.wait = Draw(plan.wait);
-  s.latency = Draw(plan.latency);
+  s.retry_after_share = Draw(plan.tells_wait);
+  s.retry_after = Draw(plan.wait);
+  s.mean_latency = Draw(plan.latency);
   s.latency_cv = plan.latency_cv;
-  s.queue = plan.queue;
-  s.cold_from = rules.slow_start_initial_share;
-  s.ramp = rules.slow_start_duration;
+  s.max_queued_calls = plan.queue;
+  s.initial_capacity_share = rules.slow_start_initial_share;
+  s.recovery_time = rules.slow_start_duration;
   s.overload_factor = rules.overload_factor;
-  s.overload_for = rules.overload_window;
+  s.overload_window = rules.overload_window;
   return s;
 }
 
-std::vector<LaneOutage> World::OutagesOf(std::size_t partner, int zone) const {
-  std::vector<LaneOutage> outages;
+std::vector<RouteFault> World::OutagesOf(std::size_t partner, int zone) const {
+  std::vector<RouteFault> outages;
   for (std::size_t t = 0; t < scenario_.troubles.size(); ++t) {
     const Trouble& trouble = scenario_.troubles[t];
     if (!struck_by_[t][partner] || trouble.zone != zone) continue;
@@ -121,8 +121,8 @@
   return sum;
 }
 
-std::uint32_t World::AddLane(const LaneSettings& settings, std::vector<LaneOutage> outages) {
-  lanes_.push_back(std::make_unique<LaneModel>(settings, std::move(outages), random_()));
+std::uint32_t World::AddLane(const RouteSettings& settings, std::vector<RouteFault> outages) {
+  lanes_.push_back(std::make_unique<RouteModel>(settings, std::move(outages), random_()));
   return static_cast<std::uint32_t>(lanes_.size() - 1);
 }
 
--- a/lab/world.h
+++ b/lab/world.h
@@ -42,7 +42,7 @@
   const std::vector<WorldPartner>& partners() const { return partners_; }
   const PartnerEndpoint& endpoint(EndpointId id) const { return endpoints_[id - 1]; }  // ids count from 1
   std::size_t endpoint_count() const { return endpoints_.size(); }
-  LaneModel& lane(std::uint32_t index) { return *lanes_[index]; }
+  RouteModel& lane(std::uint32_t index) { return *lanes_[index]; }
 
   // The one whose load is worth a look: the busiest that a trouble strikes, else the busiest.
   int WatchedPartner() const;
@@ -62,10 +62,10 @@
   EndpointId Replace(EndpointId old);
 
  private:
-  LaneSettings LaneOf(double load, double limit);
+  RouteSettings LaneOf(double load, double limit);
   // Of that zone alone, or with -1 of what strikes all zones.
-  std::vector<LaneOutage> OutagesOf(std::size_t partner, int zone) const;
-  std::uint32_t AddLane(const LaneSettings& settings, std::vector<LaneOutage> outages);
+  std::vector<RouteFault> OutagesOf(std::size_t partner, int zone) const;
+  std::uint32_t AddLane(const RouteSettings& settings, std::vector<RouteFault> outages);
   EndpointId AddEndpoint(PartnerEndpoint endpoint);
   double Draw(const Range& range) { return DrawFrom(range, random_); }
   double Unit() { return DrawUnit(random_); }
@@ -74,7 +74,7 @@
   pcg32 random_;
   std::vector<WorldPartner> partners_;
   std::vector<PartnerEndpoint> endpoints_;
-  std::vector<std::unique_ptr<LaneModel>> lanes_;
+  std::vector<std::unique_ptr<RouteModel>> lanes_;
   std::vector<std::vector<bool>> struck_by_;  // by trouble, by partner
 };
 
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -86,20 +86,20 @@
 
 TEST_CASE("srv: a relay sends no more calls to a drained endpoint, and none to an unlisted target") {
   const Folder folder;
-  lab::Clock clock;
+  lab::SimulatedClock clock;
   net::EventLoop loop(clock);
   NameServer server(loop);
-  lab::Platform platform(loop);
+  lab::FakePlatform platform(loop);
   lab::PartnerSettings partner;
-  lab::Partner a(loop, partner, 1, 1), b(loop, partner, 1, 1), unlisted(loop, partner, 1, 1);
-  const auto port = [](const lab::Partner& target) { return ntohs(target.Address(0, 0).sin_port); };
+  lab::FakePartner a(loop, partner, 1, 1), b(loop, partner, 1, 1), unlisted(loop, partner, 1, 1);
+  const auto port = [](const lab::FakePartner& target) { return ntohs(target.Address(0, 0).sin_port); };
   server.Set(AddressQuestion("host.example"), AddressAnswer("host.example", "127.0.0.1", 60));
   server.Set(
       SrvQuestion(),
       SrvAnswer({{"host.example", port(a)}, {"host.example", port(b)}, {"host.example", port(unlisted)}}, 2));
   const auto list = EndpointListJson(
       {{"a", net::FormatAddress(a.Address(0, 0))}, {"b", net::FormatAddress(b.Address(0, 0))}});
-  platform.SetList(list);
+  platform.SetEndpointList(list);
   const auto file = ConfigJson(folder / "state", platform.address(), list);
   fs::create_directories(folder / "state");
   const Config config = config::Parse(file, [](const char*) { return std::nullopt; });
@@ -113,16 +113,16 @@
   rate.destinations = {kSrvDestination};
   lab::Load load(loop, rate);
   load.SetRelay(relay.address());
-  lab::PlayUntil(loop, clock, clock.Now() + 5);
+  lab::RunEventLoopUntil(loop, clock, clock.Now() + 5);
   CHECK(a.model().calls().size() > 10);
   CHECK(b.model().calls().size() > 10);
   server.Set(SrvQuestion(), SrvAnswer({{"host.example", port(a)}, {"host.example", port(unlisted)}}, 2));
   const double changed = clock.Now();
-  lab::PlayUntil(loop, clock, changed + 15);
+  lab::RunEventLoopUntil(loop, clock, changed + 15);
   CHECK(b.model().calls().back().at < changed + 2);  // the answer's TTL: by then the relay has the new answer
   CHECK(a.model().calls().back().at > changed + 10);
   CHECK(unlisted.model().calls().empty());
-  lab::PlayUntil(loop, clock, clock.Now() + 10);
+  lab::RunEventLoopUntil(loop, clock, clock.Now() + 10);
   for (const auto& [id, message] : load.messages()) CHECK(message.status == 202);
   CHECK(a.delivered().size() + b.delivered().size() == load.messages().size());
 }
@@ -134,9 +134,9 @@
   NameServer server(loop);
   server.Set(AddressQuestion("a.example"), AddressAnswer("a.example", "127.0.0.1", 60));
   server.Set(SrvQuestion(), SrvAnswer({{"a.example", 80}}, 60));
-  lab::Platform platform(loop);
+  lab::FakePlatform platform(loop);
   const auto list = EndpointListJson({{"a", "127.0.0.1:80"}, {"b", "127.0.0.2:80"}});
-  platform.SetList(list);
+  platform.SetEndpointList(list);
   fs::create_directories(folder / "state");
   const auto file = ConfigJson(folder / "state", platform.address(), list);
   std::ofstream(folder / "config.json") << file.dump();
--- a/tests/discovery/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -48,12 +48,12 @@
   }
   void OnEndpointList(const EndpointListUpdate& update) override { Apply(update); }
   void OnWatchFailed() override {}
-  void Advance(double seconds) { lab::PlayUntil(loop, clock, clock.Now() + seconds); }
+  void Advance(double seconds) { lab::RunEventLoopUntil(loop, clock, clock.Now() + seconds); }
   bool InService(const std::string& id) const {
     const auto it = published.find(id);
     return it != published.end() && it->second.status == Status::kInService;
   }
-  lab::Clock clock;
+  lab::SimulatedClock clock;
   net::EventLoop loop;
   NameServer server;
   Config config;
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -347,7 +347,7 @@
     if (!resolver) Start();
     std::optional<Outcome> outcome;
     resolver->Ask(question, bypass_cache, [&](const Outcome& o) { outcome = o; });
-    for (int i = 0; i < 300 && !outcome; ++i) lab::PlayUntil(loop, clock, clock.Now() + 0.1);
+    for (int i = 0; i < 300 && !outcome; ++i) lab::RunEventLoopUntil(loop, clock, clock.Now() + 0.1);
     REQUIRE(outcome);
     return *outcome;
   }
@@ -359,7 +359,7 @@
   }
   const Question q{ParseName("s.example"), Type::kSrv};
   Limits limits;
-  lab::Clock clock;
+  lab::SimulatedClock clock;
   net::EventLoop loop;
   lab::NameServer server, second;
   std::unique_ptr<Resolver> resolver;
@@ -377,7 +377,7 @@
     f.resolver->Ask(f.q, false, [&](const Outcome& o) { answered += o.answer.has_value(); });
   f.resolver->Cancel(f.resolver->Ask(f.q, false, [&](const Outcome&) { answered += 100; }));
   CHECK(answered == 0);  // never before Ask returns
-  lab::PlayUntil(f.loop, f.clock, f.clock.Now() + 0.1);
+  lab::RunEventLoopUntil(f.loop, f.clock, f.clock.Now() + 0.1);
   CHECK(answered == 5);
   CHECK(f.server.datagrams() == 1);
   CHECK(f.Ask(f.q).answer->services[0].target == ParseName("host0.example"));
@@ -429,7 +429,7 @@
   CHECK(f.Ask(f.q, true).answer->services.size() == 200);
   CHECK(f.Ask(f.q, true).answer->services.size() == 200);
   CHECK(f.server.connections() == 1);
-  lab::PlayUntil(f.loop, f.clock, f.clock.Now() + f.limits.dns_tcp_rest + 0.1);
+  lab::RunEventLoopUntil(f.loop, f.clock, f.clock.Now() + f.limits.dns_tcp_rest + 0.1);
   CHECK(f.Ask(f.q, true).answer);
   CHECK(f.server.connections() == 2);
 }
@@ -489,7 +489,7 @@
   f.server.Set(f.q, entry);
   f.clock.Advance(20);
   CHECK(f.Ask(f.q).stale);
-  lab::PlayUntil(f.loop, f.clock, f.clock.Now() + 31);  // the late answers arrive at closed ports
+  lab::RunEventLoopUntil(f.loop, f.clock, f.clock.Now() + 31);  // the late answers arrive at closed ports
   CHECK(f.resolver->counters().answers == 1);
 }
 
@@ -551,7 +551,8 @@
                       CHECK(o.answer.has_value());
                       ++finished;
                     });
-  for (int i = 0; i < 2000 && finished < 5000; ++i) lab::PlayUntil(f.loop, f.clock, f.clock.Now() + 0.01);
+  for (int i = 0; i < 2000 && finished < 5000; ++i)
+    lab::RunEventLoopUntil(f.loop, f.clock, f.clock.Now() + 0.01);
   CHECK(finished == 5000);
   CHECK(f.server.datagrams() == 5000);
 }
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -242,7 +242,7 @@
   // The faults' clock is the process's, which begins a little before the day's: until the signal the relay
   // serves.
   CHECK(std::any_of(result.breaches.begin(), result.breaches.end(), [](const Breach& breach) {
-    return breach.kind == BreachKind::kClosed && breach.at > kStopsAt + 0.01;
+    return breach.kind == BreachKind::kClosedUnanswered && breach.at > kStopsAt + 0.01;
   }));
 }
 
@@ -398,7 +398,7 @@
   json day = SmallDay();
   for (const char* name : {"a", "b"}) {
     RunResult r = Simulation(ReadScenario(day), 1).Run();
-    r.breaches.push_back({BreachKind::kInWait, 1.5, 0, 7, 2, "sent to <b>2</b> & out"});
+    r.breaches.push_back({BreachKind::kSentDuringRetryAfter, 1.5, 0, 7, 2, "sent to <b>2</b> & out"});
     r.crashes.push_back({1, 2, "signal 9", "the last <line>"});
     fs::create_directories(folder / name);
     std::ofstream(folder / (std::string(name) + "/result.json")) << r.ToJson().dump();
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -32,10 +32,10 @@
       const auto event = queue.Pop();
       CHECK(event.at >= now);
       now = event.at;
-      order.push_back(event.number);
+      order.push_back(event.sequence);
     }
   }
-  while (!queue.empty()) order.push_back(queue.Pop().number);
+  while (!queue.empty()) order.push_back(queue.Pop().sequence);
   return order;
 }
 
@@ -89,87 +89,90 @@
 // -----------------------------------------------------------------------------------
 
 TEST_CASE("lab: a plain rate and a count in a window, as reckoned by hand") {
-  LaneSettings s;
-  s.limit = 10;
-  s.tells_wait = 1;
-  s.wait = 0.3;
-  s.refused_count = false;
-  LaneModel rate(s, {}, 1);
+  RouteSettings s;
+  s.rate_limit = 10;
+  s.retry_after_share = 1;
+  s.retry_after = 0.3;
+  s.rejected_calls_count = false;
+  RouteModel rate(s, {}, 1);
   int served = 0;
-  for (int i = 0; i < 3000; ++i) served += rate.Take(100 + i * 0.01).fate == LaneModel::Fate::kServed;
+  for (int i = 0; i < 3000; ++i)
+    served += rate.HandleCall(100 + i * 0.01).status == RouteModel::CallStatus::kServed;
   CHECK(served >= 300);  // 30 s at 10 a second, and the half second that may come at once
   CHECK(served <= 306);
   s.window = 1;
-  LaneModel window(s, {}, 1);
+  RouteModel window(s, {}, 1);
   served = 0;
-  for (int i = 0; i < 100; ++i) served += window.Take(200.2 + i * 0.001).fate == LaneModel::Fate::kServed;
+  for (int i = 0; i < 100; ++i)
+    served += window.HandleCall(200.2 + i * 0.001).status == RouteModel::CallStatus::kServed;
   CHECK(served == 10);
-  const auto full = window.Take(200.4);
-  CHECK(full.fate == LaneModel::Fate::kFull);
-  CHECK(full.wait == doctest::Approx(0.6));  // to the end of the span
-  CHECK(window.Take(201).fate == LaneModel::Fate::kServed);
+  const auto full = window.HandleCall(200.4);
+  CHECK(full.status == RouteModel::CallStatus::kRejected);
+  CHECK(full.retry_after == doctest::Approx(0.6));  // to the end of the span
+  CHECK(window.HandleCall(201).status == RouteModel::CallStatus::kServed);
 }
 
 TEST_CASE("lab: cold return, and the fall of one that is sent too much") {
-  LaneSettings s;
+  RouteSettings s;
   s.capacity = 50;
-  s.tells_wait = 1;
-  LaneModel lane(s, {{TroubleKind::kShut, 10, 20}}, 1);
+  s.retry_after_share = 1;
+  RouteModel lane(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
   CHECK(lane.CapacityAt(9) == 50);
   CHECK(lane.CapacityAt(15) == 0);
-  CHECK(lane.OutAt(15));
-  CHECK(lane.Take(15).wait == doctest::Approx(5));
+  CHECK(lane.InOutage(15));
+  CHECK(lane.HandleCall(15).retry_after == doctest::Approx(5));
   CHECK(lane.CapacityAt(20) == doctest::Approx(11));  // 22%
   CHECK(lane.CapacityAt(26.5) == doctest::Approx(30.5));
   CHECK(lane.CapacityAt(33) == doctest::Approx(50));
-  CHECK(lane.ColdAt(32.9));
-  CHECK(!lane.ColdAt(33));
+  CHECK(lane.IsRecovering(32.9));
+  CHECK(!lane.IsRecovering(33));
   // At 20 s it stands 2 x 11 x 2 = 44 calls in 2 s, and twice the root of that for chance: the 58th fells it.
   int calls = 0;
   while (!lane.collapsed() && calls < 200) {
-    lane.Take(20 + calls * 1e-6);
+    lane.HandleCall(20 + calls * 1e-6);
     ++calls;
   }
   CHECK(calls == 58);
-  CHECK(lane.Take(40).fate == LaneModel::Fate::kFull);
-  LaneModel spared(s, {{TroubleKind::kShut, 10, 20}}, 1);
-  for (int i = 0; i < 200; ++i) spared.Take(20 + i * 0.05);  // 20 a second
+  CHECK(lane.HandleCall(40).status == RouteModel::CallStatus::kRejected);
+  RouteModel spared(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
+  for (int i = 0; i < 200; ++i) spared.HandleCall(20 + i * 0.05);  // 20 a second
   CHECK(!spared.collapsed());
 }
 
 TEST_CASE("lab: a queue of one behind two places, as reckoned by hand") {
-  LaneSettings s;
+  RouteSettings s;
   s.capacity = 10;
-  s.latency = 0.2;  // two places
+  s.mean_latency = 0.2;  // two places
   s.latency_cv = 0;
-  s.queue = 1;
-  s.tells_wait = 1;
-  LaneModel lane(s, {}, 1);
-  CHECK(lane.Take(1).takes == doctest::Approx(0.2));
-  CHECK(lane.Take(1.1).takes == doctest::Approx(0.2));
-  CHECK(lane.Take(1.1).takes == doctest::Approx(0.3));  // begins at 1.2
-  const auto full = lane.Take(1.15);
-  CHECK(full.fate == LaneModel::Fate::kFull);
+  s.max_queued_calls = 1;
+  s.retry_after_share = 1;
+  RouteModel lane(s, {}, 1);
+  CHECK(lane.HandleCall(1).duration == doctest::Approx(0.2));
+  CHECK(lane.HandleCall(1.1).duration == doctest::Approx(0.2));
+  CHECK(lane.HandleCall(1.1).duration == doctest::Approx(0.3));  // begins at 1.2
+  const auto full = lane.HandleCall(1.15);
+  CHECK(full.status == RouteModel::CallStatus::kRejected);
   CHECK(!full.ran);
-  CHECK(full.wait == doctest::Approx(0.15));              // until 1.3, when the next place is free
-  CHECK(lane.Take(1.25).takes == doctest::Approx(0.25));  // behind one that ends at 1.4, one at 1.3
+  CHECK(full.retry_after == doctest::Approx(0.15));                // until 1.3, when the next place is free
+  CHECK(lane.HandleCall(1.25).duration == doctest::Approx(0.25));  // behind one that ends at 1.4, one at 1.3
 }
 
 TEST_CASE("lab: one that has vanished runs nothing; one that spoils its answers has run") {
-  LaneModel lane({}, {{TroubleKind::kVanish, 10, 20}, {TroubleKind::kSpoilt, 30, 40, 0.4}}, 1);
-  CHECK(lane.VanishedAt(15));
-  CHECK(lane.OutAt(15));
+  RouteModel lane(
+      {}, {{RouteFaultKind::kUnreachable, 10, 20}, {RouteFaultKind::kInvalidResponses, 30, 40, 0.4}}, 1);
+  CHECK(lane.IsUnreachable(15));
+  CHECK(lane.InOutage(15));
   CHECK(!lane.RefusesConnections(15));
-  const auto silent = lane.Take(15);
-  CHECK(silent.fate == LaneModel::Fate::kHangs);
+  const auto silent = lane.HandleCall(15);
+  CHECK(silent.status == RouteModel::CallStatus::kNoResponse);
   CHECK(!silent.ran);
-  CHECK(lane.ColdAt(21));
-  CHECK(!lane.OutAt(35));  // most of its calls are well
+  CHECK(lane.IsRecovering(21));
+  CHECK(!lane.InOutage(35));  // most of its calls are well
   int spoilt = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto verdict = lane.Take(36 + i * 0.001);
+    const auto verdict = lane.HandleCall(36 + i * 0.001);
     CHECK(verdict.ran);
-    spoilt += verdict.fate == LaneModel::Fate::kSpoilt;
+    spoilt += verdict.status == RouteModel::CallStatus::kInvalidResponse;
   }
   CHECK(spoilt > 340);
   CHECK(spoilt < 460);
@@ -186,12 +189,12 @@
     keyed.deduplication_window = 12;
     unsafe.idempotency = Idempotency::kNonIdempotent;
     auditor = std::make_unique<Auditor>(Auditor::Rules{}, std::vector<RequestClass>{safe, keyed, unsafe});
-    auditor->Listed(1, 7, 1);
-    auditor->Listed(2, 7, 1);
-    auditor->Listed(3, 8, 3);
+    auditor->OnEndpointListed(1, 7, 1);
+    auditor->OnEndpointListed(2, 7, 1);
+    auditor->OnEndpointListed(3, 8, 3);
   }
   void Take(std::uint64_t id, int message_class, Seconds now = 0) {
-    auditor->Taken(now, 0, id, 100 + id, message_class, 7, now + 8);
+    auditor->OnAccepted(now, 0, id, 100 + id, message_class, 7, now + 8);
   }
   void Only(BreachKind kind, int count = 1) {
     CHECK(auditor->breaches().size() == static_cast<std::size_t>(count));
@@ -204,140 +207,140 @@
   Audit a;
   for (int c = 0; c < 3; ++c) {
     a.Take(static_cast<std::uint64_t>(c), c);
-    a.auditor->Sent(1, 0, static_cast<std::uint64_t>(c), 1);
-    a.auditor->Over(static_cast<std::uint64_t>(c), 0, false);
-    a.auditor->Sent(2, 0, static_cast<std::uint64_t>(c), 2);
-    a.auditor->Ran(2.1, static_cast<std::uint64_t>(c));
-    a.auditor->Over(static_cast<std::uint64_t>(c), 1, true);
-    a.auditor->Ended(2.2, static_cast<std::uint64_t>(c), Auditor::End::kDelivered);
-  }
-  a.auditor->Until(100);
+    a.auditor->OnSent(1, 0, static_cast<std::uint64_t>(c), 1);
+    a.auditor->OnAttemptEnded(static_cast<std::uint64_t>(c), 0, false);
+    a.auditor->OnSent(2, 0, static_cast<std::uint64_t>(c), 2);
+    a.auditor->OnRan(2.1, static_cast<std::uint64_t>(c));
+    a.auditor->OnAttemptEnded(static_cast<std::uint64_t>(c), 1, true);
+    a.auditor->OnEnded(2.2, static_cast<std::uint64_t>(c), Auditor::End::kDelivered);
+  }
+  a.auditor->CheckDeadlines(100);
   CHECK(a.auditor->breaches().empty());
-  CHECK(a.auditor->open() == 0);
+  CHECK(a.auditor->open_messages() == 0);
 }
 
 TEST_CASE("lab: the auditor catches each breach") {
   SUBCASE("two answers") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->Ended(1, 1, Auditor::End::kFailed);
-    a.auditor->Ended(2, 1, Auditor::End::kRefused);
+    a.auditor->OnEnded(1, 1, Auditor::End::kFailed);
+    a.auditor->OnEnded(2, 1, Auditor::End::kRejected);
     a.Only(BreachKind::kTwoAnswers);
   }
   SUBCASE("no answer in time") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->Until(8.06);
+    a.auditor->CheckDeadlines(8.06);
     CHECK(a.auditor->breaches().empty());
-    a.auditor->Until(8.08);
+    a.auditor->CheckDeadlines(8.08);
     a.Only(BreachKind::kNoAnswer);
   }
   SUBCASE("none after a death either, once its time is past") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->RelayDied(0, 10);
-    a.auditor->Until(9.9);
+    a.auditor->OnRelayStopped(0, 10);
+    a.auditor->CheckDeadlines(9.9);
     CHECK(a.auditor->breaches().empty());
-    a.auditor->Until(10.1);
+    a.auditor->CheckDeadlines(10.1);
     a.Only(BreachKind::kNoAnswer);
   }
   SUBCASE("sent after its end") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->Ended(1, 1, Auditor::End::kFailed);
-    a.auditor->Sent(2, 0, 1, 1);
-    a.Only(BreachKind::kAfterEnd);
+    a.auditor->OnEnded(1, 1, Auditor::End::kFailed);
+    a.auditor->OnSent(2, 0, 1, 1);
+    a.Only(BreachKind::kSentAfterEnd);
   }
   SUBCASE("a payment sent again while the first is out, and after it may have run") {
     Audit a;
     a.Take(1, 2);
-    a.auditor->Sent(1, 0, 1, 1);
-    a.auditor->Sent(1.1, 0, 1, 2);
-    a.Only(BreachKind::kUnsafeRepeat);
-    a.auditor->Over(1, 0, true);
-    a.auditor->Over(1, 1, false);
-    a.auditor->Sent(2, 0, 1, 2);
-    a.Only(BreachKind::kUnsafeRepeat, 2);
+    a.auditor->OnSent(1, 0, 1, 1);
+    a.auditor->OnSent(1.1, 0, 1, 2);
+    a.Only(BreachKind::kNonIdempotentRepeat);
+    a.auditor->OnAttemptEnded(1, 0, true);
+    a.auditor->OnAttemptEnded(1, 1, false);
+    a.auditor->OnSent(2, 0, 1, 2);
+    a.Only(BreachKind::kNonIdempotentRepeat, 2);
   }
   SUBCASE("a payment that took effect twice, also by two handings-in") {
     Audit a;
-    a.auditor->Taken(0, 0, 1, 50, 2, 7, 8);
-    a.auditor->Taken(0, 1, 2, 50, 2, 7, 8);
-    a.auditor->Ran(1, 1);
-    a.auditor->Ran(2, 2);
-    a.Only(BreachKind::kRanTwice);
+    a.auditor->OnAccepted(0, 0, 1, 50, 2, 7, 8);
+    a.auditor->OnAccepted(0, 1, 2, 50, 2, 7, 8);
+    a.auditor->OnRan(1, 1);
+    a.auditor->OnRan(2, 2);
+    a.Only(BreachKind::kNonIdempotentRanTwice);
   }
   SUBCASE("a keyed one repeated after its window, and taking effect there") {
     Audit a;
-    a.auditor->Taken(0, 0, 1, 50, 1, 7, 30);
-    a.auditor->Sent(1, 0, 1, 1);
-    a.auditor->Ran(1.1, 1);
-    a.auditor->Over(1, 0, true);
-    a.auditor->Sent(12.9, 0, 1, 1);
-    a.auditor->Over(1, 1, true);
+    a.auditor->OnAccepted(0, 0, 1, 50, 1, 7, 30);
+    a.auditor->OnSent(1, 0, 1, 1);
+    a.auditor->OnRan(1.1, 1);
+    a.auditor->OnAttemptEnded(1, 0, true);
+    a.auditor->OnSent(12.9, 0, 1, 1);
+    a.auditor->OnAttemptEnded(1, 1, true);
     CHECK(a.auditor->breaches().empty());
-    a.auditor->Sent(13.1, 0, 1, 1);
-    a.Only(BreachKind::kKeyedRepeat);
-    a.auditor->Ran(13.2, 1);
-    CHECK(a.auditor->Count(BreachKind::kKeyRanTwice) == 1);
+    a.auditor->OnSent(13.1, 0, 1, 1);
+    a.Only(BreachKind::kDeduplicatedRepeat);
+    a.auditor->OnRan(13.2, 1);
+    CHECK(a.auditor->Count(BreachKind::kDeduplicatedRanTwice) == 1);
   }
   SUBCASE("a payment handed back that may have run") {
     Audit a;
     a.Take(1, 2);
-    a.auditor->Sent(1, 0, 1, 1);
-    a.auditor->Over(1, 0, true);
-    a.auditor->Ended(2, 1, Auditor::End::kRefused);
-    a.Only(BreachKind::kUnsafeRefused);
+    a.auditor->OnSent(1, 0, 1, 1);
+    a.auditor->OnAttemptEnded(1, 0, true);
+    a.auditor->OnEnded(2, 1, Auditor::End::kRejected);
+    a.Only(BreachKind::kUnsafeRejection);
   }
   SUBCASE("sent in a told wait; another relay, and after a restart, may") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->Taken(0, 1, 2, 2, 0, 7, 8);
-    a.auditor->ToldWait(1, 0, 1, 3);
-    a.auditor->ToldWait(1.5, 0, 1, 0.1);  // a shorter one ends nothing
-    a.auditor->Sent(2, 1, 2, 1);
+    a.auditor->OnAccepted(0, 1, 2, 2, 0, 7, 8);
+    a.auditor->OnRetryAfterReceived(1, 0, 1, 3);
+    a.auditor->OnRetryAfterReceived(1.5, 0, 1, 0.1);  // a shorter one ends nothing
+    a.auditor->OnSent(2, 1, 2, 1);
     CHECK(a.auditor->breaches().empty());
-    a.auditor->Sent(3.9, 0, 1, 2);
-    a.Only(BreachKind::kInWait);
-    a.auditor->RelayDied(0, 4);
-    a.auditor->Sent(3.95, 0, 1, 2);
-    a.Only(BreachKind::kInWait);
+    a.auditor->OnSent(3.9, 0, 1, 2);
+    a.Only(BreachKind::kSentDuringRetryAfter);
+    a.auditor->OnRelayStopped(0, 4);
+    a.auditor->OnSent(3.95, 0, 1, 2);
+    a.Only(BreachKind::kSentDuringRetryAfter);
   }
   SUBCASE("sent to a drained endpoint after the grace") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->ToldDrain(1, 0, 1);
-    a.auditor->Sent(2.9, 0, 1, 1);
+    a.auditor->OnDrainReceived(1, 0, 1);
+    a.auditor->OnSent(2.9, 0, 1, 1);
     CHECK(a.auditor->breaches().empty());
-    a.auditor->Sent(3.1, 0, 1, 1);
-    a.Only(BreachKind::kDrained);
+    a.auditor->OnSent(3.1, 0, 1, 1);
+    a.Only(BreachKind::kSentToDrained);
   }
   SUBCASE("sent to another destination's endpoint, or to one never listed") {
     Audit a;
     a.Take(1, 0);
-    a.auditor->Sent(1, 0, 1, 3);
-    a.auditor->Sent(1, 0, 1, 99);
-    a.Only(BreachKind::kForeign, 2);
+    a.auditor->OnSent(1, 0, 1, 3);
+    a.auditor->OnSent(1, 0, 1, 99);
+    a.Only(BreachKind::kForeignEndpoint, 2);
   }
   SUBCASE("a returning lane pushed over by those who knew") {
     for (const bool knew : {false, true}) {
       Audit a;
-      if (knew) a.auditor->SawOutage(0, 1);
-      for (int i = 0; i < 30; ++i) a.auditor->ReachedCold(20 + i * 0.01, 0, 1, i == 29);
-      a.Only(BreachKind::kPushedOver, knew ? 1 : 0);
+      if (knew) a.auditor->OnOutageObserved(0, 1);
+      for (int i = 0; i < 30; ++i) a.auditor->OnCallDuringRecovery(20 + i * 0.01, 0, 1, i == 29);
+      a.Only(BreachKind::kRecoveryOverload, knew ? 1 : 0);
     }
   }
   SUBCASE("relays that take the parts of others who run still") {
     for (const double parts : {4.0, 3.0, 2.0}) {
       Audit a;
-      a.auditor->Tier(4);
-      for (int relay = 0; relay < 3; ++relay) a.auditor->ToldParts(1, relay, 3);
-      a.auditor->ToldParts(2, 3, parts);
-      a.Only(BreachKind::kOverParts, parts < 4 ? 1 : 0);
+      a.auditor->SetFleetSize(4);
+      for (int relay = 0; relay < 3; ++relay) a.auditor->OnShareCount(1, relay, 3);
+      a.auditor->OnShareCount(2, 3, parts);
+      a.Only(BreachKind::kQuotaExceeded, parts < 4 ? 1 : 0);
       if (parts > 3) continue;
-      a.auditor->LostParts(3, 0);
-      a.auditor->ToldParts(3, 3, parts);
-      a.Only(BreachKind::kOverParts, 1);
+      a.auditor->OnShareReleased(3, 0);
+      a.auditor->OnShareCount(3, 3, parts);
+      a.Only(BreachKind::kQuotaExceeded, 1);
     }
   }
 }
@@ -347,29 +350,29 @@
   keyed.idempotency = Idempotency::kIdempotencyKey;
   keyed.deduplication_window = 12;
   Auditor::Rules rules;
-  rules.key_rest = 1;
+  rules.ordered_key_pause = 1;
   Auditor a(rules, {keyed});
-  a.Listed(1, 7, 1);
+  a.OnEndpointListed(1, 7, 1);
   for (std::uint64_t id = 1; id <= 3; ++id) {
-    a.Taken(0, 0, id, id, 0, 7, 20);
-    a.InOrder(id, 5);
-  }
-  a.Sent(1, 0, 1, 1);
-  a.Over(1, 0, true);
-  a.MayStillRun(2, 1);
-  a.Sent(2.1, 0, 1, 1);  // the one that has the turn need not rest
-  a.Ended(2.5, 1, Auditor::End::kDelivered);
+    a.OnAccepted(0, 0, id, id, 0, 7, 20);
+    a.SetOrderingKey(id, 5);
+  }
+  a.OnSent(1, 0, 1, 1);
+  a.OnAttemptEnded(1, 0, true);
+  a.OnMayStillBeRunning(2, 1);
+  a.OnSent(2.1, 0, 1, 1);  // the one that has the turn need not rest
+  a.OnEnded(2.5, 1, Auditor::End::kDelivered);
   CHECK(a.breaches().empty());
-  a.Sent(2.9, 0, 2, 1);  // the first is over, and still out
-  CHECK(a.Count(BreachKind::kOutOfTurn) == 1);
-  a.Over(1, 1, true);
-  a.MayStillRun(3, 2);
-  a.Over(2, 0, false);
-  a.Ended(3.1, 2, Auditor::End::kFailed);
-  a.Sent(3.9, 0, 3, 1);  // the second is over, and may still run
-  CHECK(a.Count(BreachKind::kOutOfTurn) == 2);
-  a.Over(3, 0, false);
-  a.Sent(4.1, 0, 3, 1);
+  a.OnSent(2.9, 0, 2, 1);  // the first is over, and still out
+  CHECK(a.Count(BreachKind::kOutOfOrder) == 1);
+  a.OnAttemptEnded(1, 1, true);
+  a.OnMayStillBeRunning(3, 2);
+  a.OnAttemptEnded(2, 0, false);
+  a.OnEnded(3.1, 2, Auditor::End::kFailed);
+  a.OnSent(3.9, 0, 3, 1);  // the second is over, and may still run
+  CHECK(a.Count(BreachKind::kOutOfOrder) == 2);
+  a.OnAttemptEnded(3, 0, false);
+  a.OnSent(4.1, 0, 3, 1);
   CHECK(a.breaches().size() == 2);
 }
 
@@ -461,35 +464,35 @@
 // ---- links, tier and zones -------------------------------------------------------------------------------
 
 TEST_CASE("lab: links lose, double and cut as they are told, one way, by group and in flaps") {
-  LinkPlan plan;
+  LinkSettings plan;
   plan.loss = 0.3;
   plan.duplicate = 0.2;
-  Cut cut;
+  LinkCut cut;
   cut.first = 2;
   cut.last = 3;
-  cut.way = Cut::Way::kOut;
+  cut.direction = LinkCut::Direction::kOutbound;
   cut.from = 10;
-  cut.lasts = 6;
-  cut.on = 1;
-  cut.off = 2;
+  cut.duration = 6;
+  cut.cut_time = 1;
+  cut.open_time = 2;
   plan.cuts.push_back(cut);
-  cut.what = Cut::What::kEndpoints;
+  cut.target = LinkCut::Target::kEndpoints;
   cut.zone = 1;
-  cut.on = 0;
+  cut.cut_time = 0;
   plan.cuts.push_back(cut);
-  Links links(plan, 1);
+  LinkModel links(plan, 1);
   std::size_t arrived = 0;
-  for (int i = 0; i < 10000; ++i) arrived += links.Arrivals(5, 0, 1).size();
+  for (int i = 0; i < 10000; ++i) arrived += links.DrawArrivals(5, 0, 1).size();
   CHECK(arrived > 8000);
   CHECK(arrived < 8800);
   for (const double at : {9.9, 10.0, 10.9, 11.5, 13.5, 16.0}) {
     const bool holds = at == 10.0 || at == 10.9 || at == 13.5;
-    CHECK(links.PeersCut(at, 2, 0) == holds);
-    CHECK(!links.PeersCut(at, 0, 2));  // one way
-    CHECK(!links.PeersCut(at, 2, 3));  // within the group
-    CHECK(links.EndpointsCut(at, 3, 1) == (at >= 10 && at < 16));
-    CHECK(!links.EndpointsCut(at, 3, 0));
-    CHECK(!links.EndpointsCut(at, 1, 1));
+    CHECK(links.IsPeerLinkCut(at, 2, 0) == holds);
+    CHECK(!links.IsPeerLinkCut(at, 0, 2));  // one way
+    CHECK(!links.IsPeerLinkCut(at, 2, 3));  // within the group
+    CHECK(links.IsEndpointLinkCut(at, 3, 1) == (at >= 10 && at < 16));
+    CHECK(!links.IsEndpointLinkCut(at, 3, 0));
+    CHECK(!links.IsEndpointLinkCut(at, 1, 1));
   }
 }
 
@@ -504,9 +507,9 @@
   int out = 0;
   for (EndpointId id = 1; id <= world.endpoint_count(); ++id) {
     const PartnerEndpoint& e = world.endpoint(id);
-    CHECK(w.lane(e.machine).OutAt(6) == (e.zone == 1));
-    CHECK(!w.lane(e.lane).OutAt(6));
-    CHECK(w.lane(e.machine).ColdAt(11) == (e.zone == 1));
+    CHECK(w.lane(e.machine).InOutage(6) == (e.zone == 1));
+    CHECK(!w.lane(e.lane).InOutage(6));
+    CHECK(w.lane(e.machine).IsRecovering(11) == (e.zone == 1));
     out += e.zone == 1;
   }
   CHECK(out > 10);
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/ledger_test.cpp
@@ -19,7 +19,7 @@
   Ledger ledger{world, auditor, tally};
   std::size_t client = 0;
   Books() {
-    auditor.Listed(1, 1, 0);
+    auditor.OnEndpointListed(1, 1, 0);
     client = ledger.Ask({0, 2, 0});  // a payment
   }
 };
@@ -56,12 +56,12 @@
   CHECK(b.ledger.Arrived(2.2, 1, again, 1) == Ledger::kVoid);  // it was on its way
   CHECK(b.auditor.breaches().empty());
   CHECK(b.ledger.Arrived(2.3, 1, again, 1) == Ledger::kVoid);
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 1);
+  CHECK(b.auditor.Count(BreachKind::kSentAfterEnd) == 1);
   b.ledger.Deaf(1, 3);  // frozen: it has heard nothing
   CHECK(b.ledger.Arrived(3.2, 1, again, 1) == Ledger::kVoid);
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 1);
+  CHECK(b.auditor.Count(BreachKind::kSentAfterEnd) == 1);
   CHECK(b.ledger.Arrived(3.3, 0, 99, 1) == Ledger::kVoid);  // nobody has handed it in
-  CHECK(b.auditor.Count(BreachKind::kAfterEnd) == 2);
+  CHECK(b.auditor.Count(BreachKind::kSentAfterEnd) == 2);
 }
 
 TEST_CASE("lab: a delivered message may come again after a kill, but no payment") {
@@ -71,7 +71,7 @@
     b.ledger.TakenOn(0, id);
     b.ledger.Over(0.2, id, b.ledger.Arrived(0.1, 0, id, 1), Outcome::kServed);
     CHECK(b.ledger.Arrived(2, 0, id, 1) == Ledger::kVoid);
-    CHECK(b.auditor.Count(BreachKind::kAfterEnd) == (message_class == 2 ? 1 : 0));
+    CHECK(b.auditor.Count(BreachKind::kSentAfterEnd) == (message_class == 2 ? 1 : 0));
   }
 }
 
@@ -113,7 +113,7 @@
 TEST_CASE("lab: restarts that are late, or end what they found untried, break a rule") {
   const auto breaches = [](const Auditor::Restarts& restarts) {
     Auditor auditor(Auditor::Rules{}, {});
-    auditor.Restarted(1, restarts);
+    auditor.CheckRestarts(1, restarts);
     return auditor.breaches().size();
   };
   CHECK(breaches({}) == 0);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -224,18 +224,18 @@
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     pcg32 random(seed, 5);
     const int size = 3 + static_cast<int>(random(8));
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = random(3) == 0 ? 0.6 : random(2) == 0 ? 0.2 : 0;
     links.delay = {0, random(4) == 0 ? 0.8 : 0.02};
     links.duplicate = links.reorder = 0.1;
     for (int i = 0; i < 3; ++i) {
-      lab::Cut cut;
-      cut.way = static_cast<lab::Cut::Way>(random(3));
+      lab::LinkCut cut;
+      cut.direction = static_cast<lab::LinkCut::Direction>(random(3));
       cut.first = static_cast<int>(random(static_cast<std::uint32_t>(size)));
       cut.last = std::min(size - 1, cut.first + static_cast<int>(random(4)));
       cut.from = 100 + random(30);
-      cut.lasts = 2 + random(20);
-      if (random(3) == 0) cut.on = 0.5 + random(3), cut.off = 0.5 + random(3);
+      cut.duration = 2 + random(20);
+      if (random(3) == 0) cut.cut_time = 0.5 + random(3), cut.open_time = 0.5 + random(3);
       links.cuts.push_back(cut);
     }
     SimulatedFleet fleet(OptionsFor(size), links, seed);
--- a/tests/membership/simulated_fleet.cpp
+++ b/tests/membership/simulated_fleet.cpp
@@ -7,7 +7,7 @@
 
 using zone_failover::ZoneFailover;
 
-SimulatedFleet::SimulatedFleet(const zone_failover::FailoverOptions& options, const lab::LinkPlan& links,
+SimulatedFleet::SimulatedFleet(const zone_failover::FailoverOptions& options, const lab::LinkSettings& links,
                                std::uint64_t seed)
     : options_(options),
       links_(links, seed),
@@ -109,7 +109,7 @@
   ++datagrams_sent;
   bytes_sent += static_cast<long>(bytes.size());
   if (cut && cut(from, to)) return;
-  for (const Seconds arrival : links_.Arrivals(now, from, to)) {
+  for (const Seconds arrival : links_.DrawArrivals(now, from, to)) {
     in_flight_.emplace(arrival, Datagram{from, to, bytes});
   }
 }
@@ -118,7 +118,7 @@
   const int from = datagram.from;
   const int to = datagram.to;
   if (!IsUp(to)) {
-    const bool is_return_path_open = !(cut && cut(to, from)) && !links_.PeersCut(now, to, from);
+    const bool is_return_path_open = !(cut && cut(to, from)) && !links_.IsPeerLinkCut(now, to, from);
     if (is_return_path_open && IsUp(from)) (*this)[from].OnUnreachable(now, to);
   } else if (!IsRunning(to)) {
     At(to).received.push_back(datagram);
--- a/tests/membership/simulated_fleet.h
+++ b/tests/membership/simulated_fleet.h
@@ -15,7 +15,7 @@
 
 class SimulatedFleet {
  public:
-  SimulatedFleet(const zone_failover::FailoverOptions& options, const lab::LinkPlan& links,
+  SimulatedFleet(const zone_failover::FailoverOptions& options, const lab::LinkSettings& links,
                  std::uint64_t seed);
 
   void Start(int relay);
@@ -73,7 +73,7 @@
   void Deliver(const Datagram& datagram);
 
   const zone_failover::FailoverOptions options_;
-  lab::Links links_;
+  lab::LinkModel links_;
   pcg32 random_;
   std::vector<Relay> relays_;
   std::multimap<Seconds, Datagram> in_flight_;  // by arrival time
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -79,7 +79,7 @@
 TEST_CASE(
     "zone failover: the datagrams of a run with an outage, packet loss, a restart and an override are stable "
     "across builds") {
-  lab::LinkPlan links;
+  lab::LinkSettings links;
   links.loss = 0.2;
   SimulatedFleet fleet(OptionsFor(12), links, 31);
   Digest digest;
--- a/tests/relay/deduplication_window_test.cpp
+++ b/tests/relay/deduplication_window_test.cpp
@@ -72,7 +72,7 @@
     const lab::LoopbackBarrier sent;
     for (const double until = clock.Now() + seconds; clock.Now() < until; clock.Advance(0.001)) {
       loop.RunOnce(0);
-      sent.Pass();
+      sent.Wait();
       const int fd = accept4(endpoint, nullptr, nullptr, SOCK_NONBLOCK);
       if (fd >= 0) return fd;
     }
@@ -80,7 +80,7 @@
   }
   std::string Read(int fd) {
     std::string text;
-    lab::PlayUntil(loop, clock, clock.Now() + 0.01);
+    lab::RunEventLoopUntil(loop, clock, clock.Now() + 0.01);
     raw::ReadAll(fd, text);
     return text;
   }
@@ -88,7 +88,7 @@
   const int endpoint = raw::Listen(*net::ParseAddress("127.0.0.1:0"));
   const int platform = raw::Listen(*net::ParseAddress("127.0.0.1:0"));
   const fs::path folder;
-  lab::Clock clock;
+  lab::SimulatedClock clock;
   net::EventLoop loop;
   Config config;
   std::unique_ptr<Relay> relay;
--- a/tests/state_transfer/scripted_loop.h
+++ b/tests/state_transfer/scripted_loop.h
@@ -12,7 +12,7 @@
 
 class ScriptedLoop {
  public:
-  lab::Clock clock;
+  lab::SimulatedClock clock;
   net::EventLoop loop{clock};
   Limits limits;
   sockaddr_in any_port = *net::ParseAddress("127.0.0.1:0");  // binds to a free port
--- a/tests/support/discovery_stand_in.h
+++ b/tests/support/discovery_stand_in.h
@@ -47,7 +47,7 @@
   // An outage: connections end, and new ones are refused, until Return.
   void GoDown() {
     listener_.reset();
-    while (!sessions_.all().empty()) sessions_.Drop(*sessions_.all().begin()->first);
+    while (!sessions_.all().empty()) sessions_.Remove(*sessions_.all().begin()->first);
   }
   void Return() { ListenAt(address_); }
   // Watches that are open stay open and bring nothing more, no empty line either.
@@ -73,7 +73,7 @@
       connection_ = net::Connection::Adopt(service_.loop_, fd, *this, 64 * 1024, 64 * 1024);
       return connection_ != nullptr;
     }
-    void Shut() {
+    void Close() {
       service_.loop_.Cancel(timer_);
       connection_->Close();
     }
@@ -81,9 +81,11 @@
       net::RingBuffer& in = connection.in();
       while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
       if (parser_.done()) Answer(std::exchange(parser_.message(), {}));
-      if (connection.peer_closed()) service_.sessions_.Drop(*this);
+      if (connection.peer_closed()) service_.sessions_.Remove(*this);
+    }
+    void OnClosed(net::Connection&, net::Connection::CloseReason) override {
+      service_.sessions_.Remove(*this);
     }
-    void OnClosed(net::Connection&, net::Connection::CloseReason) override { service_.sessions_.Drop(*this); }
     void TellList() {
       if (!watches_ || muted()) return;
       WriteLine(service_.List() + "\n");
@@ -137,7 +139,7 @@
   void ListenAt(const sockaddr_in& address) {
     listener_.reset();
     listener_ = std::make_unique<net::Listener>(loop_, address, [this](int fd) {
-      sessions_.Adopt(std::make_unique<Session>(*this, ++last_session_), fd);
+      sessions_.Add(std::make_unique<Session>(*this, ++last_session_), fd);
     });
     address_ = listener_->address();
   }
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -24,7 +24,7 @@
     "zone failover: an evacuation issued at one relay reaches all; none calls the zone until it expires") {
   for (const double loss : {0.0, 0.2, 0.6}) {
     CAPTURE(loss);
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = loss;
     SimulatedFleet fleet(OptionsFor(40), links, 3);
     SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
@@ -70,12 +70,12 @@
 TEST_CASE(
     "zone failover: the later override wins: revoked or issued behind a partition, or while a relay is "
     "frozen") {
-  lab::LinkPlan links;
-  lab::Cut cut;
+  lab::LinkSettings links;
+  lab::LinkCut cut;
   cut.first = 0;
   cut.last = 9;
   cut.from = 106;
-  cut.lasts = 8;
+  cut.duration = 8;
   links.cuts.push_back(cut);
   SimulatedFleet fleet(OptionsFor(20), links, 5);
   SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -48,7 +48,7 @@
 
 TEST_CASE("zone failover: with 20% and 60% of the messages lost all evacuate, a little later") {
   for (const double loss : {0.2, 0.6}) {
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
     SimulatedFleet fleet(OptionsFor(40), links, 6);
@@ -271,7 +271,7 @@
     const int some = 1 + static_cast<int>(draw(static_cast<std::uint32_t>(std::max(1, size / 5))));
     const Outcome outcome = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
                                                  Outcome::kError}[draw(4)];
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = draw(3) * 0.3;
     SimulatedFleet fleet(OptionsFor(size), links, seed);
     pcg32 chance(seed, 33);
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -99,11 +99,11 @@
     "partition") {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
-  LinkPlan plan;
+  LinkSettings plan;
   plan.delay = {0, 0.001};
-  Cut cut;
+  LinkCut cut;
   cut.from = 10;
-  cut.lasts = 1e6;
+  cut.duration = 1e6;
   plan.cuts.push_back(cut);
   Seconds now = 0;
   Post post(loop, 3, plan, 1, [&now] { return now; });
