--- a/lab/tier_play.cpp
+++ b/lab/tier_play.cpp
@@ -6,24 +6,24 @@
 
 namespace opalroute::lab {
 
-zone_failover::FailoverOptions MemberRulesOf(const Scenario& s, int relay) {
-  zone_failover::FailoverOptions rules;
-  rules.membership.fleet_size = s.relays;
-  rules.membership.own_peer = relay;
-  rules.zones = static_cast<int>(s.zones.size());
-  rules.share_quotas = s.tier;
-  rules.evacuate_zones = s.leave;
-  rules.evacuation.slow_start_initial_share = s.settings.slow_start_initial_share;
-  rules.evacuation.slow_start_duration = s.settings.slow_start_duration;
-  return rules;
+zone_failover::FailoverOptions FailoverOptionsOf(const Scenario& s, int relay) {
+  zone_failover::FailoverOptions options;
+  options.membership.fleet_size = s.relays;
+  options.membership.own_peer = relay;
+  options.zones = static_cast<int>(s.zones.size());
+  options.share_quotas = s.tier;
+  options.evacuate_zones = s.leave;
+  options.evacuation.slow_start_initial_share = s.settings.slow_start_initial_share;
+  options.evacuation.slow_start_duration = s.settings.slow_start_duration;
+  return options;
 }
 
 namespace {
 
 const char* KindOf(const std::string& bytes) {
-  const auto note = membership::DecodeMessage(bytes);
-  if (!note) return "lanes";
-  switch (note->kind) {
+  const auto message = membership::DecodeMessage(bytes);
+  if (!message) return "lanes";
+  switch (message->kind) {
     case membership::MessageKind::kPing:
       return "ask";
     case membership::MessageKind::kJoin:
@@ -40,139 +40,146 @@
 
 }  // namespace
 
-TierPlay::TierPlay(const Scenario& scenario, std::uint64_t seed, Host& host, Auditor& auditor,
-                   RunResult& result)
+FleetSimulation::FleetSimulation(const Scenario& scenario, std::uint64_t seed, Host& host, Auditor& auditor,
+                                 RunResult& result)
     : s_(scenario),
       host_(host),
       auditor_(auditor),
       result_(result),
       links_(scenario.links, seed),
       members_(static_cast<std::size_t>(scenario.relays)),
-      kept_(static_cast<std::size_t>(scenario.relays)),
-      truth_(scenario.zones.size(), 1) {}
+      saved_states_(static_cast<std::size_t>(scenario.relays)),
+      oracle_shares_(scenario.zones.size(), 1) {}
 
-void TierPlay::Start(int relay) {
-  if (!on()) return;
+void FleetSimulation::StartRelay(int relay) {
+  if (!enabled()) return;
   const auto i = static_cast<std::size_t>(relay);
-  const std::uint64_t life = ++last_life_;
-  members_[i] = std::make_unique<zone_failover::ZoneFailover>(MemberRulesOf(s_, relay), life, life * 7919 + i,
-                                                              host_.TierNow(), kept_[i]);
+  const std::uint64_t incarnation = ++last_incarnation_;
+  members_[i] = std::make_unique<zone_failover::ZoneFailover>(FailoverOptionsOf(s_, relay), incarnation,
+                                                              incarnation * 7919 + i, host_.CurrentTime(),
+                                                              saved_states_[i]);
   Tick(relay);
 }
 
-void TierPlay::Stop(int relay, bool forgets) {
+void FleetSimulation::StopRelay(int relay, bool forgets) {
   const auto i = static_cast<std::size_t>(relay);
   if (!members_[i]) return;
-  kept_[i] = forgets ? zone_failover::ZoneFailover::SavedState() : members_[i]->Save(host_.TierNow());
+  saved_states_[i] =
+      forgets ? zone_failover::ZoneFailover::SavedState() : members_[i]->Save(host_.CurrentTime());
   members_[i].reset();
-  auditor_.OnShareReleased(host_.TierNow(), relay);
+  auditor_.OnShareReleased(host_.CurrentTime(), relay);
 }
 
-void TierPlay::Leave(int relay) {
-  zone_failover::ZoneFailover::Actions what;
+void FleetSimulation::AnnounceLeave(int relay) {
+  zone_failover::ZoneFailover::Actions actions;
   if (!members_[static_cast<std::size_t>(relay)]) return;
-  members_[static_cast<std::size_t>(relay)]->AnnounceLeave(what);
-  Do(relay, what);
+  members_[static_cast<std::size_t>(relay)]->AnnounceLeave(actions);
+  PerformActions(relay, actions);
 }
 
-void TierPlay::Tick(int relay) {
-  zone_failover::ZoneFailover::Actions what;
-  members_[static_cast<std::size_t>(relay)]->Tick(host_.TierNow(), what);
-  Do(relay, what);
+void FleetSimulation::Tick(int relay) {
+  zone_failover::ZoneFailover::Actions actions;
+  members_[static_cast<std::size_t>(relay)]->Tick(host_.CurrentTime(), actions);
+  PerformActions(relay, actions);
 }
 
-void TierPlay::Order(const HandGiven& order) {
+void FleetSimulation::ApplyOverride(const HandGiven& order) {
   const auto& member = members_[static_cast<std::size_t>(order.relay)];
-  zone_failover::ZoneFailover::Actions what;
+  zone_failover::ZoneFailover::Actions actions;
   if (!member) return;
-  member->ApplyOverride(host_.TierNow(), order.zone, order.what, order.lasts, what);
-  Do(order.relay, what);
+  member->ApplyOverride(host_.CurrentTime(), order.zone, order.what, order.lasts, actions);
+  PerformActions(order.relay, actions);
 }
 
-bool TierPlay::Joined(int relay) const {
+bool FleetSimulation::HasJoined(int relay) const {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  return !member || member->HasJoined(host_.TierNow());
+  return !member || member->HasJoined(host_.CurrentTime());
 }
 
-void TierPlay::Do(int relay, zone_failover::ZoneFailover::Actions& what) {
-  for (opalroute::Event& event : what.events) {
+void FleetSimulation::PerformActions(int relay, zone_failover::ZoneFailover::Actions& actions) {
+  for (opalroute::Event& event : actions.events) {
     if (const auto* size = std::get_if<FleetSize>(&event))
-      auditor_.OnShareCount(host_.TierNow(), relay, size->share_count);
-    host_.PostTo(relay, std::move(event));
+      auditor_.OnShareCount(host_.CurrentTime(), relay, size->share_count);
+    host_.PostEvent(relay, std::move(event));
   }
-  for (const zone_failover::OutgoingDatagram& datagram : what.datagrams)
-    Tell(relay, datagram.to, datagram.bytes);
-  for (const zone_failover::ZoneFailover::Change& c : what.changes)
-    result_.stage_changes.push_back(
-        {host_.TierNow(), relay, c.zone, c.after.round, zone_failover::NameOf(c.after.phase), c.from_peer});
+  for (const zone_failover::OutgoingDatagram& datagram : actions.datagrams)
+    SendDatagram(relay, datagram.to, datagram.bytes);
+  for (const zone_failover::ZoneFailover::Change& c : actions.changes)
+    result_.stage_changes.push_back({host_.CurrentTime(), relay, c.zone, c.after.round,
+                                     zone_failover::NameOf(c.after.phase), c.from_peer});
 }
 
-void TierPlay::Tell(int from, std::optional<int> to, const std::string& bytes) {
+void FleetSimulation::SendDatagram(int from, std::optional<int> to, const std::string& bytes) {
   const auto shared = std::make_shared<const std::string>(bytes);
-  for (int other = 0; other < s_.relays; ++other)
-    if (other != from && (!to || *to == other)) Send(from, other, shared);
+  for (int peer = 0; peer < s_.relays; ++peer)
+    if (peer != from && (!to || *to == peer)) SendTo(from, peer, shared);
 }
 
-void TierPlay::Send(int from, int to, const std::shared_ptr<const std::string>& bytes) {
+void FleetSimulation::SendTo(int from, int to, const std::shared_ptr<const std::string>& bytes) {
   ++result_.notes;
   ++result_.notes_by_kind[KindOf(*bytes)];
   result_.note_bytes += static_cast<long>(bytes->size());
-  for (const Seconds when : links_.DrawArrivals(host_.TierNow(), from, to)) {
-    flying_[++last_note_] = {from, to, bytes};
-    host_.NoteAt(when, to, last_note_);
+  for (const Seconds when : links_.DrawArrivals(host_.CurrentTime(), from, to)) {
+    in_flight_[++last_datagram_] = {from, to, bytes};
+    host_.ScheduleDatagram(when, to, last_datagram_);
   }
 }
 
-void TierPlay::Arrive(std::uint64_t number) {
-  const auto it = flying_.find(number);
-  const Flying note = std::move(it->second);
-  flying_.erase(it);
-  const Seconds now = host_.TierNow();
-  if (!host_.IsUp(note.to)) {  // its machine says so, where the way back is open
-    if (!links_.IsPeerLinkCut(now, note.to, note.from)) host_.RefusalAt(now + 0.001, note.from, note.to);
+void FleetSimulation::OnDatagramArrived(std::uint64_t number) {
+  const auto it = in_flight_.find(number);
+  const Datagram datagram = std::move(it->second);
+  in_flight_.erase(it);
+  const Seconds now = host_.CurrentTime();
+  if (!host_.IsUp(datagram.to)) {  // its host answers 'port unreachable', unless the link back is cut
+    if (!links_.IsPeerLinkCut(now, datagram.to, datagram.from))
+      host_.ScheduleUnreachable(now + 0.001, datagram.from, datagram.to);
     return;
   }
-  const auto& member = members_[static_cast<std::size_t>(note.to)];
-  zone_failover::ZoneFailover::Actions what;
-  if (member && member->HandleMessage(now, note.from, *note.bytes, what)) return Do(note.to, what);
-  host_.PostTo(note.to, GossipReceived{note.from, *note.bytes});
+  const auto& member = members_[static_cast<std::size_t>(datagram.to)];
+  zone_failover::ZoneFailover::Actions actions;
+  if (member && member->HandleMessage(now, datagram.from, *datagram.bytes, actions))
+    return PerformActions(datagram.to, actions);
+  host_.PostEvent(datagram.to, GossipReceived{datagram.from, *datagram.bytes});
 }
 
-void TierPlay::Refused(int relay, int peer) {
+void FleetSimulation::OnPeerUnreachable(int relay, int peer) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->OnUnreachable(host_.TierNow(), peer);
+  if (member) member->OnUnreachable(host_.CurrentTime(), peer);
 }
 
-void TierPlay::Sent(int relay, const ListedEndpoint& e) {
+void FleetSimulation::OnSent(int relay, const ListedEndpoint& e) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->OnSent(host_.TierNow(), e.zone, e.destination, e.endpoint);
+  if (member) member->OnSent(host_.CurrentTime(), e.zone, e.destination, e.endpoint);
 }
 
-void TierPlay::Ended(int relay, const ListedEndpoint& e, Outcome outcome, Seconds duration) {
+void FleetSimulation::OnEnded(int relay, const ListedEndpoint& e, Outcome outcome, Seconds duration) {
   const auto& member = members_[static_cast<std::size_t>(relay)];
-  if (member) member->OnEnded(host_.TierNow(), e.zone, e.destination, e.endpoint, outcome, duration);
+  if (member) member->OnEnded(host_.CurrentTime(), e.zone, e.destination, e.endpoint, outcome, duration);
 }
 
-double TierPlay::TrueShare(Seconds now, int zone) const {
+double FleetSimulation::TrueTrafficShare(Seconds now, int zone) const {
   double share = 1;
-  constexpr double kSteps = 20;  // as the relays' own
+  constexpr double kSteps = 20;  // as in zone evacuation
   for (const Trouble& t : s_.troubles) {
     if (t.zone != zone || t.share < 0.6 || now < t.from) continue;
-    const double warm =
+    const double progress =
         s_.settings.slow_start_duration > 0 ? (now - t.from - t.lasts) / s_.settings.slow_start_duration : 1;
-    const double cold = s_.settings.slow_start_initial_share;
-    share =
-        std::min(share, warm < 0 ? 0 : std::floor(std::min(1.0, cold + (1 - cold) * warm) * kSteps) / kSteps);
+    const double initial_share = s_.settings.slow_start_initial_share;
+    share = std::min(
+        share,
+        progress < 0
+            ? 0
+            : std::floor(std::min(1.0, initial_share + (1 - initial_share) * progress) * kSteps) / kSteps);
   }
   return share;
 }
 
-void TierPlay::TellTruth() {
-  for (int zone = 0; zone < static_cast<int>(truth_.size()); ++zone) {
-    const double share = TrueShare(host_.TierNow(), zone);
-    if (std::exchange(truth_[static_cast<std::size_t>(zone)], share) == share) continue;
+void FleetSimulation::RunOracle() {
+  for (int zone = 0; zone < static_cast<int>(oracle_shares_.size()); ++zone) {
+    const double share = TrueTrafficShare(host_.CurrentTime(), zone);
+    if (std::exchange(oracle_shares_[static_cast<std::size_t>(zone)], share) == share) continue;
     for (int relay = 0; relay < s_.relays; ++relay)
-      if (host_.IsUp(relay)) host_.PostTo(relay, ZoneTrafficShare{zone, share, false});
+      if (host_.IsUp(relay)) host_.PostEvent(relay, ZoneTrafficShare{zone, share, false});
   }
 }
 
--- a/lab/tier_play.h
+++ b/lab/tier_play.h
@@ -1,5 +1,6 @@
-// Relays of a simulation as members of one tier: their notes over links that fail, what they tell their
-// decision modules, and the oracle that tells each of them every zone's state at once.
+// The relays of a simulation as members of one fleet: their datagrams over unreliable links, the events that
+// membership and zone evacuation send to their request routers, and the oracle, which in place of these tells
+// every relay the state of each zone at once.
 #pragma once
 
 #include <cstdint>
@@ -16,58 +17,62 @@
 
 namespace opalroute::lab {
 
-// As the relay has them by default, for a scenario's deployment.
-zone_failover::FailoverOptions MemberRulesOf(const Scenario& scenario, int relay);
+// A relay's default options, for the deployment of a scenario.
+zone_failover::FailoverOptions FailoverOptionsOf(const Scenario& scenario, int relay);
 
-class TierPlay {
+class FleetSimulation {
  public:
   class Host {
    public:
     virtual ~Host() = default;
-    virtual Seconds TierNow() const = 0;
+    virtual Seconds CurrentTime() const = 0;
     virtual bool IsUp(int relay) const = 0;
-    virtual void PostTo(int relay, opalroute::Event event) = 0;
-    virtual void NoteAt(Seconds when, int relay, std::uint64_t note) = 0;  // calls Arrive, later
-    virtual void RefusalAt(Seconds when, int relay, int peer) = 0;         // calls Refused, later
+    virtual void PostEvent(int relay, opalroute::Event event) = 0;
+    // Calls OnDatagramArrived at that time.
+    virtual void ScheduleDatagram(Seconds when, int relay, std::uint64_t datagram) = 0;
+    // Calls OnPeerUnreachable at that time.
+    virtual void ScheduleUnreachable(Seconds when, int relay, int peer) = 0;
   };
-  TierPlay(const Scenario& scenario, std::uint64_t seed, Host& host, Auditor& auditor, RunResult& result);
+  FleetSimulation(const Scenario& scenario, std::uint64_t seed, Host& host, Auditor& auditor,
+                  RunResult& result);
 
-  void Start(int relay);
-  void Stop(int relay, bool forgets);  // the process has ended, with its folder kept or not
-  void Leave(int relay);               // it is about to
+  void StartRelay(int relay);
+  void StopRelay(int relay, bool forgets);  // `forgets`: its state folder is lost
+  void AnnounceLeave(int relay);            // it is about to stop
   void Tick(int relay);
-  void Order(const HandGiven& order);  // an operator's, to one relay
-  bool Joined(int relay) const;
-  // To one, or with none to all others.
-  void Tell(int from, std::optional<int> to, const std::string& bytes);
-  void Arrive(std::uint64_t note);
-  void Refused(int relay, int peer);
-  void Sent(int relay, const ListedEndpoint& endpoint);
-  void Ended(int relay, const ListedEndpoint& endpoint, Outcome outcome, Seconds duration);
-  // The oracle's word, as of now.
-  void TellTruth();
+  // An operator's command to one relay.
+  void ApplyOverride(const HandGiven& order);
+  bool HasJoined(int relay) const;
+  // To relay `to`, or without one to all other relays.
+  void SendDatagram(int from, std::optional<int> to, const std::string& bytes);
+  void OnDatagramArrived(std::uint64_t datagram);
+  void OnPeerUnreachable(int relay, int peer);
+  void OnSent(int relay, const ListedEndpoint& endpoint);
+  void OnEnded(int relay, const ListedEndpoint& endpoint, Outcome outcome, Seconds duration);
+  // Tells all relays the traffic share of each zone whose share has changed.
+  void RunOracle();
   const LinkModel& links() const { return links_; }
-  bool on() const { return s_.tier || s_.leave; }
+  bool enabled() const { return s_.tier || s_.leave; }
 
  private:
-  struct Flying {
+  struct Datagram {
     int from = 0, to = 0;
     std::shared_ptr<const std::string> bytes;
   };
-  void Do(int relay, zone_failover::ZoneFailover::Actions& what);
-  void Send(int from, int to, const std::shared_ptr<const std::string>& bytes);
-  double TrueShare(Seconds now, int zone) const;
+  void PerformActions(int relay, zone_failover::ZoneFailover::Actions& actions);
+  void SendTo(int from, int to, const std::shared_ptr<const std::string>& bytes);
+  double TrueTrafficShare(Seconds now, int zone) const;
 
   const Scenario& s_;
   Host& host_;
   Auditor& auditor_;
   RunResult& result_;
   LinkModel links_;
-  std::uint64_t last_life_ = 0, last_note_ = 0;
-  std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;
-  std::vector<zone_failover::ZoneFailover::SavedState> kept_;  // by relay, in its folder
-  std::unordered_map<std::uint64_t, Flying> flying_;
-  std::vector<double> truth_;  // by zone, as told
+  std::uint64_t last_incarnation_ = 0, last_datagram_ = 0;
+  std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;  // by relay; null while it is stopped
+  std::vector<zone_failover::ZoneFailover::SavedState> saved_states_;  // by relay, in its state folder
+  std::unordered_map<std::uint64_t, Datagram> in_flight_;
+  std::vector<double> oracle_shares_;  // by zone, as last told
 };
 
 }  // namespace opalroute::lab
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -1,4 +1,5 @@
-// The laboratory: scenarios, models against hand-reckoned figures, the auditor's catches, determinism.
+// Tests the laboratory: scenario files, the models against values computed by hand, the auditor,
+// deterministic runs.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -17,10 +18,10 @@
 
 using nlohmann::json;
 
-// ---- the queues ----------------------------------------------------------------------------------------
+// ---- event queues --------------------------------------------------------------------------------------
 
 template <typename Queue>
-std::vector<std::uint64_t> Drain(std::uint64_t seed) {
+std::vector<std::uint64_t> PopOrder(std::uint64_t seed) {
   Queue queue;
   pcg32 random(seed);
   std::vector<std::uint64_t> order;
@@ -39,35 +40,35 @@
   return order;
 }
 
-TEST_CASE("lab: both event queues give the same order, first in first out at one time") {
+TEST_CASE("lab: both event queues pop in the same order, events of one time first in, first out") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed)
-    CHECK(Drain<HeapQueue<std::uint32_t>>(seed) == Drain<CalendarQueue<std::uint32_t>>(seed));
+    CHECK(PopOrder<HeapQueue<std::uint32_t>>(seed) == PopOrder<CalendarQueue<std::uint32_t>>(seed));
 }
 
 // ---- scenarios -------------------------------------------------------------------------------------------
 
-std::string FaultOf(const json& file) {
+std::string ErrorOf(const json& file) {
   try {
     ReadScenario(file);
-  } catch (const config::FieldError& fault) {
-    return fault.what();
+  } catch (const config::FieldError& error) {
+    return error.what();
   }
   return {};
 }
 
-TEST_CASE("lab: every fault of a scenario is told with the path of its key") {
-  CHECK(FaultOf(json::object()).empty());
-  CHECK(FaultOf({{"relays", 0}}) == "'relays' must be a whole number from 1 to 1000");
-  CHECK(FaultOf({{"load", {{"rate", "fast"}}}}) == "'load.rate' must be a number from 0.01 to 1000000.0");
-  CHECK(FaultOf({{"load", {{"burst", 1}}}}) == "'load.burst' is not known");
-  CHECK(FaultOf({{"troubles", {{{"kind", "flood"}, {"share", 0.1}}}}}) ==
+TEST_CASE("lab: every error in a scenario is reported with the path of its key") {
+  CHECK(ErrorOf(json::object()).empty());
+  CHECK(ErrorOf({{"relays", 0}}) == "'relays' must be a whole number from 1 to 1000");
+  CHECK(ErrorOf({{"load", {{"rate", "fast"}}}}) == "'load.rate' must be a number from 0.01 to 1000000.0");
+  CHECK(ErrorOf({{"load", {{"burst", 1}}}}) == "'load.burst' is not known");
+  CHECK(ErrorOf({{"troubles", {{{"kind", "flood"}, {"share", 0.1}}}}}) ==
         "'troubles[0].kind' must be one of shut, refuse, hang, reset, errors, slow, spoilt, vanish");
-  CHECK(FaultOf({{"troubles", {{{"kind", "shut"}, {"partner", 10}}}}}).find("'troubles[0].partner'") == 0);
-  CHECK(FaultOf({{"relay_faults", {{{"kind", "kill"}, {"relay", 2}}}}}) ==
+  CHECK(ErrorOf({{"troubles", {{{"kind", "shut"}, {"partner", 10}}}}}).find("'troubles[0].partner'") == 0);
+  CHECK(ErrorOf({{"relay_faults", {{{"kind", "kill"}, {"relay", 2}}}}}) ==
         "'relay_faults[0].relay' must be a whole number from 0 to 1");
-  CHECK(FaultOf({{"partners", {{"endpoints", {4, 1}}}}}).find("'partners.endpoints' must be two numbers") ==
+  CHECK(ErrorOf({{"partners", {{"endpoints", {4, 1}}}}}).find("'partners.endpoints' must be two numbers") ==
         0);
-  CHECK(FaultOf({{"relays", 0}, {"zap", 1}}).find("; ") != std::string::npos);  // all at once
+  CHECK(ErrorOf({{"relays", 0}, {"zap", 1}}).find("; ") != std::string::npos);  // all errors together
   json file = json::object();
   SetByPath(file, "load.rate=30");
   SetByPath(file, "name=x");
@@ -75,7 +76,7 @@
   CHECK_THROWS_AS(SetByPath(file, "load"), config::FieldError);
 }
 
-TEST_CASE("lab: the scenarios that come with it are sound") {
+TEST_CASE("lab: the included scenarios are valid") {
   int count = 0;
   for (const auto& entry : std::filesystem::directory_iterator(SCENARIOS)) {
     CAPTURE(entry.path().string());
@@ -85,10 +86,9 @@
   CHECK(count >= 10);
 }
 
-// ---- the model of a lane
-// -----------------------------------------------------------------------------------
+// ---- route model -----------------------------------------------------------------------------------------
 
-TEST_CASE("lab: a plain rate and a count in a window, as reckoned by hand") {
+TEST_CASE("lab: a token bucket and a limit per window accept as many calls as computed by hand") {
   RouteSettings s;
   s.rate_limit = 10;
   s.retry_after_share = 1;
@@ -98,7 +98,7 @@
   int served = 0;
   for (int i = 0; i < 3000; ++i)
     served += rate.HandleCall(100 + i * 0.01).status == RouteModel::CallStatus::kServed;
-  CHECK(served >= 300);  // 30 s at 10 a second, and the half second that may come at once
+  CHECK(served >= 300);  // 30 s at 10 a second, and a burst of half a second
   CHECK(served <= 306);
   s.window = 1;
   RouteModel window(s, {}, 1);
@@ -106,107 +106,108 @@
   for (int i = 0; i < 100; ++i)
     served += window.HandleCall(200.2 + i * 0.001).status == RouteModel::CallStatus::kServed;
   CHECK(served == 10);
-  const auto full = window.HandleCall(200.4);
-  CHECK(full.status == RouteModel::CallStatus::kRejected);
-  CHECK(full.retry_after == doctest::Approx(0.6));  // to the end of the span
+  const auto rejected = window.HandleCall(200.4);
+  CHECK(rejected.status == RouteModel::CallStatus::kRejected);
+  CHECK(rejected.retry_after == doctest::Approx(0.6));  // to the end of the window
   CHECK(window.HandleCall(201).status == RouteModel::CallStatus::kServed);
 }
 
-TEST_CASE("lab: cold return, and the fall of one that is sent too much") {
+TEST_CASE("lab: a route recovers gradually after an outage, and collapses under too much load meanwhile") {
   RouteSettings s;
   s.capacity = 50;
   s.retry_after_share = 1;
-  RouteModel lane(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
-  CHECK(lane.CapacityAt(9) == 50);
-  CHECK(lane.CapacityAt(15) == 0);
-  CHECK(lane.InOutage(15));
-  CHECK(lane.HandleCall(15).retry_after == doctest::Approx(5));
-  CHECK(lane.CapacityAt(20) == doctest::Approx(11));  // 22%
-  CHECK(lane.CapacityAt(26.5) == doctest::Approx(30.5));
-  CHECK(lane.CapacityAt(33) == doctest::Approx(50));
-  CHECK(lane.IsRecovering(32.9));
-  CHECK(!lane.IsRecovering(33));
-  // At 20 s it stands 2 x 11 x 2 = 44 calls in 2 s, and twice the root of that for chance: the 58th fells it.
+  RouteModel route(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
+  CHECK(route.CapacityAt(9) == 50);
+  CHECK(route.CapacityAt(15) == 0);
+  CHECK(route.InOutage(15));
+  CHECK(route.HandleCall(15).retry_after == doctest::Approx(5));
+  CHECK(route.CapacityAt(20) == doctest::Approx(11));  // 22%
+  CHECK(route.CapacityAt(26.5) == doctest::Approx(30.5));
+  CHECK(route.CapacityAt(33) == doctest::Approx(50));
+  CHECK(route.IsRecovering(32.9));
+  CHECK(!route.IsRecovering(33));
+  // At 20 s it tolerates 2 x 11 x 2 = 44 calls in 2 s, and two standard deviations of sqrt(44) more: it
+  // collapses at the 58th.
   int calls = 0;
-  while (!lane.collapsed() && calls < 200) {
-    lane.HandleCall(20 + calls * 1e-6);
+  while (!route.collapsed() && calls < 200) {
+    route.HandleCall(20 + calls * 1e-6);
     ++calls;
   }
   CHECK(calls == 58);
-  CHECK(lane.HandleCall(40).status == RouteModel::CallStatus::kRejected);
-  RouteModel spared(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
-  for (int i = 0; i < 200; ++i) spared.HandleCall(20 + i * 0.05);  // 20 a second
-  CHECK(!spared.collapsed());
+  CHECK(route.HandleCall(40).status == RouteModel::CallStatus::kRejected);
+  RouteModel moderate(s, {{RouteFaultKind::kRejectAll, 10, 20}}, 1);
+  for (int i = 0; i < 200; ++i) moderate.HandleCall(20 + i * 0.05);  // 20 a second
+  CHECK(!moderate.collapsed());
 }
 
-TEST_CASE("lab: a queue of one behind two places, as reckoned by hand") {
+TEST_CASE("lab: two workers with a queue of one call take the times computed by hand") {
   RouteSettings s;
   s.capacity = 10;
-  s.mean_latency = 0.2;  // two places
+  s.mean_latency = 0.2;  // two workers
   s.latency_cv = 0;
   s.max_queued_calls = 1;
   s.retry_after_share = 1;
-  RouteModel lane(s, {}, 1);
-  CHECK(lane.HandleCall(1).duration == doctest::Approx(0.2));
-  CHECK(lane.HandleCall(1.1).duration == doctest::Approx(0.2));
-  CHECK(lane.HandleCall(1.1).duration == doctest::Approx(0.3));  // begins at 1.2
-  const auto full = lane.HandleCall(1.15);
-  CHECK(full.status == RouteModel::CallStatus::kRejected);
-  CHECK(!full.ran);
-  CHECK(full.retry_after == doctest::Approx(0.15));                // until 1.3, when the next place is free
-  CHECK(lane.HandleCall(1.25).duration == doctest::Approx(0.25));  // behind one that ends at 1.4, one at 1.3
+  RouteModel route(s, {}, 1);
+  CHECK(route.HandleCall(1).duration == doctest::Approx(0.2));
+  CHECK(route.HandleCall(1.1).duration == doctest::Approx(0.2));
+  CHECK(route.HandleCall(1.1).duration == doctest::Approx(0.3));  // starts at 1.2
+  const auto rejected = route.HandleCall(1.15);
+  CHECK(rejected.status == RouteModel::CallStatus::kRejected);
+  CHECK(!rejected.ran);
+  CHECK(rejected.retry_after == doctest::Approx(0.15));             // until 1.3, when the next worker is free
+  CHECK(route.HandleCall(1.25).duration == doctest::Approx(0.25));  // the workers are busy until 1.3 and 1.4
 }
 
-TEST_CASE("lab: one that has vanished runs nothing; one that spoils its answers has run") {
-  RouteModel lane(
+TEST_CASE("lab: an unreachable route runs no call, and one with invalid responses runs all") {
+  RouteModel route(
       {}, {{RouteFaultKind::kUnreachable, 10, 20}, {RouteFaultKind::kInvalidResponses, 30, 40, 0.4}}, 1);
-  CHECK(lane.IsUnreachable(15));
-  CHECK(lane.InOutage(15));
-  CHECK(!lane.RefusesConnections(15));
-  const auto silent = lane.HandleCall(15);
+  CHECK(route.IsUnreachable(15));
+  CHECK(route.InOutage(15));
+  CHECK(!route.RefusesConnections(15));
+  const auto silent = route.HandleCall(15);
   CHECK(silent.status == RouteModel::CallStatus::kNoResponse);
   CHECK(!silent.ran);
-  CHECK(lane.IsRecovering(21));
-  CHECK(!lane.InOutage(35));  // most of its calls are well
-  int spoilt = 0;
+  CHECK(route.IsRecovering(21));
+  CHECK(!route.InOutage(35));  // most calls get valid responses
+  int invalid = 0;
   for (int i = 0; i < 1000; ++i) {
-    const auto verdict = lane.HandleCall(36 + i * 0.001);
-    CHECK(verdict.ran);
-    spoilt += verdict.status == RouteModel::CallStatus::kInvalidResponse;
+    const auto result = route.HandleCall(36 + i * 0.001);
+    CHECK(result.ran);
+    invalid += result.status == RouteModel::CallStatus::kInvalidResponse;
   }
-  CHECK(spoilt > 340);
-  CHECK(spoilt < 460);
+  CHECK(invalid > 340);
+  CHECK(invalid < 460);
 }
 
-// ---- the auditor: each breach, committed and caught
-// -----------------------------------------------------------
+// ---- auditor ---------------------------------------------------------------------------------------------
 
-class Audit {
+class AuditorFixture {
  public:
-  Audit() {
-    RequestClass safe, keyed, unsafe;
-    keyed.idempotency = Idempotency::kIdempotencyKey;
-    keyed.deduplication_window = 12;
-    unsafe.idempotency = Idempotency::kNonIdempotent;
-    auditor = std::make_unique<Auditor>(Auditor::Rules{}, std::vector<RequestClass>{safe, keyed, unsafe});
+  AuditorFixture() {
+    RequestClass idempotent, deduplicated, non_idempotent;
+    deduplicated.idempotency = Idempotency::kIdempotencyKey;
+    deduplicated.deduplication_window = 12;
+    non_idempotent.idempotency = Idempotency::kNonIdempotent;
+    auditor = std::make_unique<Auditor>(Auditor::Rules{},
+                                        std::vector<RequestClass>{idempotent, deduplicated, non_idempotent});
     auditor->OnEndpointListed(1, 7, 1);
     auditor->OnEndpointListed(2, 7, 1);
     auditor->OnEndpointListed(3, 8, 3);
   }
-  void Take(std::uint64_t id, int message_class, Seconds now = 0) {
+  void Accept(std::uint64_t id, int message_class, Seconds now = 0) {
     auditor->OnAccepted(now, 0, id, 100 + id, message_class, 7, now + 8);
   }
-  void Only(BreachKind kind, int count = 1) {
+  void CheckOnly(BreachKind kind, int count = 1) {
     CHECK(auditor->breaches().size() == static_cast<std::size_t>(count));
     CHECK(auditor->Count(kind) == count);
   }
   std::unique_ptr<Auditor> auditor;
 };
 
-TEST_CASE("lab: the auditor lets a sound life pass") {
-  Audit a;
+TEST_CASE("lab: the auditor reports nothing if the rules are kept") {
+  AuditorFixture a;
   for (int c = 0; c < 3; ++c) {
-    a.Take(static_cast<std::uint64_t>(c), c);
+    a.Accept(static_cast<std::uint64_t>(c), c);
     a.auditor->OnSent(1, 0, static_cast<std::uint64_t>(c), 1);
     a.auditor->OnAttemptEnded(static_cast<std::uint64_t>(c), 0, false);
     a.auditor->OnSent(2, 0, static_cast<std::uint64_t>(c), 2);
@@ -219,59 +220,60 @@
   CHECK(a.auditor->open_messages() == 0);
 }
 
-TEST_CASE("lab: the auditor catches each breach") {
-  SUBCASE("two answers") {
-    Audit a;
-    a.Take(1, 0);
+TEST_CASE("lab: the auditor reports breaches") {
+  SUBCASE("a message that ends twice") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnEnded(1, 1, Auditor::End::kFailed);
     a.auditor->OnEnded(2, 1, Auditor::End::kRejected);
-    a.Only(BreachKind::kTwoAnswers);
+    a.CheckOnly(BreachKind::kTwoAnswers);
   }
-  SUBCASE("no answer in time") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message that has not ended in time") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->CheckDeadlines(8.06);
     CHECK(a.auditor->breaches().empty());
     a.auditor->CheckDeadlines(8.08);
-    a.Only(BreachKind::kNoAnswer);
+    a.CheckOnly(BreachKind::kNoAnswer);
   }
-  SUBCASE("none after a death either, once its time is past") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message of a stopped relay that has not ended by the extended deadline") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnRelayStopped(0, 10);
     a.auditor->CheckDeadlines(9.9);
     CHECK(a.auditor->breaches().empty());
     a.auditor->CheckDeadlines(10.1);
-    a.Only(BreachKind::kNoAnswer);
+    a.CheckOnly(BreachKind::kNoAnswer);
   }
-  SUBCASE("sent after its end") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message sent after its end") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnEnded(1, 1, Auditor::End::kFailed);
     a.auditor->OnSent(2, 0, 1, 1);
-    a.Only(BreachKind::kSentAfterEnd);
+    a.CheckOnly(BreachKind::kSentAfterEnd);
   }
-  SUBCASE("a payment sent again while the first is out, and after it may have run") {
-    Audit a;
-    a.Take(1, 2);
+  SUBCASE(
+      "a non-idempotent message sent again while an attempt is in flight, and after one that may have run") {
+    AuditorFixture a;
+    a.Accept(1, 2);
     a.auditor->OnSent(1, 0, 1, 1);
     a.auditor->OnSent(1.1, 0, 1, 2);
-    a.Only(BreachKind::kNonIdempotentRepeat);
+    a.CheckOnly(BreachKind::kNonIdempotentRepeat);
     a.auditor->OnAttemptEnded(1, 0, true);
     a.auditor->OnAttemptEnded(1, 1, false);
     a.auditor->OnSent(2, 0, 1, 2);
-    a.Only(BreachKind::kNonIdempotentRepeat, 2);
+    a.CheckOnly(BreachKind::kNonIdempotentRepeat, 2);
   }
-  SUBCASE("a payment that took effect twice, also by two handings-in") {
-    Audit a;
+  SUBCASE("a non-idempotent message that ran twice, under the ids of two submissions") {
+    AuditorFixture a;
     a.auditor->OnAccepted(0, 0, 1, 50, 2, 7, 8);
     a.auditor->OnAccepted(0, 1, 2, 50, 2, 7, 8);
     a.auditor->OnRan(1, 1);
     a.auditor->OnRan(2, 2);
-    a.Only(BreachKind::kNonIdempotentRanTwice);
+    a.CheckOnly(BreachKind::kNonIdempotentRanTwice);
   }
-  SUBCASE("a keyed one repeated after its window, and taking effect there") {
-    Audit a;
+  SUBCASE("a deduplicated message sent again after its window, and run again") {
+    AuditorFixture a;
     a.auditor->OnAccepted(0, 0, 1, 50, 1, 7, 30);
     a.auditor->OnSent(1, 0, 1, 1);
     a.auditor->OnRan(1.1, 1);
@@ -280,78 +282,78 @@
     a.auditor->OnAttemptEnded(1, 1, true);
     CHECK(a.auditor->breaches().empty());
     a.auditor->OnSent(13.1, 0, 1, 1);
-    a.Only(BreachKind::kDeduplicatedRepeat);
+    a.CheckOnly(BreachKind::kDeduplicatedRepeat);
     a.auditor->OnRan(13.2, 1);
     CHECK(a.auditor->Count(BreachKind::kDeduplicatedRanTwice) == 1);
   }
-  SUBCASE("a payment handed back that may have run") {
-    Audit a;
-    a.Take(1, 2);
+  SUBCASE("a non-idempotent message rejected though it may have run") {
+    AuditorFixture a;
+    a.Accept(1, 2);
     a.auditor->OnSent(1, 0, 1, 1);
     a.auditor->OnAttemptEnded(1, 0, true);
     a.auditor->OnEnded(2, 1, Auditor::End::kRejected);
-    a.Only(BreachKind::kUnsafeRejection);
+    a.CheckOnly(BreachKind::kUnsafeRejection);
   }
-  SUBCASE("sent in a told wait; another relay, and after a restart, may") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message sent during a Retry-After, which binds no other relay, nor the next process") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnAccepted(0, 1, 2, 2, 0, 7, 8);
     a.auditor->OnRetryAfterReceived(1, 0, 1, 3);
-    a.auditor->OnRetryAfterReceived(1.5, 0, 1, 0.1);  // a shorter one ends nothing
+    a.auditor->OnRetryAfterReceived(1.5, 0, 1, 0.1);  // a shorter one doesn't replace the longer
     a.auditor->OnSent(2, 1, 2, 1);
     CHECK(a.auditor->breaches().empty());
     a.auditor->OnSent(3.9, 0, 1, 2);
-    a.Only(BreachKind::kSentDuringRetryAfter);
+    a.CheckOnly(BreachKind::kSentDuringRetryAfter);
     a.auditor->OnRelayStopped(0, 4);
     a.auditor->OnSent(3.95, 0, 1, 2);
-    a.Only(BreachKind::kSentDuringRetryAfter);
+    a.CheckOnly(BreachKind::kSentDuringRetryAfter);
   }
-  SUBCASE("sent to a drained endpoint after the grace") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message sent to a draining endpoint after the grace period") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnDrainReceived(1, 0, 1);
     a.auditor->OnSent(2.9, 0, 1, 1);
     CHECK(a.auditor->breaches().empty());
     a.auditor->OnSent(3.1, 0, 1, 1);
-    a.Only(BreachKind::kSentToDrained);
+    a.CheckOnly(BreachKind::kSentToDrained);
   }
-  SUBCASE("sent to another destination's endpoint, or to one never listed") {
-    Audit a;
-    a.Take(1, 0);
+  SUBCASE("a message sent to an endpoint of another destination, or to one never listed") {
+    AuditorFixture a;
+    a.Accept(1, 0);
     a.auditor->OnSent(1, 0, 1, 3);
     a.auditor->OnSent(1, 0, 1, 99);
-    a.Only(BreachKind::kForeignEndpoint, 2);
+    a.CheckOnly(BreachKind::kForeignEndpoint, 2);
   }
-  SUBCASE("a returning lane pushed over by those who knew") {
-    for (const bool knew : {false, true}) {
-      Audit a;
-      if (knew) a.auditor->OnOutageObserved(0, 1);
+  SUBCASE("a recovering route that collapses under calls from relays that knew of the outage") {
+    for (const bool informed : {false, true}) {
+      AuditorFixture a;
+      if (informed) a.auditor->OnOutageObserved(0, 1);
       for (int i = 0; i < 30; ++i) a.auditor->OnCallDuringRecovery(20 + i * 0.01, 0, 1, i == 29);
-      a.Only(BreachKind::kRecoveryOverload, knew ? 1 : 0);
+      a.CheckOnly(BreachKind::kRecoveryOverload, informed ? 1 : 0);
     }
   }
-  SUBCASE("relays that take the parts of others who run still") {
-    for (const double parts : {4.0, 3.0, 2.0}) {
-      Audit a;
+  SUBCASE("relays that use the shares of others that still run") {
+    for (const double share_count : {4.0, 3.0, 2.0}) {
+      AuditorFixture a;
       a.auditor->SetFleetSize(4);
       for (int relay = 0; relay < 3; ++relay) a.auditor->OnShareCount(1, relay, 3);
-      a.auditor->OnShareCount(2, 3, parts);
-      a.Only(BreachKind::kQuotaExceeded, parts < 4 ? 1 : 0);
-      if (parts > 3) continue;
+      a.auditor->OnShareCount(2, 3, share_count);
+      a.CheckOnly(BreachKind::kQuotaExceeded, share_count < 4 ? 1 : 0);
+      if (share_count > 3) continue;
       a.auditor->OnShareReleased(3, 0);
-      a.auditor->OnShareCount(3, 3, parts);
-      a.Only(BreachKind::kQuotaExceeded, 1);
+      a.auditor->OnShareCount(3, 3, share_count);
+      a.CheckOnly(BreachKind::kQuotaExceeded, 1);
     }
   }
 }
 
-TEST_CASE("lab: the auditor catches what goes out of turn, or while its key rests") {
-  RequestClass keyed;
-  keyed.idempotency = Idempotency::kIdempotencyKey;
-  keyed.deduplication_window = 12;
+TEST_CASE("lab: the auditor reports messages sent out of order, or while their key is paused") {
+  RequestClass deduplicated;
+  deduplicated.idempotency = Idempotency::kIdempotencyKey;
+  deduplicated.deduplication_window = 12;
   Auditor::Rules rules;
   rules.ordered_key_pause = 1;
-  Auditor a(rules, {keyed});
+  Auditor a(rules, {deduplicated});
   a.OnEndpointListed(1, 7, 1);
   for (std::uint64_t id = 1; id <= 3; ++id) {
     a.OnAccepted(0, 0, id, id, 0, 7, 20);
@@ -360,26 +362,25 @@
   a.OnSent(1, 0, 1, 1);
   a.OnAttemptEnded(1, 0, true);
   a.OnMayStillBeRunning(2, 1);
-  a.OnSent(2.1, 0, 1, 1);  // the one that has the turn need not rest
+  a.OnSent(2.1, 0, 1, 1);  // the pause doesn't apply to the message that caused it
   a.OnEnded(2.5, 1, Auditor::End::kDelivered);
   CHECK(a.breaches().empty());
-  a.OnSent(2.9, 0, 2, 1);  // the first is over, and still out
+  a.OnSent(2.9, 0, 2, 1);  // the first has ended, but an attempt is still in flight
   CHECK(a.Count(BreachKind::kOutOfOrder) == 1);
   a.OnAttemptEnded(1, 1, true);
   a.OnMayStillBeRunning(3, 2);
   a.OnAttemptEnded(2, 0, false);
   a.OnEnded(3.1, 2, Auditor::End::kFailed);
-  a.OnSent(3.9, 0, 3, 1);  // the second is over, and may still run
+  a.OnSent(3.9, 0, 3, 1);  // the second has ended, but may still be running
   CHECK(a.Count(BreachKind::kOutOfOrder) == 2);
   a.OnAttemptEnded(3, 0, false);
   a.OnSent(4.1, 0, 3, 1);
   CHECK(a.breaches().size() == 2);
 }
 
-// ---- runs
-// --------------------------------------------------------------------------------------------------
+// ---- runs ------------------------------------------------------------------------------------------------
 
-json Small() {
+json SmallScenario() {
   return {{"relays", 2},
           {"lasts_s", 20},
           {"load", {{"rate", 30}, {"clump_share", 0.15}}},
@@ -389,17 +390,17 @@
           {"relay_faults", {{{"kind", "kill"}, {"relay", 0}, {"at_s", 9}, {"down_s", 1}}}}};
 }
 
-TEST_CASE("lab: the same seed gives the same run to the byte, another one another") {
-  const Scenario scenario = ReadScenario(Small());
+TEST_CASE("lab: the same seed gives the same run, byte for byte, and another seed another run") {
+  const Scenario scenario = ReadScenario(SmallScenario());
   const std::string first = Simulation(scenario, 1).Run().ToJson().dump();
   CHECK(first == Simulation(scenario, 1).Run().ToJson().dump());
   CHECK(first != Simulation(scenario, 2).Run().ToJson().dump());
 }
 
-TEST_CASE("lab: runs account for every message and keep the rules") {
+TEST_CASE("lab: runs count every message and break no rule") {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     CAPTURE(seed);
-    const RunResult result = Simulation(ReadScenario(Small()), seed).Run();
+    const RunResult result = Simulation(ReadScenario(SmallScenario()), seed).Run();
     long asked = 0, delivered = 0, offered = 0;
     for (const ClassOutcome& c : result.classes) {
       asked += c.asked;
@@ -416,7 +417,8 @@
   }
 }
 
-TEST_CASE("lab: endpoints with few connections refuse some, and the rules are kept there too") {
+TEST_CASE(
+    "lab: scenarios with few connections, unreachable machines, ordering keys or tenants break no rule") {
   for (const char* name : {"crowded", "vanished", "ordered", "tenants"}) {
     CAPTURE(name);
     const Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/" + name + ".json");
@@ -431,7 +433,8 @@
   }
 }
 
-TEST_CASE("lab: what two tenants send is by their shares, and orders go by key") {
+TEST_CASE(
+    "lab: two tenants send by their shares, and only messages of an ordered class carry ordering keys") {
   Scenario scenario = LoadScenario(std::string(SCENARIOS) + "/tenants.json");
   scenario.classes[1].rules.ordered_by_key = true;
   scenario.load.order_keys = 3;
@@ -448,7 +451,7 @@
   CHECK(greedy < all * 0.8);
 }
 
-TEST_CASE("lab: a bootstrap interval finds a difference that is there, and none where there is none") {
+TEST_CASE("lab: a bootstrap interval shows a difference that exists, and none otherwise") {
   std::vector<double> apart, same;
   pcg32 random(3);
   for (int i = 0; i < 30; ++i) {
@@ -461,9 +464,10 @@
   CHECK(!Bootstrap(same).differs());
 }
 
-// ---- links, tier and zones -------------------------------------------------------------------------------
+// ---- links, fleet and zones ------------------------------------------------------------------------------
 
-TEST_CASE("lab: links lose, double and cut as they are told, one way, by group and in flaps") {
+TEST_CASE(
+    "lab: links lose and duplicate datagrams, and cuts are one-way, by group and flapping, as configured") {
   LinkSettings plan;
   plan.loss = 0.3;
   plan.duplicate = 0.2;
@@ -486,8 +490,8 @@
   CHECK(arrived > 8000);
   CHECK(arrived < 8800);
   for (const double at : {9.9, 10.0, 10.9, 11.5, 13.5, 16.0}) {
-    const bool holds = at == 10.0 || at == 10.9 || at == 13.5;
-    CHECK(links.IsPeerLinkCut(at, 2, 0) == holds);
+    const bool is_cut = at == 10.0 || at == 10.9 || at == 13.5;
+    CHECK(links.IsPeerLinkCut(at, 2, 0) == is_cut);
     CHECK(!links.IsPeerLinkCut(at, 0, 2));  // one way
     CHECK(!links.IsPeerLinkCut(at, 2, 3));  // within the group
     CHECK(links.IsEndpointLinkCut(at, 3, 1) == (at >= 10 && at < 16));
@@ -496,7 +500,7 @@
   }
 }
 
-TEST_CASE("lab: endpoints under one limit go out alone with their zone") {
+TEST_CASE("lab: a zone outage affects only the machines of that zone where endpoints share a limit") {
   const World world(
       ReadScenario(
           {{"zones", 3},
@@ -515,7 +519,7 @@
   CHECK(out > 10);
 }
 
-// Thirty relays; a zone of three refuses new connections from 8 to 16 s.
+// Thirty relays; one zone of three refuses new connections from 8 s to 16 s.
 nlohmann::json RefusingZone(int lasts) {
   return {{"relays", 30},
           {"lasts_s", lasts},
@@ -528,10 +532,11 @@
           {"troubles", {{{"kind", "refuse"}, {"share", 1}, {"zone", 1}, {"from_s", 8}, {"lasts_s", 8}}}}};
 }
 
-// Thirty modules, each with few calls: together they leave what each alone finds out again and again.
-TEST_CASE("lab: thirty relays leave a failing zone together, and return without felling anything") {
+// Thirty relays with few calls each: alone, each has to detect the outage by its own failed calls, again and
+// again; together they evacuate the zone.
+TEST_CASE("lab: thirty relays evacuate a failing zone together, and return without a collapse") {
   nlohmann::json file = RefusingZone(32);
-  const auto into = [](const RunResult& r, std::size_t from, std::size_t to) {
+  const auto calls_to_failing_zone = [](const RunResult& r, std::size_t from, std::size_t to) {
     long calls = 0;
     for (std::size_t second = from; second < to; ++second)
       if (r.seconds[second].zone_calls.size() > 1) calls += r.seconds[second].zone_calls[1];
@@ -542,8 +547,8 @@
   const RunResult together = Simulation(ReadScenario(file), 3).Run();
   CHECK(together.breaches.empty());
   CHECK(together.collapses == 0);
-  CHECK(into(alone, 11, 16) > 2 * into(together, 11, 16));
-  CHECK(into(together, 26, 30) > 60);
+  CHECK(calls_to_failing_zone(alone, 11, 16) > 2 * calls_to_failing_zone(together, 11, 16));
+  CHECK(calls_to_failing_zone(together, 26, 30) > 60);
   int out = 0, in = 0;
   for (const StageChange& c : together.stage_changes) {
     out += c.zone == 1 && c.step == "out" && c.at < 10.5;
@@ -554,9 +559,9 @@
   CHECK(in >= 30);
 }
 
-// Connections that are kept are served on while new ones are refused, so a zone returns before its lanes do.
-TEST_CASE(
-    "lab: a zone that returns too soon fells no lane, and limits that all reach are no zone's failure") {
+// Calls on open connections are still served while new connections are refused, so a zone is back in service
+// before its routes have recovered.
+TEST_CASE("lab: a zone that returns too early collapses no route, and rate limits evacuate no other zone") {
   nlohmann::json file = RefusingZone(26);
   file["tier"] = file["leave"] = true;
   int elsewhere = 0;
@@ -570,22 +575,23 @@
   CHECK(elsewhere == 0);
 }
 
-// The first 200 of what `opalroute-lab scripts` plays by the thousand.
-TEST_CASE("lab: drawn scripts of faults break no rule, and each gives the same run again") {
-  long stages = 0;
+// The first 200 of the scripts that `opalroute-lab scripts` runs by the thousand.
+TEST_CASE("lab: random scripts of faults break no rule, and running one again gives the same result") {
+  long stage_changes = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     const RunResult r = Simulation(ReadScenario(DrawScript(seed)), seed).Run();
     for (const Breach& b : r.breaches) FAIL_CHECK(NameOf(b.kind), " ", b.at, " ", b.trace);
-    stages += static_cast<long>(r.stage_changes.size());
+    stage_changes += static_cast<long>(r.stage_changes.size());
   }
-  CHECK(stages > 1000);  // zones were left in many of them
+  CHECK(stage_changes > 1000);  // many of the scripts evacuate zones
   const Scenario script = ReadScenario(nlohmann::json::parse(DrawScript(3).dump()));
   CHECK(Simulation(script, 3).Run().ToJson() == Simulation(ReadScenario(DrawScript(3)), 3).Run().ToJson());
 }
 
-// Endpoints of one partner can do the same, whatever is listed: three relays' draws fall as chance has them.
-TEST_CASE("lab: calls fall on the endpoints of a partner as evenly as chance has it") {
+// All endpoints of a partner have the same capacity, whatever rate is listed. The calls of three relays must
+// be spread as evenly as independent random choices would spread them.
+TEST_CASE("lab: calls are spread over the endpoints of a partner as evenly as by random choice") {
   Scenario even = ReadScenarioWith(std::string(SCENARIOS) + "/even.json", {"relays=3"});
   const Evenness seen = Simulation(even, 1).Run().even.Of(10);
   CHECK(seen.counted > 20);
@@ -593,37 +599,37 @@
   CHECK(seen.idle == 0);
 }
 
-TEST_CASE("lab: a relay that is thawed between two steps of the clock goes on") {
-  nlohmann::json day = Small();
-  day["relay_faults"] = {{{"kind", "freeze"}, {"relay", 0}, {"at_s", 6.88}, {"down_s", 5.01}}};
-  const RunResult r = Simulation(ReadScenario(day), 1).Run();
+TEST_CASE("lab: a relay resumes after a freeze that ends between two microseconds of simulated time") {
+  nlohmann::json file = SmallScenario();
+  file["relay_faults"] = {{{"kind", "freeze"}, {"relay", 0}, {"at_s", 6.88}, {"down_s", 5.01}}};
+  const RunResult r = Simulation(ReadScenario(file), 1).Run();
   CHECK(r.events < 1000000);
   CHECK(r.breaches.empty());
 }
 
-TEST_CASE("lab: evenness is told beside what chance alone gives") {
+TEST_CASE("lab: evenness is reported with the value that random choice alone gives") {
   EvenCount even, skewed;
   for (int second = 0; second < 20; ++second)
     for (int call = 0; call < 90; ++call) {
       even.Call(second + 0.5, 1, static_cast<EndpointId>(call % 3 + 1), 2);
       skewed.Call(second + 0.5, 1, call % 9 < 6 ? 1U : static_cast<EndpointId>(call % 2 + 2), 1);
     }
-  even.Call(3, 2, 9, 1);  // an endpoint alone says nothing
+  even.Call(3, 2, 9, 1);  // a destination with one endpoint isn't counted
   const Evenness e = even.Of(1), s = skewed.Of(10);
   CHECK(e.counted == 20);
   CHECK(e.jain == doctest::Approx(1));
   CHECK(e.most == doctest::Approx(1));
-  CHECK(e.jain_by_chance < 0.99);  // of 90 draws among three
+  CHECK(e.jain_by_chance < 0.99);  // of 90 random choices among three
   CHECK(e.jain_by_chance > 0.96);
   CHECK(e.most_by_chance > 1.05);
   CHECK(s.counted == 2);
   CHECK(s.jain < 0.8);
   CHECK(s.most == doctest::Approx(2));
   CHECK(s.idle == 0);
-  // Parts count: twice as many calls for twice the part are even.
-  EvenCount parts;
-  for (int call = 0; call < 90; ++call) parts.Call(0.5, 1, call % 3 == 0 ? 1U : 2U, call % 3 == 0 ? 1 : 2);
-  CHECK(parts.Of(1).jain == doctest::Approx(1));
+  // Weighted: twice as many calls to an endpoint of twice the weight are even.
+  EvenCount weighted;
+  for (int call = 0; call < 90; ++call) weighted.Call(0.5, 1, call % 3 == 0 ? 1U : 2U, call % 3 == 0 ? 1 : 2);
+  CHECK(weighted.Of(1).jain == doctest::Approx(1));
 }
 
 }  // namespace
