--- a/lab/auditor.h
+++ b/lab/auditor.h
@@ -20,22 +20,22 @@
   kNoAnswer,               // not ended at its deadline plus a tolerance
   kSentAfterEnd,           // sent though it had ended, or is unknown
   kNonIdempotentRepeat,    // a non-idempotent message sent though an earlier attempt may have run
-  kDeduplicatedRepeat,     // a deduplicated message sent after its window, though an earlier attempt may have
-                           // run
+  kDeduplicatedRepeat,     // a deduplicated one sent after its window, though an earlier attempt may have run
   kNonIdempotentRanTwice,  // a non-idempotent message ran twice
   kDeduplicatedRanTwice,   // a deduplicated one did, after the window in which the partner drops repeats
   kUnsafeRejection,        // rejected, so that its client may submit it again, though an attempt may have run
   kSentDuringRetryAfter,   // sent to a route during a Retry-After that this relay had received
   kSentToDrained,          // sent to an endpoint after the drain grace period
   kForeignEndpoint,        // sent to an endpoint of another destination, or one that was never listed
-  kRecoveryOverload,  // a recovering route collapsed, two thirds of its load from relays that knew of the
-                      // outage
+  // A recovering route collapsed, with two thirds of its calls from relays that had observed the outage.
+  kRecoveryOverload,
   kQuotaExceeded,     // the relays' shares of a limit add up to more than the whole limit and one share
   kStalledClient,     // a client that stopped in the middle of its request wasn't disconnected in time
   kClosedUnanswered,  // a request was read, and its connection closed without a response
   kNotReady,          // more than one in ten restarted processes wasn't ready in time
-  kRecoveredNotAttempted,  // over half of what restarts found unattempted, with time left, ended early
-                           // without an attempt
+  // Over half of the messages that restarts found unattempted, with time left, ended early without an
+  // attempt.
+  kRecoveredNotAttempted,
   kOutOfOrder  // sent before an earlier message of its ordering key had ended, or while the key was paused
 };
 const char* NameOf(BreachKind kind);
@@ -57,8 +57,8 @@
     Seconds retry_after_grace_period = 0;  // calls seen this soon after a Retry-After had been sent before it
     double informed_share = 2.0 / 3;       // of the calls before a collapse, for kRecoveryOverload
     Seconds overload_window = 2;
-    Seconds ordered_key_pause =
-        0;  // after an attempt that may still be running, for the later messages of its key
+    // For the later messages of an ordering key, after an attempt that may still be running.
+    Seconds ordered_key_pause = 0;
   };
   Auditor(const Rules& rules, std::vector<RequestClass> classes)
       : rules_(rules), classes_(std::move(classes)) {}
@@ -139,7 +139,7 @@
     Seconds paused_until = 0;
     std::uint64_t paused_by = 0;  // a message
   };
-  struct ListedEndpoint {
+  struct EndpointInfo {
     DestinationId destination;
     std::uint64_t route;
   };
@@ -161,7 +161,7 @@
   // By origin, of messages that aren't idempotent: when the first run was, and under which message id.
   std::unordered_map<std::uint64_t, std::pair<Seconds, std::uint64_t>> first_run_;
   long client_duplicates_ = 0;
-  std::unordered_map<EndpointId, ListedEndpoint> endpoints_;
+  std::unordered_map<EndpointId, EndpointInfo> endpoints_;
   std::map<std::pair<int, EndpointId>, Seconds> drains_received_at_;  // by relay
   // By relay and route: when it was received, and when it ends.
   std::map<std::pair<int, std::uint64_t>, std::pair<Seconds, Seconds>> retry_afters_;
--- a/lab/lane_model.h
+++ b/lab/lane_model.h
@@ -23,8 +23,7 @@
   kErrors,             // runs calls, and answers some with an error
   kSlow,               // multiplies the response times
   kInvalidResponses,   // runs calls, and responds to some with what isn't HTTP
-  kUnreachable         // the machine is off the network: nothing sent to it is answered, nor does it accept
-                       // connections
+  kUnreachable         // the machine is off the network: accepts no connections, and receives nothing
 };
 
 // Whether the fault affects each call with a probability, rather than all of them.
@@ -45,7 +44,7 @@
   Seconds window = 0;     // above 0: the limit is a count in each window of this length, else a token bucket
   bool rejected_calls_count = true;  // towards the limit
   double capacity = 40;              // calls a second that it can do, once fully recovered
-  double retry_after_share = 0.7;    // of the rejections
+  double retry_after_share = 0.7;    // of the rejections that carry a Retry-After
   // The least Retry-After of a token bucket. With a window it is the time to the window's end; while
   // everything is rejected, the time to the end of the fault; with a full queue, the time until a worker is
   // free.
@@ -54,10 +53,12 @@
   double latency_cv = 0.4;               // coefficient of variation (log-normal)
   double initial_capacity_share = 0.22;  // and of its limit, right after an outage
   Seconds recovery_time = 13;            // until its full capacity is back
-  double overload_factor =
-      2;  // it collapses and stays down if it gets more than this many times its capacity ...
-  Seconds overload_window = 2;    // ... for this long while it recovers
-  double overload_tolerance = 2;  // and this many standard deviations more, for random variation
+  // It collapses and stays down if, while it recovers, the calls within overload_window exceed
+  // overload_factor times its capacity by more than overload_tolerance standard deviations, which allow for
+  // random variation.
+  double overload_factor = 2;
+  Seconds overload_window = 2;
+  double overload_tolerance = 2;
   // Calls that may wait for one of its workers, of which it has as many as its capacity needs; further calls
   // are rejected. Below 0: workers without limit.
   int max_queued_calls = -1;
@@ -83,7 +84,7 @@
 
   // Calls a second that it can do at this time.
   double CapacityAt(Seconds now) const;
-  // Whether its last outage ended less than recovery_time ago.
+  // Whether it is in no outage now, and the last one ended less than recovery_time ago.
   bool IsRecovering(Seconds now) const;
   // Collapsed, unreachable, rejecting or refusing everything, not responding, or failing most calls: a call
   // that fails now tells its relay of the outage.
--- a/lab/simulation.h
+++ b/lab/simulation.h
@@ -41,7 +41,7 @@
     kListUpdate,       // the next change of the endpoint list has reached a relay
     kPoolChange,       // the endpoint list changes, id: index in the scenario
     kEndpointRemoved,  // a drained endpoint is removed, id: the endpoint
-    kRelayFault,       // id: index in the scenario, detail: 1 when the shutdown of kStop is over
+    kRelayFault,       // id: index in the scenario, detail: 1 at the end of a shutdown
     kRelayStart,       // a stopped relay starts again
     kFleetTick,        // of a relay as a member of the fleet
     kDatagram,         // has reached a relay, id: the datagram
