--- a/lab/links.h
+++ b/lab/links.h
@@ -19,8 +19,8 @@
   int first = 0, last = 0;  // the group, inclusive; with kPeers it is cut off from all other relays
   int zone = -1;            // kEndpoints: the zone that is cut off; -1: all
   Seconds from = 0, duration = 0;
-  Seconds cut_time = 0,
-          open_time = 0;  // cut_time above 0: the links flap, cut and open in turn for these times
+  // If cut_time is above 0, the links flap: they are cut and open in turn for these times.
+  Seconds cut_time = 0, open_time = 0;
 };
 
 struct LinkSettings {
--- a/lab/partner_model.h
+++ b/lab/partner_model.h
@@ -33,8 +33,8 @@
     Seconds at;
     int relay;
     int status;
-    Seconds
-        retry_after_since;  // when the earliest Retry-After still in force was sent, to any relay; 0: none is
+    // When the earliest Retry-After still in force was sent, to any relay; 0: none is in force.
+    Seconds retry_after_since;
   };
   enum class BreachKind { kDuringRetryAfter, kCollapse, kRanTwice };
   struct Breach {
--- a/lab/platform.h
+++ b/lab/platform.h
@@ -20,9 +20,8 @@
 
   sockaddr_in address() const { return server_.address(); }
   void SetEndpointList(nlohmann::json endpoint_list) { endpoint_list_ = std::move(endpoint_list); }
-  const std::map<std::string, std::string>& notifications() const {
-    return notifications_;
-  }  // outcome by request id
+  // Outcomes by request id.
+  const std::map<std::string, std::string>& notifications() const { return notifications_; }
 
  private:
   static net::ServerBounds Bounds() {
--- a/lab/tier_play.h
+++ b/lab/tier_play.h
@@ -69,7 +69,7 @@
   RunResult& result_;
   LinkModel links_;
   std::uint64_t last_incarnation_ = 0, last_datagram_ = 0;
-  std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;  // by relay; null while it is stopped
+  std::vector<std::unique_ptr<zone_failover::ZoneFailover>> members_;  // by relay; null while stopped
   std::vector<zone_failover::ZoneFailover::SavedState> saved_states_;  // by relay, in its state folder
   std::unordered_map<std::uint64_t, Datagram> in_flight_;
   std::vector<double> oracle_shares_;  // by zone, as last told
