--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/learning_experiment.cpp
@@ -91,17 +91,17 @@
       : run_(run), folder_(std::move(folder)), random_(run.seed), loop_(clock_) {
     start_ = clock_.Now();
     PartnerSettings partner;
-    partner.lane.limit = 30;
-    partner.lane.window = 1;
-    partner.lane.latency_cv = 0.3;
-    partner.lane.refused_count = false;
-    partner.lane.overload_slack = 0;  // no tolerance for random variation
+    partner.route.rate_limit = 30;
+    partner.route.window = 1;
+    partner.route.latency_cv = 0.3;
+    partner.route.rejected_calls_count = false;
+    partner.route.overload_tolerance = 0;  // no tolerance for random variation
     partner.seed = run.seed;
     if (run.outage) {
-      partner.shut_from = start_ + kOutageStart;
-      partner.shut_to = start_ + kOutageEnd;
+      partner.outage_from = start_ + kOutageStart;
+      partner.outage_to = start_ + kOutageEnd;
     }
-    partner_ = std::make_unique<Partner>(loop_, partner, kEndpoints, kRelays);
+    partner_ = std::make_unique<FakePartner>(loop_, partner, kEndpoints, kRelays);
     // The new relay starts between 5 s before the partner's recovery and 2 s after it.
     new_relay_at_ = start_ + kOutageEnd + std::uniform_real_distribution<double>(-5, 2)(random_);
     for (int i = 0; i < kRelays; ++i) {
@@ -120,9 +120,9 @@
 
   StateTransferResult Run() {
     Start(0);
-    PlayUntil(loop_, clock_, new_relay_at_);
+    RunEventLoopUntil(loop_, clock_, new_relay_at_);
     Start(1);
-    PlayUntil(loop_, clock_, start_ + kRunEnd);
+    RunEventLoopUntil(loop_, clock_, start_ + kRunEnd);
     return Evaluate();
   }
 
@@ -136,7 +136,7 @@
   }
 
   Config ConfigOf(int relay) {
-    platforms_.push_back(std::make_unique<Platform>(loop_));
+    platforms_.push_back(std::make_unique<FakePlatform>(loop_));
     json file = {{"name", "n" + std::to_string(relay)},
                  {"listen", "127.0.0.1:0"},
                  {"discovery", net::FormatAddress(platforms_.back()->address())},
@@ -155,7 +155,7 @@
                                             {"cell", kDestination},
                                             {"lifecycle", "ready"},
                                             {"weight", 30.0}});
-    platforms_.back()->SetList(file["known"]);
+    platforms_.back()->SetEndpointList(file["known"]);
     fs::create_directories(folder_ + "/" + std::to_string(relay));
     return config::Parse(file, [](const char*) { return std::nullopt; });
   }
@@ -179,7 +179,7 @@
 
   bool HasNotification(const std::string& id) const {
     return std::any_of(platforms_.begin(), platforms_.end(),
-                       [&](const auto& platform) { return platform->notices().count(id) > 0; });
+                       [&](const auto& platform) { return platform->notifications().count(id) > 0; });
   }
 
   StateTransferResult Evaluate() const {
@@ -191,15 +191,15 @@
       const bool by_new_relay = call.relay == 1;
       if (by_new_relay && call.at >= recovery && call.at < recovery + 2) ++r.new_relay_calls;
       if (by_new_relay && call.at < recovery) ++r.new_relay_calls_in_outage;
-      if (by_new_relay && call.wait_since > 0 && call.wait_since < new_relay_at_)
+      if (by_new_relay && call.retry_after_since > 0 && call.retry_after_since < new_relay_at_)
         ++r.new_relay_calls_during_retry_after;
       const auto second = static_cast<int>(call.at - recovery);
       if (call.at >= recovery && second < static_cast<int>(r.calls_by_second.size()))
         ++r.calls_by_second[static_cast<std::size_t>(second)];
     }
-    r.calls_during_own_retry_after = model.Count(PartnerModel::BreachKind::kInWait);
+    r.calls_during_own_retry_after = model.Count(PartnerModel::BreachKind::kDuringRetryAfter);
     r.collapses = model.Count(PartnerModel::BreachKind::kCollapse);
-    r.duplicate_payments = model.Count(PartnerModel::BreachKind::kTwice);
+    r.duplicate_payments = model.Count(PartnerModel::BreachKind::kRanTwice);
     for (const auto& load : loads_) {
       for (const auto& [id, message] : load->messages()) {
         const auto delivered = partner_->delivered().find(id);
@@ -218,11 +218,11 @@
   const StateTransferRun run_;
   const std::string folder_;
   std::mt19937_64 random_;
-  Clock clock_;
+  SimulatedClock clock_;
   net::EventLoop loop_;
   // One per relay: the partner has a different address for each.
-  std::vector<std::unique_ptr<Platform>> platforms_;
-  std::unique_ptr<Partner> partner_;
+  std::vector<std::unique_ptr<FakePlatform>> platforms_;
+  std::unique_ptr<FakePartner> partner_;
   std::vector<std::unique_ptr<SingleRelayLoad>> loads_;
   std::vector<std::string> peer_ports_;
   std::vector<std::unique_ptr<Config>> configs_;
--- a/lab/experiments/soak_table.cpp
+++ b/lab/experiments/soak_table.cpp
@@ -59,8 +59,8 @@
                 "restarts, %d of %d untried "
                 "ended early: %s\n",
                 static_cast<unsigned long long>(seed), r.processes.size(), report.messages, report.delivered,
-                report.calls, report.closed_unread, r.restarts.ready, r.restarts.untried_ended,
-                r.restarts.untried,
+                report.calls, report.closed_unread, r.restarts.ready, r.restarts.unattempted_ended,
+                r.restarts.unattempted,
                 !report.valid   ? "VOID"
                 : report.passed ? "sound"
                                 : "BROKEN");
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -61,10 +61,10 @@
 
   void Run(int changes) {
     SendRequest();
-    PlayUntil(loop_, clock_, clock_.Now() + 5);
+    RunEventLoopUntil(loop_, clock_, clock_.Now() + 5);
     for (int i = 0; i < changes; ++i) {
       ReplaceMachine(static_cast<std::size_t>(random_(kEndpoints)));
-      PlayUntil(loop_, clock_, clock_.Now() + kChangeInterval * (0.8 + 0.4 * DrawUniform(random_)));
+      RunEventLoopUntil(loop_, clock_, clock_.Now() + kChangeInterval * (0.8 + 0.4 * DrawUniform(random_)));
     }
   }
 
@@ -140,7 +140,7 @@
 
   const std::uint32_t ttl_;
   pcg32 random_;
-  Clock clock_;
+  SimulatedClock clock_;
   net::EventLoop loop_;
   FakeNameServer server_;
   Config config_;
@@ -165,7 +165,7 @@
 
 // Prints the query rate, memory and start-up time of a source with many SRV names.
 void MeasureManyNames(int names, std::uint32_t ttl) {
-  Clock clock;
+  SimulatedClock clock;
   net::EventLoop loop(clock);
   FakeNameServer server(loop);
   Config config;
@@ -188,14 +188,14 @@
   const std::size_t bytes_before = mallinfo2().uordblks;
   MergedEndpointSource source(loop, config, settings, listener);
   const double began = clock.Now();
-  while (source.pending_names() > 0) PlayUntil(loop, clock, clock.Now() + 0.01);
+  while (source.pending_names() > 0) RunEventLoopUntil(loop, clock, clock.Now() + 0.01);
   const std::size_t bytes_after = mallinfo2().uordblks;
   const double took = clock.Now() - began;
   long max_per_second = 0, total = 0;
   const double steady_since = clock.Now();
   while (clock.Now() < steady_since + 2 * ttl) {
     const long queries_before = server.datagrams();
-    PlayUntil(loop, clock, clock.Now() + 1);
+    RunEventLoopUntil(loop, clock, clock.Now() + 1);
     max_per_second = std::max(max_per_second, server.datagrams() - queries_before);
     total += server.datagrams() - queries_before;
   }
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -16,7 +16,7 @@
 namespace opalroute::lab {
 
 struct PartnerFault {
-  TroubleKind kind{};
+  RouteFaultKind kind{};
   std::string kind_name;
   double share = 0;  // of the load: the partners that carry it are drawn from the seed; or ...
   int partner = -1;  // ... this partner
@@ -139,7 +139,7 @@
   Range one_way_delay{0.005, 0.015};  // of the network, drawn for each relay and zone
   Seconds handshake_time = 0.001;     // a new connection costs a round trip and this
   Range list_delay{1, 4};             // from a change of the endpoint list until a relay receives it
-  LinkPlan links;
+  LinkSettings links;
   bool peer_datagrams = false;  // relays may send one another datagrams
   bool share_quotas = false;    // relays follow the fleet's membership (src/membership) ...
   bool evacuate_zones = false;  // ... and evacuate failing zones together (src/zone_failover)
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -55,7 +55,7 @@
     return connection_ != nullptr;
   }
   EndpointId endpoint() const { return endpoint_; }
-  void Shut() {
+  void Close() {
     owner_.loop_.Cancel(timer_);
     connection_->Close();
   }
@@ -77,14 +77,14 @@
   // Ends the session: the relay has closed the connection, or the endpoint does. A call that is still on its
   // way to the endpoint arrives nevertheless.
   void End(Outcome outcome) {
-    const LaneModel& model = MachineModel();
-    if (phase_ != Phase::kIdle && model.OutAt(owner_.now()))
-      owner_.auditor_.SawOutage(relay_, MachineNumber());
+    const RouteModel& model = MachineModel();
+    if (phase_ != Phase::kIdle && model.InOutage(owner_.now()))
+      owner_.auditor_.OnOutageObserved(relay_, MachineNumber());
     for (const Request& request : std::exchange(unanswered_, {}))
       if (request.attempt != MessageTracker::kVoid)
         owner_.tracker_.OnAttemptEnded(owner_.now(), request.id, request.attempt, outcome);
     if (phase_ == Phase::kArriving && !std::exchange(has_ended_, true)) return connection_->Close();
-    if (phase_ != Phase::kArriving) owner_.sessions_.Drop(*this);
+    if (phase_ != Phase::kArriving) owner_.sessions_.Remove(*this);
   }
 
  private:
@@ -97,7 +97,7 @@
 
   std::uint32_t RouteNumber() const { return owner_.world_.endpoint(endpoint_).route; }
   std::uint32_t MachineNumber() const { return owner_.world_.endpoint(endpoint_).machine_route; }
-  LaneModel& MachineModel() const { return owner_.world_.route(MachineNumber()); }
+  RouteModel& MachineModel() const { return owner_.world_.route(MachineNumber()); }
 
   void StartCall(const net::HttpMessage& call) {
     is_health_check_ = call.method == "GET" && (call.target == "/health/live" || call.target == "/stats");
@@ -151,50 +151,51 @@
         if (request.attempt != MessageTracker::kVoid)
           owner_.tracker_.OnAttemptEnded(now, request.id, request.attempt, Outcome::kOutOfConnections);
       connection_->Write(net::FormatResponse(503, {{"Connection", "close"}}, {}));
-      return owner_.sessions_.Drop(*this);
+      return owner_.sessions_.Remove(*this);
     }
     const bool is_void =
         !is_health_check_ && std::all_of(requests_.begin(), requests_.end(), [](const Request& request) {
           return request.attempt == MessageTracker::kVoid;
         });
-    if (is_void) return has_ended_ ? owner_.sessions_.Drop(*this) : SendResponse({});
-    const LaneModel::Verdict verdict = TakeCall(owner_.world_, owner_.auditor_, owner_.tally_, now, relay_,
-                                                owner_.world_.endpoint(endpoint_));
+    if (is_void) return has_ended_ ? owner_.sessions_.Remove(*this) : SendResponse({});
+    const RouteModel::CallResult verdict = ServeCall(owner_.world_, owner_.auditor_, owner_.tally_, now,
+                                                     relay_, owner_.world_.endpoint(endpoint_));
     if (verdict.ran)
       for (const Request& request : requests_)
         if (request.attempt != MessageTracker::kVoid) owner_.tracker_.OnExecuted(now, request.id);
-    if (has_ended_) return owner_.sessions_.Drop(*this);
-    if (verdict.fate == LaneModel::Fate::kHangs) return;  // until the relay closes the connection
-    Schedule(verdict.takes + owner_.OneWayDelay(endpoint_, relay_),
+    if (has_ended_) return owner_.sessions_.Remove(*this);
+    if (verdict.status == RouteModel::CallStatus::kNoResponse)
+      return;  // until the relay closes the connection
+    Schedule(verdict.duration + owner_.OneWayDelay(endpoint_, relay_),
              [this, verdict] { SendResponse(verdict); });
   }
 
   bool IsCut() const { return owner_.IsCut(endpoint_, relay_); }
   // Leaves the connection open without a response, until the relay closes it.
   void StaySilent() {
-    if (has_ended_) owner_.sessions_.Drop(*this);
+    if (has_ended_) owner_.sessions_.Remove(*this);
   }
 
-  void SendResponse(const LaneModel::Verdict& verdict) {
+  void SendResponse(const RouteModel::CallResult& verdict) {
     const Seconds now = owner_.now();
     if (IsCut()) return StaySilent();
-    if (verdict.fate != LaneModel::Fate::kServed && MachineModel().OutAt(now))
-      owner_.auditor_.SawOutage(relay_, MachineNumber());
-    if (verdict.fate == LaneModel::Fate::kReset) return End(Outcome::kReset);
-    if (verdict.fate == LaneModel::Fate::kSpoilt) {
+    if (verdict.status != RouteModel::CallStatus::kServed && MachineModel().InOutage(now))
+      owner_.auditor_.OnOutageObserved(relay_, MachineNumber());
+    if (verdict.status == RouteModel::CallStatus::kReset) return End(Outcome::kReset);
+    if (verdict.status == RouteModel::CallStatus::kInvalidResponse) {
       connection_->Write("HTTP/1.1 2xx fine\r\nContent-Length: many\r\n\r\n");
       return End(Outcome::kReset);
     }
-    const bool full = verdict.fate == LaneModel::Fate::kFull;
-    const bool error = verdict.fate == LaneModel::Fate::kError;
-    const Seconds wait = full && !is_health_check_ ? verdict.wait : 0;
+    const bool full = verdict.status == RouteModel::CallStatus::kRejected;
+    const bool error = verdict.status == RouteModel::CallStatus::kError;
+    const Seconds wait = full && !is_health_check_ ? verdict.retry_after : 0;
     for (const Request& request : std::exchange(unanswered_, {}))
       if (request.attempt != MessageTracker::kVoid)
         owner_.tracker_.OnAttemptEnded(now, request.id, request.attempt,
                                        full    ? Outcome::kRejected
                                        : error ? Outcome::kError
                                                : Outcome::kServed);
-    if (wait > 0) owner_.auditor_.ToldWait(now, relay_, RouteNumber(), wait);
+    if (wait > 0) owner_.auditor_.OnRetryAfterReceived(now, relay_, RouteNumber(), wait);
     const bool has_void = std::any_of(requests_.begin(), requests_.end(), [](const Request& request) {
       return request.attempt == MessageTracker::kVoid;
     });
@@ -255,10 +256,11 @@
         loop, ListenOnLoopback(), [this, relay](int fd) { Accept(fd, relay); }));
   }
   for (EndpointId id = 1; id <= world.endpoint_count(); ++id) {
-    const auto& outages = world.route(world.endpoint(id).machine_route).outages();
+    const auto& outages = world.route(world.endpoint(id).machine_route).faults();
     const bool is_unreachable_at_times =
-        std::any_of(outages.begin(), outages.end(), [](const LaneOutage& outage) {
-          return outage.kind == TroubleKind::kRefuse || outage.kind == TroubleKind::kVanish;
+        std::any_of(outages.begin(), outages.end(), [](const RouteFault& outage) {
+          return outage.kind == RouteFaultKind::kRefuseConnections ||
+                 outage.kind == RouteFaultKind::kUnreachable;
         });
     for (int relay = 0; relay < scenario.relays; ++relay) {
       if (!is_unreachable_at_times && !HasScheduledCut(id, relay)) continue;
@@ -294,13 +296,13 @@
 
 bool Endpoints::IsCut(EndpointId endpoint, int relay) const {
   return has_begun_ && loop_.Now() >= start_ &&
-         links_.EndpointsCut(now(), relay, world_.endpoint(endpoint).zone);
+         links_.IsEndpointLinkCut(now(), relay, world_.endpoint(endpoint).zone);
 }
 
 bool Endpoints::HasScheduledCut(EndpointId endpoint, int relay) const {
   const auto& cuts = world_.scenario().links.cuts;
-  return std::any_of(cuts.begin(), cuts.end(), [&](const Cut& cut) {
-    return cut.what == Cut::What::kEndpoints && relay >= cut.first && relay <= cut.last &&
+  return std::any_of(cuts.begin(), cuts.end(), [&](const LinkCut& cut) {
+    return cut.target == LinkCut::Target::kEndpoints && relay >= cut.first && relay <= cut.last &&
            (cut.zone < 0 || cut.zone == world_.endpoint(endpoint).zone);
   });
 }
@@ -321,9 +323,10 @@
   has_begun_ = true;
   for (auto& [key, value] : separate_listeners_) {
     SeparateListener& entry = value;
-    for (const LaneOutage& outage : world_.route(world_.endpoint(entry.endpoint).machine_route).outages()) {
-      if (outage.kind != TroubleKind::kRefuse && outage.kind != TroubleKind::kVanish) continue;
-      bool& flag = outage.kind == TroubleKind::kVanish ? entry.vanished : entry.refuses;
+    for (const RouteFault& outage : world_.route(world_.endpoint(entry.endpoint).machine_route).faults()) {
+      if (outage.kind != RouteFaultKind::kRefuseConnections && outage.kind != RouteFaultKind::kUnreachable)
+        continue;
+      bool& flag = outage.kind == RouteFaultKind::kUnreachable ? entry.vanished : entry.refuses;
       for (const bool is_active : {true, false})
         loop_.At(start + (is_active ? outage.from : outage.to), [this, &entry, &flag, is_active] {
           flag = is_active;
@@ -356,7 +359,7 @@
   const bool over_limit = IsAtConnectionLimit(endpoint);
   if (!over_limit && world_.endpoint(endpoint).max_connections > 0) ++connection_counts_[endpoint];
   if (!over_limit) tally_.CountConnection();
-  sessions_.Adopt(std::make_unique<Session>(*this, endpoint, relay, over_limit), fd);
+  sessions_.Add(std::make_unique<Session>(*this, endpoint, relay, over_limit), fd);
 }
 
 void Endpoints::Remove(EndpointId endpoint) {
--- a/lab/sockets/endpoints.h
+++ b/lab/sockets/endpoints.h
@@ -62,7 +62,7 @@
   Auditor& auditor_;
   MessageTracker& tracker_;
   Tally& tally_;
-  const Links links_;
+  const LinkModel links_;
   net::Seconds start_;
   bool has_begun_ = false;
   std::vector<std::vector<Seconds>> one_way_delays_;              // by relay and zone
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/ledger.cpp
@@ -39,20 +39,20 @@
   submissions_.back().relay = relay;
   const std::uint64_t id = submissions_.size();
   const Arrival& arrival = messages_[message].arrival;
-  auditor_.Taken(now, relay, id, message, arrival.message_class, world_.partners()[arrival.partner].id,
-                 DeadlineOf(message));
+  auditor_.OnAccepted(now, relay, id, message, arrival.message_class, world_.partners()[arrival.partner].id,
+                      DeadlineOf(message));
   return id;
 }
 
 void MessageTracker::End(Seconds now, std::uint64_t id, Submission& submission, Auditor::End end) {
-  auditor_.Ended(now, id, end);
+  auditor_.OnEnded(now, id, end);
   if (std::exchange(submission.ended, true)) return;
   submission.ended_at = now;
   --open_;
   Message& message = messages_[submission.message];
   if (end == Auditor::End::kDelivered && !std::exchange(message.delivered, true))
     tally_.CountDelivered(message.arrival, now);
-  if (end == Auditor::End::kRefused) tally_.CountRejected(now);
+  if (end == Auditor::End::kRejected) tally_.CountRejected(now);
   if (end == Auditor::End::kFailed) tally_.CountFailed(now);
 }
 
@@ -63,14 +63,14 @@
 }
 
 void MessageTracker::OnRejected(Seconds now, std::uint64_t id) {
-  End(now, id, *Find(id), Auditor::End::kRefused);
+  End(now, id, *Find(id), Auditor::End::kRejected);
 }
 void MessageTracker::OnFailed(Seconds now, std::uint64_t id) {
   End(now, id, *Find(id), Auditor::End::kFailed);
 }
 void MessageTracker::OnWithdrawn(Seconds now, std::uint64_t id) {
   Find(id)->withdrawn = true;
-  End(now, id, *Find(id), Auditor::End::kWithdrawn);
+  End(now, id, *Find(id), Auditor::End::kAborted);
 }
 
 void MessageTracker::OnNotification(Seconds now, std::uint64_t id, Notification notification,
@@ -82,7 +82,7 @@
       now < TimeAtShare(submission->message, kEarlyShare))
     ++untried_ended_;
   End(now, id, *submission,
-      notification == Notification::kFailed ? Auditor::End::kFailed : Auditor::End::kRefused);
+      notification == Notification::kFailed ? Auditor::End::kFailed : Auditor::End::kRejected);
   if (notification == Notification::kRejected && on_rejected_after_accept)
     on_rejected_after_accept(submission->message, retry_after);
 }
@@ -126,18 +126,18 @@
   Submission* submission = Find(id);
   const bool ended = submission == nullptr || submission->ended;
   if (ended && submission != nullptr && MayArriveAfterEnd(now, relay, *submission)) return kVoid;
-  auditor_.Sent(now, relay, id, endpoint);  // reports a breach if the request has ended
+  auditor_.OnSent(now, relay, id, endpoint);  // reports a breach if the request has ended
   if (ended) return kVoid;
   ++tally_.result().attempts;
   return submission->attempts++;
 }
 
-void MessageTracker::OnExecuted(Seconds now, std::uint64_t id) { auditor_.Ran(now, id); }
+void MessageTracker::OnExecuted(Seconds now, std::uint64_t id) { auditor_.OnRan(now, id); }
 
 void MessageTracker::OnAttemptEnded(Seconds now, std::uint64_t id, int attempt, Outcome outcome) {
   Submission& submission = *Find(id);
   tally_.CountAttempt(outcome);
-  auditor_.Over(id, attempt, !decision::ProvesNeverRan(outcome));
+  auditor_.OnAttemptEnded(id, attempt, !decision::ProvesNeverRan(outcome));
   if (outcome != Outcome::kServed) return;
   submission.served = true;
   // The message counts as delivered only once its client has read the 202, too. An earlier end is final.
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/play.cpp
@@ -41,10 +41,10 @@
 
 Auditor::Rules RulesOf(const Scenario& scenario) {
   Auditor::Rules rules;
-  rules.answer_slack = 0.35;  // the platform's 0.3 s plus 50 ms for sockets
-  rules.drain_grace = 2.05;
-  rules.wait_grace = 0.1;
-  rules.overload_for = scenario.settings.overload_window;
+  rules.deadline_tolerance = 0.35;  // the platform's 0.3 s plus 50 ms for sockets
+  rules.drain_grace_period = 2.05;
+  rules.retry_after_grace_period = 0.1;
+  rules.overload_window = scenario.settings.overload_window;
   return rules;
 }
 
@@ -65,7 +65,7 @@
             loop_, world_, seed, [this](EndpointId id, int relay) { return endpoints_.AddressOf(id, relay); },
             *this),
         load_generator_(loop_, scenario, traffic_, tracker_, seed),
-        stalling_clients_(loop_, [this](int relay) { auditor_.Stalled(now(), relay); }) {
+        stalling_clients_(loop_, [this](int relay) { auditor_.ReportStalledClient(now(), relay); }) {
     load_generator_.on_closed = [this](int relay, std::uint64_t id, bool may_race_close) {
       CheckClosed(relay, id, may_race_close);
     };
@@ -75,7 +75,7 @@
     tally_.result().mode = "sockets";
     tally_.result().processes.resize(static_cast<std::size_t>(scenario_.relays));
     for (EndpointId id = 1; id <= world_.endpoint_count(); ++id)
-      auditor_.Listed(id, world_.endpoint(id).destination, world_.endpoint(id).route);
+      auditor_.OnEndpointListed(id, world_.endpoint(id).destination, world_.endpoint(id).route);
     for (int i = 0; i < scenario_.relays; ++i) {
       RelayProcess::Options relay_options;
       relay_options.program = options.program;
@@ -108,7 +108,7 @@
       loop_.At(start_ + plan.at, [this, plan] {
         stalling_clients_.Connect(plan.relay, RelayAt(plan.relay).address(), plan.kind, plan.count);
       });
-    for (const Cut& cut : scenario_.links.cuts) ExcuseAllAt(cut.from);
+    for (const LinkCut& cut : scenario_.links.cuts) ExcuseAllAt(cut.from);
     for (const ListFault& fault : scenario_.list_faults) ExcuseAllAt(fault.start);
     for (const RelayFault& fault : scenario_.relay_faults)
       loop_.At(start_ + fault.at, [this, fault] { ApplyFault(fault); });
@@ -122,10 +122,10 @@
       if (options_.interrupted && options_.interrupted()) throw Interrupted();
     }
     constexpr Seconds kForever = 1e9;  // requests that have not ended by now never will
-    auditor_.Until(kForever);
-    restarts_.untried = tracker_.untried();
-    restarts_.untried_ended = tracker_.untried_ended();
-    auditor_.Restarted(now(), restarts_);
+    auditor_.CheckDeadlines(kForever);
+    restarts_.unattempted = tracker_.untried();
+    restarts_.unattempted_ended = tracker_.untried_ended();
+    auditor_.CheckRestarts(now(), restarts_);
     StopRelays();
     return TakeResult();
   }
@@ -175,7 +175,7 @@
     if (start_ <= 0) return;
     ++restarts_.ready;
     if (now() > started_at_[relay] + kReadyTimeout) ++restarts_.late;
-    auditor_.RelayReady(relay, now() + kOverdueAfterReady);  // requests that it holds are due again
+    auditor_.OnRelayReady(relay, now() + kOverdueAfterReady);  // requests that it holds are due again
     ExcuseForCuts(relay);
   }
   void StartRelay(int relay) {
@@ -202,21 +202,22 @@
   // process is ready.
   void OnProcessGone(int relay) {
     if (forwarder_) forwarder_->SetRunning(relay, false);
-    auditor_.RelayDied(relay, LatestReadyTime(relay));
+    auditor_.OnRelayStopped(relay, LatestReadyTime(relay));
     ExcuseForCuts(relay);
   }
   Seconds LatestReadyTime(int relay) { return RelayAt(relay).next_start() - start_ + kRestartAllowance; }
   void OnCrash(int relay, const std::string& reason) override {
     if (forwarder_) forwarder_->SetRunning(relay, false);
-    auditor_.RelayDied(relay, 0);
+    auditor_.OnRelayStopped(relay, 0);
     ExcuseForCuts(relay);
     load_generator_.SetBelievedAlive(relay, false);
     tally_.result().crashes.push_back({relay, start_ > 0 ? now() : 0, reason, RelayAt(relay).LogTail()});
   }
   // While a relay can't reach the platform, its notifications can't arrive, so its requests are not overdue.
   void ExcuseForCuts(int relay) {
-    for (const Cut& cut : scenario_.links.cuts)
-      if (cut.what == Cut::What::kDiscovery) ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.lasts);
+    for (const LinkCut& cut : scenario_.links.cuts)
+      if (cut.target == LinkCut::Target::kDiscovery)
+        ExcuseWhile(relay, cut.first, cut.last, cut.from, cut.duration);
     for (const ListFault& fault : scenario_.list_faults)
       if (fault.kind == ListFault::Kind::kUnreachable)
         ExcuseWhile(relay, fault.first_relay, fault.last_relay, fault.start, fault.duration);
@@ -224,7 +225,7 @@
   void ExcuseWhile(int relay, int first, int last, Seconds from, Seconds duration) {
     const bool is_active = start_ > 0 && now() >= from && now() < from + duration;
     if (is_active && relay >= first && relay <= last)
-      auditor_.Excuse(relay, from + duration + kOverdueAfterCut);
+      auditor_.ExtendDeadlines(relay, from + duration + kOverdueAfterCut);
   }
   void ExcuseAllAt(Seconds from) {
     loop_.At(start_ + from, [this] {
@@ -242,7 +243,8 @@
     const bool must_answer = RelayAt(relay).serving() && !may_race_close;
     loop_.At(closed_at + kExitDetectionTime, [this, relay, id, closed_at, starts, must_answer] {
       if (RelayAt(relay).WasKilled(starts, closed_at)) return;
-      if (must_answer || HasRead(relay, id)) return auditor_.ClosedUnanswered(closed_at - start_, relay, id);
+      if (must_answer || HasRead(relay, id))
+        return auditor_.ReportClosedUnanswered(closed_at - start_, relay, id);
       ++tally_.result().closed_unread;
     });
   }
@@ -256,7 +258,7 @@
     return false;
   }
   void OnChangeKnown(int relay, EndpointId endpoint, EndpointStatus status) override {
-    if (status != EndpointStatus::kInService) auditor_.ToldDrain(now(), relay, endpoint);
+    if (status != EndpointStatus::kInService) auditor_.OnDrainReceived(now(), relay, endpoint);
   }
   void OnNotification(const std::string& message, bool rejected, Seconds retry_after) override {
     tracker_.OnNotification(
@@ -287,7 +289,7 @@
   void Freeze(int relay, Seconds duration) {
     RelayAt(relay).Freeze();
     tracker_.OnRelayFrozen(relay, now() + duration);
-    auditor_.Excuse(relay, now() + duration + kOverdueAfterReady);
+    auditor_.ExtendDeadlines(relay, now() + duration + kOverdueAfterReady);
     loop_.At(loop_.Now() + duration, [this, relay] { RelayAt(relay).Thaw(); });
   }
   // No request is overdue from the signal until some time after the next process is ready, which OnReady()
@@ -295,7 +297,7 @@
   void Stop(int relay, Seconds down) {
     const bool is_first = !RelayAt(relay).stopping();
     RelayAt(relay).Terminate(down);
-    auditor_.Excuse(relay, LatestReadyTime(relay));
+    auditor_.ExtendDeadlines(relay, LatestReadyTime(relay));
     if (!is_first) return;
     if (options_.clients_use_stopping_relays) return load_generator_.OnRelayStopping(relay);
     loop_.At(loop_.Now() + kNewConnectionsAfterStop,
@@ -326,8 +328,8 @@
         [this] { return DrawUniform(random_); });
     for (const World::ListChange& entry : changes) {
       if (entry.status == EndpointStatus::kInService)
-        auditor_.Listed(entry.endpoint, world_.endpoint(entry.endpoint).destination,
-                        world_.endpoint(entry.endpoint).route);
+        auditor_.OnEndpointListed(entry.endpoint, world_.endpoint(entry.endpoint).destination,
+                                  world_.endpoint(entry.endpoint).route);
       platform_server_.Publish(entry.endpoint, entry.status);
       if (entry.status != EndpointStatus::kDraining) continue;
       loop_.At(loop_.Now() + World::kDrainDuration, [this, id = entry.endpoint] {
@@ -349,7 +351,7 @@
   }
 
   void SampleSecond(int number) {
-    auditor_.Until(now());
+    auditor_.CheckDeadlines(now());
     tally_.SampleCapacity(now());
     for (std::size_t i = 0; i < relays_.size(); ++i) {
       auto sample = relays_[i]->Sample();
@@ -378,7 +380,7 @@
   RunResult TakeResult() {
     RunResult& result = tally_.result();
     result.breaches = auditor_.breaches();
-    result.client_duplicates = auditor_.client_doubles();
+    result.client_duplicates = auditor_.client_duplicates();
     result.restarts = restarts_;
     result.lateness_p99 = lateness_.Quantile(0.99);
     result.lateness_max = max_lateness_;
--- a/lab/sockets/post.cpp
+++ b/lab/sockets/post.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-DatagramForwarder::DatagramForwarder(net::EventLoop& loop, int relays, const LinkPlan& links,
+DatagramForwarder::DatagramForwarder(net::EventLoop& loop, int relays, const LinkSettings& links,
                                      std::uint64_t seed, std::function<Seconds()> now)
     : loop_(loop), links_(links, seed), now_(std::move(now)) {
   const auto count = static_cast<std::size_t>(relays);
@@ -57,7 +57,8 @@
 // senders behind a cut, which must not get one. Silence towards the other senders is always allowed.
 bool DatagramForwarder::HasCut(int relay) const {
   for (int other = 0; other < static_cast<int>(running_.size()); ++other)
-    if (other != relay && (links_.PeersCut(now_(), relay, other) || links_.PeersCut(now_(), other, relay)))
+    if (other != relay &&
+        (links_.IsPeerLinkCut(now_(), relay, other) || links_.IsPeerLinkCut(now_(), other, relay)))
       return true;
   return false;
 }
@@ -89,7 +90,7 @@
   const int sender = known->second;
   std::weak_ptr<bool> alive = alive_;
   const Seconds now = now_();
-  for (const Seconds arrival : links_.Arrivals(now, sender, to))
+  for (const Seconds arrival : links_.DrawArrivals(now, sender, to))
     loop_.At(loop_.Now() + arrival - now, [this, alive, sender, to, bytes] {
       if (!alive.lock()) return;
       auto& socket = sockets_[static_cast<std::size_t>(sender)];
--- a/lab/sockets/post.h
+++ b/lab/sockets/post.h
@@ -19,7 +19,7 @@
 class DatagramForwarder {
  public:
   // `now`: the run's time, which cuts refer to.
-  DatagramForwarder(net::EventLoop& loop, int relays, const LinkPlan& links, std::uint64_t seed,
+  DatagramForwarder(net::EventLoop& loop, int relays, const LinkSettings& links, std::uint64_t seed,
                     std::function<Seconds()> now);
 
   // The relay's own address, for its peer_listen.
@@ -27,7 +27,7 @@
   std::vector<sockaddr_in> PeerAddresses() const;  // by relay, for the peers of every relay
   // Whether the relay's process is running; initially none is.
   void SetRunning(int relay, bool running);
-  const Links& links() const { return links_; }
+  const LinkModel& links() const { return links_; }
   long forwarded() const { return forwarded_; }
   long bytes() const { return bytes_; }
 
@@ -38,7 +38,7 @@
   void Forward(const sockaddr_in& from, int to, const std::string& bytes);
 
   net::EventLoop& loop_;
-  Links links_;
+  LinkModel links_;
   const std::function<Seconds()> now_;
   std::vector<sockaddr_in> relay_addresses_;                   // where the relays listen
   std::unordered_map<std::uint64_t, int> sender_by_address_;   // key: net::KeyOf the relay's address
--- a/lab/sockets/post_thread.cpp
+++ b/lab/sockets/post_thread.cpp
@@ -4,7 +4,7 @@
 
 namespace opalroute::lab {
 
-DatagramForwarderThread::DatagramForwarderThread(int relays, const LinkPlan& links, std::uint64_t seed)
+DatagramForwarderThread::DatagramForwarderThread(int relays, const LinkSettings& links, std::uint64_t seed)
     : loop_(clock_),
       forwarder_(loop_, relays, links, seed,
                  [this] {
--- a/lab/sockets/post_thread.h
+++ b/lab/sockets/post_thread.h
@@ -20,7 +20,7 @@
 class DatagramForwarderThread {
  public:
   // Throws std::system_error if the sockets cannot be opened.
-  DatagramForwarderThread(int relays, const LinkPlan& links, std::uint64_t seed);
+  DatagramForwarderThread(int relays, const LinkSettings& links, std::uint64_t seed);
   ~DatagramForwarderThread();
   DatagramForwarderThread(const DatagramForwarderThread&) = delete;
   DatagramForwarderThread& operator=(const DatagramForwarderThread&) = delete;
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/registry.cpp
@@ -49,7 +49,7 @@
   }
   int relay() const { return relay_; }
   bool is_watch() const { return is_watch_; }
-  void Shut() {
+  void Close() {
     CancelTimers();
     connection_->Close();
   }
@@ -73,16 +73,16 @@
     net::RingBuffer& in = connection.in();
     while (!in.empty()) {
       in.Consume(parser_.Parse(in.Front()));
-      if (parser_.failed()) return server_.sessions_.Drop(*this);
+      if (parser_.failed()) return server_.sessions_.Remove(*this);
       if (!parser_.done()) continue;
       const net::HttpMessage request = std::move(parser_.message());
       parser_.Reset();
       Answer(request);
       if (!connection.open()) return;
     }
-    if (connection.peer_closed()) server_.sessions_.Drop(*this);
+    if (connection.peer_closed()) server_.sessions_.Remove(*this);
   }
-  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Drop(*this); }
+  void OnClosed(net::Connection&, net::Connection::CloseReason) override { server_.sessions_.Remove(*this); }
 
  private:
   // During a cut requests are held back; they are answered when it is over.
@@ -95,7 +95,7 @@
     const std::string path = "/registry/instances";
     if (request.method != "GET" || request.target.rfind(path, 0) != 0) return Write(404, {});
     if (server_.FindActiveFault(relay_, ListFault::Kind::kResetRequests) != nullptr)
-      return server_.sessions_.Drop(*this);
+      return server_.sessions_.Remove(*this);
     if (request.target.find("follow=1") == std::string::npos) {
       Write(200, server_.FullList(relay_) + "\n");
       return ReportChangesKnown(0);
@@ -195,7 +195,7 @@
   const auto index = static_cast<std::size_t>(relay);
   listeners_[index] = std::make_unique<net::Listener>(
       loop_, addresses_[index].address(),
-      [this, relay](int fd) { sessions_.Adopt(std::make_unique<Session>(*this, relay), fd); });
+      [this, relay](int fd) { sessions_.Add(std::make_unique<Session>(*this, relay), fd); });
 }
 
 void PlatformServer::Begin(net::Seconds start) {
@@ -215,7 +215,7 @@
       case ListFault::Kind::kResetWatches:
       case ListFault::Kind::kOutdatedList:
       case ListFault::Kind::kUnavailable:  // the relay has to open its watch again and meets the fault
-        for (Session* session : watches) sessions_.Drop(*session);
+        for (Session* session : watches) sessions_.Remove(*session);
         break;
       case ListFault::Kind::kSilentWatches:
         for (Session* session : watches) session->Silence();
@@ -228,7 +228,7 @@
 
 void PlatformServer::StopListening(int relay, net::Seconds duration) {
   listeners_[static_cast<std::size_t>(relay)].reset();
-  for (Session* session : SessionsOf(relay)) sessions_.Drop(*session);
+  for (Session* session : SessionsOf(relay)) sessions_.Remove(*session);
   loop_.At(loop_.Now() + duration, [this, relay] {
     if (!listeners_[static_cast<std::size_t>(relay)]) Listen(relay);
   });
@@ -277,7 +277,7 @@
 PlatformServer::~PlatformServer() = default;
 
 bool PlatformServer::IsCut(int relay) const {
-  return start_ > 0 && links_.DiscoveryCut(loop_.Now() - start_, relay);
+  return start_ > 0 && links_.IsDiscoveryLinkCut(loop_.Now() - start_, relay);
 }
 
 std::string PlatformServer::InstanceJson(EndpointId id, EndpointStatus status, int relay) const {
--- a/lab/sockets/registry.h
+++ b/lab/sockets/registry.h
@@ -74,7 +74,7 @@
   pcg32 random_;
   const std::function<std::string(EndpointId, int)> address_of_;
   Owner& owner_;
-  const Links links_;
+  const LinkModel links_;
   net::Seconds start_ = 0;                                 // 0: the run has not begun
   std::vector<EndpointStatus> statuses_;                   // by endpoint
   std::vector<Change> changes_;                            // the list's generation is their number plus 1
--- a/lab/world.cpp
+++ b/lab/world.cpp
@@ -42,7 +42,7 @@
     const double headroom = Draw(plan.headroom);
     partner.limit = headroom > 0 ? std::max(plan.min_limit, headroom * load) : 0;
     const double part = partner.limit / (partner.separate_routes ? endpoints : 1);
-    LaneSettings route = DrawRouteSettings(load, partner.limit > 0 ? std::max(plan.min_limit, part) : 0);
+    RouteSettings route = DrawRouteSettings(load, partner.limit > 0 ? std::max(plan.min_limit, part) : 0);
     std::uint32_t shared = 0;
     if (!partner.separate_routes) shared = AddRoute(route, OutagesOf(i, -1));
     for (int e = 0; e < endpoints; ++e) {
@@ -50,25 +50,25 @@
       endpoint.destination = partner.id;
       endpoint.zone = static_cast<int>(random_(static_cast<std::uint32_t>(scenario.zones.size())));
       endpoint.kind = partner.separate_routes ? 1 : 0;
-      std::vector<LaneOutage> own = OutagesOf(i, endpoint.zone);
+      std::vector<RouteFault> own = OutagesOf(i, endpoint.zone);
       if (partner.separate_routes) {
         const auto all = OutagesOf(i, -1);
         own.insert(own.end(), all.begin(), all.end());
         std::sort(own.begin(), own.end(),
-                  [](const LaneOutage& a, const LaneOutage& b) { return a.from < b.from; });
+                  [](const RouteFault& a, const RouteFault& b) { return a.from < b.from; });
         shared = AddRoute(route, std::exchange(own, {}));
       }
       endpoint.route = endpoint.machine_route = shared;
       if (!own.empty()) {  // its limit is shared with other endpoints, and its machine has outages of its own
-        LaneSettings machine = route;
-        machine.limit = machine.tells_wait = 0;
+        RouteSettings machine = route;
+        machine.rate_limit = machine.retry_after_share = 0;
         machine.capacity = route.capacity / endpoints;
-        machine.queue = -1;
+        machine.max_queued_calls = -1;
         endpoint.machine_route = AddRoute(machine, std::move(own));
       }
       const double error_factor =
           scenario.settings.listed_rate_accuracy == ListedRateAccuracy::kRough ? 0.5 + Uniform() : 1;
-      endpoint.listed_rate = route.limit * error_factor;
+      endpoint.listed_rate = route.rate_limit * error_factor;
       if (plan.max_connections.max > 0)
         endpoint.max_connections = std::max(1, static_cast<int>(std::lround(Draw(plan.max_connections))));
       partner.endpoints.push_back(AddEndpoint(endpoint));
@@ -76,28 +76,28 @@
   }
 }
 
-LaneSettings World::DrawRouteSettings(double load, double limit) {
+RouteSettings World::DrawRouteSettings(double load, double limit) {
   const Scenario::Partners& plan = scenario_.partners;
   const Settings& rules = scenario_.settings;
-  LaneSettings s;
-  s.limit = limit;
+  RouteSettings s;
+  s.rate_limit = limit;
   s.window = Uniform() < plan.window_share ? plan.window : 0;
-  s.refused_count = plan.rejected_calls_count;
+  s.rejected_calls_count = plan.rejected_calls_count;
   s.capacity = limit > 0 ? plan.capacity_over_limit * limit : std::max(10.0, 4 * load);
-  s.tells_wait = Draw(plan.retry_after_share);
-  s.wait = Draw(plan.retry_after);
-  s.latency = Draw(plan.mean_latency);
+  s.retry_after_share = Draw(plan.retry_after_share);
+  s.retry_after = Draw(plan.retry_after);
+  s.mean_latency = Draw(plan.mean_latency);
   s.latency_cv = plan.latency_cv;
-  s.queue = plan.max_queued_calls;
-  s.cold_from = rules.slow_start_initial_share;
-  s.ramp = rules.slow_start_duration;
+  s.max_queued_calls = plan.max_queued_calls;
+  s.initial_capacity_share = rules.slow_start_initial_share;
+  s.recovery_time = rules.slow_start_duration;
   s.overload_factor = rules.overload_factor;
-  s.overload_for = rules.overload_window;
+  s.overload_window = rules.overload_window;
   return s;
 }
 
-std::vector<LaneOutage> World::OutagesOf(std::size_t partner, int zone) const {
-  std::vector<LaneOutage> outages;
+std::vector<RouteFault> World::OutagesOf(std::size_t partner, int zone) const {
+  std::vector<RouteFault> outages;
   for (std::size_t t = 0; t < scenario_.partner_faults.size(); ++t) {
     const PartnerFault& fault = scenario_.partner_faults[t];
     if (!affected_[t][partner] || fault.zone != zone) continue;
@@ -122,8 +122,8 @@
   return sum;
 }
 
-std::uint32_t World::AddRoute(const LaneSettings& settings, std::vector<LaneOutage> outages) {
-  routes_.push_back(std::make_unique<LaneModel>(settings, std::move(outages), random_()));
+std::uint32_t World::AddRoute(const RouteSettings& settings, std::vector<RouteFault> outages) {
+  routes_.push_back(std::make_unique<RouteModel>(settings, std::move(outages), random_()));
   return static_cast<std::uint32_t>(routes_.size() - 1);
 }
 
--- a/lab/world.h
+++ b/lab/world.h
@@ -43,7 +43,7 @@
   const std::vector<PartnerInfo>& partners() const { return partners_; }
   const PartnerEndpoint& endpoint(EndpointId id) const { return endpoints_[id - 1]; }  // ids count from 1
   std::size_t endpoint_count() const { return endpoints_.size(); }
-  LaneModel& route(std::uint32_t index) { return *routes_[index]; }
+  RouteModel& route(std::uint32_t index) { return *routes_[index]; }
 
   // The partner whose load is recorded by second: the busiest that a fault affects, or else the busiest.
   int WatchedPartner() const;
@@ -64,10 +64,10 @@
   EndpointId Replace(EndpointId old);
 
  private:
-  LaneSettings DrawRouteSettings(double load, double limit);
+  RouteSettings DrawRouteSettings(double load, double limit);
   // Outages in this zone only; -1: those that affect all zones.
-  std::vector<LaneOutage> OutagesOf(std::size_t partner, int zone) const;
-  std::uint32_t AddRoute(const LaneSettings& settings, std::vector<LaneOutage> outages);
+  std::vector<RouteFault> OutagesOf(std::size_t partner, int zone) const;
+  std::uint32_t AddRoute(const RouteSettings& settings, std::vector<RouteFault> outages);
   EndpointId AddEndpoint(PartnerEndpoint endpoint);
   double Draw(const Range& range) { return DrawFrom(range, random_); }
   double Uniform() { return DrawUniform(random_); }
@@ -76,7 +76,7 @@
   pcg32 random_;
   std::vector<PartnerInfo> partners_;
   std::vector<PartnerEndpoint> endpoints_;
-  std::vector<std::unique_ptr<LaneModel>> routes_;
+  std::vector<std::unique_ptr<RouteModel>> routes_;
   std::vector<std::vector<bool>> affected_;  // by fault, by partner
 };
 
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -242,7 +242,7 @@
   // The faults' times count from the process's start, a little before the run's. Until the signal the relay
   // is serving, so only later breaches count.
   CHECK(std::any_of(result.breaches.begin(), result.breaches.end(), [](const Breach& breach) {
-    return breach.kind == BreachKind::kClosed && breach.at > kStopsAt + 0.01;
+    return breach.kind == BreachKind::kClosedUnanswered && breach.at > kStopsAt + 0.01;
   }));
 }
 
@@ -398,7 +398,7 @@
   json file = SmallScenario();
   for (const char* name : {"a", "b"}) {
     RunResult r = Simulation(ReadScenario(file), 1).Run();
-    r.breaches.push_back({BreachKind::kInWait, 1.5, 0, 7, 2, "sent to <b>2</b> & out"});
+    r.breaches.push_back({BreachKind::kSentDuringRetryAfter, 1.5, 0, 7, 2, "sent to <b>2</b> & out"});
     r.crashes.push_back({1, 2, "signal 9", "the last <line>"});
     fs::create_directories(folder / name);
     std::ofstream(folder / (std::string(name) + "/result.json")) << r.ToJson().dump();
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/ledger_test.cpp
@@ -19,7 +19,7 @@
   MessageTracker tracker{world, auditor, tally};
   std::size_t message = 0;
   Fixture() {
-    auditor.Listed(1, 1, 0);
+    auditor.OnEndpointListed(1, 1, 0);
     message = tracker.AddMessage({0, 2, 0});  // a payment, at most once
   }
 };
@@ -58,13 +58,13 @@
         MessageTracker::kVoid);  // it may have been in flight
   CHECK(f.auditor.breaches().empty());
   CHECK(f.tracker.OnAttemptArrived(2.3, 1, resubmitted, 1) == MessageTracker::kVoid);
-  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 1);
+  CHECK(f.auditor.Count(BreachKind::kSentAfterEnd) == 1);
   f.tracker.OnRelayFrozen(1, 3);  // it doesn't know of the end yet
   CHECK(f.tracker.OnAttemptArrived(3.2, 1, resubmitted, 1) == MessageTracker::kVoid);
-  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 1);
+  CHECK(f.auditor.Count(BreachKind::kSentAfterEnd) == 1);
   CHECK(f.tracker.OnAttemptArrived(3.3, 0, 99, 1) ==
         MessageTracker::kVoid);  // an id that was never submitted
-  CHECK(f.auditor.Count(BreachKind::kAfterEnd) == 2);
+  CHECK(f.auditor.Count(BreachKind::kSentAfterEnd) == 2);
 }
 
 TEST_CASE("lab: a delivered request may be sent again after a kill, but not a payment") {
@@ -74,7 +74,7 @@
     f.tracker.OnAccepted(0, id);
     f.tracker.OnAttemptEnded(0.2, id, f.tracker.OnAttemptArrived(0.1, 0, id, 1), Outcome::kServed);
     CHECK(f.tracker.OnAttemptArrived(2, 0, id, 1) == MessageTracker::kVoid);
-    CHECK(f.auditor.Count(BreachKind::kAfterEnd) == (message_class == 2 ? 1 : 0));
+    CHECK(f.auditor.Count(BreachKind::kSentAfterEnd) == (message_class == 2 ? 1 : 0));
   }
 }
 
@@ -117,7 +117,7 @@
 TEST_CASE("lab: too many late restarts, or untried requests that end early, break a rule") {
   const auto breaches = [](const Auditor::Restarts& restarts) {
     Auditor auditor(Auditor::Rules{}, {});
-    auditor.Restarted(1, restarts);
+    auditor.CheckRestarts(1, restarts);
     return auditor.breaches().size();
   };
   CHECK(breaches({}) == 0);
--- a/tests/support/discovery_stand_in.h
+++ b/tests/support/discovery_stand_in.h
@@ -49,7 +49,7 @@
   // Closes all connections and refuses new ones until EndOutage.
   void StartOutage() {
     listener_.reset();
-    while (!sessions_.all().empty()) sessions_.Drop(*sessions_.all().begin()->first);
+    while (!sessions_.all().empty()) sessions_.Remove(*sessions_.all().begin()->first);
   }
   void EndOutage() { ListenAt(address_); }
   // Open watches stay open but send nothing more, not even heartbeats.
@@ -75,7 +75,7 @@
       connection_ = net::Connection::Adopt(service_.loop_, fd, *this, 64 * 1024, 64 * 1024);
       return connection_ != nullptr;
     }
-    void Shut() {
+    void Close() {
       service_.loop_.Cancel(timer_);
       connection_->Close();
     }
@@ -83,9 +83,11 @@
       net::RingBuffer& in = connection.in();
       while (!in.empty() && !parser_.done() && !parser_.failed()) in.Consume(parser_.Parse(in.Front()));
       if (parser_.done()) Respond(std::exchange(parser_.message(), {}));
-      if (connection.peer_closed()) service_.sessions_.Drop(*this);
+      if (connection.peer_closed()) service_.sessions_.Remove(*this);
+    }
+    void OnClosed(net::Connection&, net::Connection::CloseReason) override {
+      service_.sessions_.Remove(*this);
     }
-    void OnClosed(net::Connection&, net::Connection::CloseReason) override { service_.sessions_.Drop(*this); }
     void SendList() {
       if (!is_watch_ || is_silenced()) return;
       WriteChunk(service_.ListJson() + "\n");
@@ -140,7 +142,7 @@
   void ListenAt(const sockaddr_in& address) {
     listener_.reset();
     listener_ = std::make_unique<net::Listener>(loop_, address, [this](int fd) {
-      sessions_.Adopt(std::make_unique<Session>(*this, ++last_session_), fd);
+      sessions_.Add(std::make_unique<Session>(*this, ++last_session_), fd);
     });
     address_ = listener_->address();
   }
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -51,7 +51,7 @@
 TEST_CASE(
     "zone failover: with 20% and 60% of the messages lost, all relays still evacuate within three seconds") {
   for (const double loss : {0.2, 0.6}) {
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
     SimulatedFleet fleet(OptionsFor(40), links, 6);
@@ -282,7 +282,7 @@
         1 + static_cast<int>(random(static_cast<std::uint32_t>(std::max(1, size / 5))));
     const Outcome outcome = std::vector<Outcome>{Outcome::kConnectFailed, Outcome::kReset, Outcome::kTimeout,
                                                  Outcome::kError}[random(4)];
-    lab::LinkPlan links;
+    lab::LinkSettings links;
     links.loss = random(3) * 0.3;
     SimulatedFleet fleet(OptionsFor(size), links, seed);
     pcg32 call_random(seed, 33);
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -100,11 +100,11 @@
     "datagrams in a partition") {
   const net::SystemClock clock;
   net::EventLoop loop(clock);
-  LinkPlan plan;
+  LinkSettings plan;
   plan.delay = {0, 0.001};
-  Cut cut;
+  LinkCut cut;
   cut.from = 10;
-  cut.lasts = 1e6;
+  cut.duration = 1e6;
   plan.cuts.push_back(cut);
   Seconds now = 0;
   DatagramForwarder forwarder(loop, 3, plan, 1, [&now] { return now; });
