--- a/include/opalroute/events.h
+++ b/include/opalroute/events.h
@@ -137,7 +137,8 @@
 };
 
 // The fleet's decision on a zone. With a share of 0 the zone gets only recovery trials, from the health-check
-// relays; when the share rises above 0 again, endpoints with a route of their own go through slow start.
+// relays, except for destinations that no other zone serves. When the share rises above 0 again, endpoints
+// with a route of their own go through slow start.
 struct ZoneTrafficShare {
   int zone{};
   double traffic_share = 1;  // 0 to 1, of the requests that another zone could serve
--- a/src/decision/attempt_outcome_handler.cpp
+++ b/src/decision/attempt_outcome_handler.cpp
@@ -30,7 +30,7 @@
   if (!std::exchange(attempt.in_flight, false)) return;
   attempt.may_have_run = !ProvesNeverRan(outcome.outcome);
   if (outcome.outcome == Outcome::kLocalShortage) ++request->local_shortages;
-  --request->in_flight;
+  --request->attempts_in_flight;
   Call& call = calls_.At(attempt.call);
   const bool is_first_of_call = !std::exchange(call.has_outcome, true);
   const int batch_size = static_cast<int>(call.attempts.size());
--- a/src/decision/call_sender.cpp
+++ b/src/decision/call_sender.cpp
@@ -20,9 +20,9 @@
   const bool both_look_idle = pair.second != nullptr && first.LooksIdle() && pair.second->LooksIdle();
   const std::uint64_t call = OpenCall(destination, first);
   const std::vector<Request*> batch = TakeBatch(destination, first);
-  const double stretch = BatchLatencyFactor(static_cast<int>(batch.size()));
-  for (Request* request : batch) SendAttempt(*request, first, call, stretch);
-  first.route->health.Charge(stretch - 1);
+  const double latency_factor = BatchLatencyFactor(static_cast<int>(batch.size()));
+  for (Request* request : batch) SendAttempt(*request, first, call, latency_factor);
+  first.route->health.Charge(latency_factor - 1);
   if (both_look_idle && MayHedgeNow(destination, *pair.second)) SendHedged(destination, pair, batch);
 }
 
@@ -30,10 +30,10 @@
 std::vector<Request*> CallSender::TakeBatch(Destination& destination, Endpoint& endpoint) {
   const bool is_trial = endpoint.NeedsTrial();
   const int max_batch = is_trial ? 1 : std::max(1, context_.settings.kinds[endpoint.kind].max_batch);
-  const bool prefers_idempotent = is_trial && !endpoint.circuit.last_failure_never_ran();
+  const bool avoid_non_idempotent = is_trial && !endpoint.circuit.last_failure_never_ran();
   std::vector<Request*> batch;
   while (static_cast<int>(batch.size()) < max_batch) {
-    const auto bucket = queue_.BestBucket(destination, {&endpoint}, prefers_idempotent);
+    const auto bucket = queue_.BestBucket(destination, {&endpoint}, avoid_non_idempotent);
     if (!bucket) break;
     Request& request = requests_.At(queue_.BestRequest(destination, *bucket));
     batch.push_back(&request);
@@ -49,9 +49,10 @@
   return call;
 }
 
-void CallSender::SendAttempt(Request& request, Endpoint& endpoint, std::uint64_t call, double stretch) {
+void CallSender::SendAttempt(Request& request, Endpoint& endpoint, std::uint64_t call,
+                             double latency_factor) {
   calls_.AddAttempt(call, {request.request_id, static_cast<int>(request.attempts.size())});
-  lifecycle_.SendAttempt(request, endpoint, call, stretch);
+  lifecycle_.SendAttempt(request, endpoint, call, latency_factor);
 }
 
 // Hedged calls only use slots that nothing else needs: none is sent while any request is waiting.
@@ -62,14 +63,14 @@
 }
 
 void CallSender::SendHedged(Destination& destination, EndpointPair pair, const std::vector<Request*>& batch) {
-  const double stretch = BatchLatencyFactor(static_cast<int>(batch.size()));
+  const double latency_factor = BatchLatencyFactor(static_cast<int>(batch.size()));
   std::uint64_t call = 0;  // 0: the hedged call is not open yet
   for (Request* request : batch) {
     if (!MayHedge(*request, *pair.first, *pair.second, context_.settings)) continue;
     if (!destination.hedging.AllowsAnother()) break;
     if (call == 0) call = OpenCall(destination, *pair.second);
     destination.hedging.CountHedged();
-    SendAttempt(*request, *pair.second, call, stretch);
+    SendAttempt(*request, *pair.second, call, latency_factor);
   }
 }
 
--- a/src/decision/call_sender.h
+++ b/src/decision/call_sender.h
@@ -27,7 +27,7 @@
  private:
   std::vector<Request*> TakeBatch(Destination& destination, Endpoint& endpoint);
   std::uint64_t OpenCall(Destination& destination, Endpoint& endpoint);
-  void SendAttempt(Request& request, Endpoint& endpoint, std::uint64_t call, double stretch);
+  void SendAttempt(Request& request, Endpoint& endpoint, std::uint64_t call, double latency_factor);
   bool MayHedgeNow(const Destination& destination, Endpoint& second);
   void SendHedged(Destination& destination, EndpointPair pair, const std::vector<Request*>& batch);
 
--- a/src/decision/call_table.cpp
+++ b/src/decision/call_table.cpp
@@ -24,7 +24,7 @@
   call.sent = context_.now;
   ++destination.calls_in_flight;
   destination.latest_call = id;
-  endpoint.in_flight.insert(context_.now);
+  endpoint.in_flight_send_times.insert(context_.now);
   return id;
 }
 
@@ -40,7 +40,7 @@
   const Seconds sent = it->second.sent;
   calls_.erase(it);
   --destination.calls_in_flight;
-  endpoint.in_flight.erase(endpoint.in_flight.find(sent));
+  endpoint.in_flight_send_times.erase(endpoint.in_flight_send_times.find(sent));
 }
 
 int CallTable::FreeSlots() const {
@@ -54,7 +54,8 @@
     if (table_.EndpointAt(call.endpoint).IsOutlier()) outliers.insert(call.endpoint);
   }
   const Seconds lost_before = context_.now - kLostCallTimeouts * latency_.CallTimeout(endpoint);
-  const auto not_lost = std::distance(endpoint.in_flight.upper_bound(lost_before), endpoint.in_flight.end());
+  const auto not_lost = std::distance(endpoint.in_flight_send_times.upper_bound(lost_before),
+                                      endpoint.in_flight_send_times.end());
   const int slots = static_cast<int>(kOutlierSlots * context_.settings.concurrency_limit);
   return not_lost < std::max(1, slots / std::max(1, static_cast<int>(outliers.size())));
 }
--- a/src/decision/context.h
+++ b/src/decision/context.h
@@ -1,4 +1,4 @@
-// The state that all parts of the decision module share: settings, current time, random numbers and output
+// The state that all parts of the decision library share: settings, current time, random numbers and output
 // actions.
 #pragma once
 
--- a/src/decision/health_check.cpp
+++ b/src/decision/health_check.cpp
@@ -12,7 +12,7 @@
 // has ended, any other until its circuit is no longer open.
 bool MustStayMarked(const Endpoint& endpoint) {
   if (endpoint.status != EndpointStatus::kRemoved) return endpoint.circuit.IsOpen();
-  return !endpoint.in_flight.empty() || endpoint.health_check_in_flight;
+  return !endpoint.in_flight_send_times.empty() || endpoint.health_check_in_flight;
 }
 
 }  // namespace
--- a/src/decision/idle_connections.cpp
+++ b/src/decision/idle_connections.cpp
@@ -21,7 +21,7 @@
 
 void IdleConnections::OnCallEnded(const Endpoint& endpoint) {
   const Settings& settings = context_.settings;
-  if (!endpoint.in_flight.empty()) return;
+  if (!endpoint.in_flight_send_times.empty()) return;
   // Without gossip, a relay that holds connections does not learn that others cannot get one.
   const bool is_large_fleet_without_gossip = settings.relay_count > kLargeFleet && !settings.may_gossip;
   const bool lacks_connections =
@@ -33,7 +33,8 @@
 void IdleConnections::OnBatchEnd() {
   for (const EndpointId id : std::exchange(to_close_, {})) {
     const Endpoint* endpoint = table_.FindEndpoint(id);
-    if (endpoint != nullptr && endpoint->in_flight.empty()) context_.Emit(CloseIdleConnections{id});
+    if (endpoint != nullptr && endpoint->in_flight_send_times.empty())
+      context_.Emit(CloseIdleConnections{id});
   }
 }
 
--- a/src/decision/key_order.h
+++ b/src/decision/key_order.h
@@ -21,10 +21,10 @@
   // Queues the request behind the earlier requests of its key.
   void Append(Request& request);
   // Holds back the key's next request until `until`.
-  void Pause(const std::string& key, Seconds until);
+  void Pause(const std::string& ordering_key, Seconds until);
   // Removes finished requests from the front of the key's queue. Returns the next request if it may be sent
   // now.
-  std::optional<RequestId> Advance(const std::string& key);
+  std::optional<RequestId> Advance(const std::string& ordering_key);
   // Removes a pause that has ended and returns its key; nothing if no pause has ended.
   std::optional<std::string> TakeDuePause();
   Seconds NextDue() const;  // kNever: no key is paused
@@ -36,7 +36,7 @@
   };
   struct KeyPause {
     Seconds until = 0;
-    std::string key;
+    std::string ordering_key;
     bool operator<(const KeyPause& other) const;
   };
 
--- a/src/decision/load_balancer.h
+++ b/src/decision/load_balancer.h
@@ -1,5 +1,5 @@
-// Chooses the endpoints of a call with the group table of NetClone: the pairs of ready endpoints of one
-// destination.
+// Chooses the endpoints of a call with the group table of NetClone (SIGCOMM 2023): the pairs of ready
+// endpoints of one destination.
 #pragma once
 
 #include <vector>
--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -1,4 +1,4 @@
-// The random number generator of the decision module.
+// The random number generator of the decision library.
 #pragma once
 
 #include <cstddef>
--- a/src/decision/rate_limiter.h
+++ b/src/decision/rate_limiter.h
@@ -15,7 +15,7 @@
 // Owns the limit, the send rate, the backoff and the Retry-After of one route.
 class RateLimiter {
  public:
-  // Sets the route's limit, in calls a second from all relays. 0 or less means unknown and changes nothing.
+  // Sets the route's limit, in calls per second from all relays. 0 or less means unknown and changes nothing.
   void LearnLimit(double limit, const DecisionContext& context);
   // How long until the route may be called. In recovery the backoff after rejections does not apply, as
   // recovery trials and slow start limit the calls.
@@ -32,9 +32,9 @@
   // Takes over a reduction that another relay made at `reduced_at`, unless the send rate is already lower.
   void MergeReduction(double send_rate, Seconds reduced_at, const DecisionContext& context);
 
-  double limit() const { return limit_; }  // calls a second from all relays; 0: unknown
+  double limit() const { return limit_; }  // calls per second from all relays; 0: unknown
   bool has_limit() const { return limit_ > 0; }
-  double send_rate() const { return send_rate_; }  // calls a second of this relay; kNever: unlimited
+  double send_rate() const { return send_rate_; }  // calls per second of this relay; kNever: unlimited
   Seconds retry_after_until() const { return retry_after_until_; }
   Seconds reduced_at() const { return reduced_at_; }
 
--- a/src/decision/recovery_budget.h
+++ b/src/decision/recovery_budget.h
@@ -16,14 +16,14 @@
  public:
   explicit RecoveryBudget(DecisionContext& context);
 
-  // Records the limit of a route of `kind`, in calls a second; 0 or less: unknown.
+  // Records the limit of a route of `kind`, in calls per second; 0 or less: unknown.
   void LearnLimit(int kind, double limit);
-  // Calls a second that a route is assumed to take: its limit; if unknown (0), the lowest known limit of its
-  // kind; if there is none, one call in the overload window.
+  // Calls per second that a route is assumed to take: its limit; if unknown (0), the lowest known limit of
+  // its kind; if there is none, one call in the overload window.
   double EstimateCapacity(double limit, int kind) const;
-  // Calls a second that all relays together may send at `share` (0 to 1) of the capacity.
+  // Calls per second that all relays together may send at `share` (0 to 1) of the capacity.
   double FleetRate(double capacity, double share) const;
-  // Calls a second that this relay may send in a slow start that has lasted for `elapsed`.
+  // Calls per second that this relay may send in a slow start that has lasted for `elapsed`.
   double SlowStartRate(double limit, double capacity, Seconds elapsed) const;
   // Tokens at the beginning of a slow start.
   double InitialTokens(double limit);
--- a/src/decision/request.h
+++ b/src/decision/request.h
@@ -68,9 +68,9 @@
   Seconds not_before = 0;  // end of a backoff
   Seconds expiry = kNever;
   std::vector<Attempt> attempts;
-  int in_flight = 0;        // attempts without an outcome
-  int timeouts = 0;         // attempts that timed out
-  int local_shortages = 0;  // attempts that never left this relay; not counted in AttemptsUsed()
+  int attempts_in_flight = 0;  // attempts without an outcome
+  int timeouts = 0;            // attempts that timed out
+  int local_shortages = 0;     // attempts that never left this relay; not counted in AttemptsUsed()
   RequestPhase phase = RequestPhase::kInFlight;
   BucketKey bucket;
 
--- a/src/decision/request_lifecycle.cpp
+++ b/src/decision/request_lifecycle.cpp
@@ -54,11 +54,11 @@
   if (request.key.empty()) return Enqueue(request);
   key_order_.Append(request);
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
-  AdvanceKey(std::string(request.key));  // a copy, as the request may be removed
+  AdvanceOrderingKey(std::string(request.key));  // a copy, as the request may be removed
 }
 
-void RequestLifecycle::AdvanceKey(const std::string& key) {
-  if (const auto next = key_order_.Advance(key)) Enqueue(requests_.At(*next));
+void RequestLifecycle::AdvanceOrderingKey(const std::string& ordering_key) {
+  if (const auto next = key_order_.Advance(ordering_key)) Enqueue(requests_.At(*next));
 }
 
 void RequestLifecycle::Enqueue(Request& request) {
@@ -76,9 +76,9 @@
   attempt.call = call;
   attempt.sent = context_.now;
   request.attempts.push_back(attempt);
-  ++request.in_flight;
+  ++request.attempts_in_flight;
   request.phase = RequestPhase::kInFlight;
-  const Seconds send_deadline = retry_policy_.Bounds(request).value_or(AttemptBounds{}).until;
+  const Seconds send_deadline = retry_policy_.Bounds(request).value_or(AttemptBounds{}).send_deadline;
   const Seconds timeout_at = retry_policy_.TimeoutAt(request, endpoint, latency_factor);
   context_.Emit(Send{request.request_id, endpoint.endpoint, timeout_at, send_deadline});
   timers_.SetExpiry(request, retry_policy_.Expiry(request));
@@ -93,7 +93,7 @@
     Release(request);
   } else if (request_ended) {
     End(request);
-  } else if (request.in_flight == 0) {  // no retry while a hedged attempt is in flight
+  } else if (request.attempts_in_flight == 0) {  // no retry while a hedged attempt is in flight
     Retry(request, outcome);
   }
 }
@@ -106,7 +106,7 @@
 }
 
 void RequestLifecycle::OnBatchEnd() {
-  while (const auto key = key_order_.TakeDuePause()) AdvanceKey(*key);
+  while (const auto ordering_key = key_order_.TakeDuePause()) AdvanceOrderingKey(*ordering_key);
   while (const auto id = timers_.TakeEndedBackoff(context_.now)) Enqueue(requests_.At(*id));
   while (const auto id = timers_.FindExpired(context_.now)) RejectOrFail(requests_.At(*id));
   ShedLoad();
@@ -122,13 +122,13 @@
 
 Seconds RequestLifecycle::NextDue() const { return std::min(key_order_.NextDue(), timers_.NextDue()); }
 
-// Ends a request that the router gives up. It is rejected, with Retry-After advice, if the client can repeat
-// it without doubling an effect, and fails otherwise.
+// Ends a request that the router gives up. It is rejected, with a Retry-After if allowed, if the client can
+// repeat it without doubling an effect, and fails otherwise.
 void RequestLifecycle::RejectOrFail(Request& request) {
   const Destination& destination = table_.FindOrAddDestination(request.destination);
-  const bool gives_advice = context_.settings.may_send_retry_after;
+  const bool may_send_retry_after = context_.settings.may_send_retry_after;
   if (retry_policy_.MayReject(request)) {
-    const Seconds retry_after = gives_advice ? admission_.EstimateRetryAfter(destination) : 0;
+    const Seconds retry_after = may_send_retry_after ? admission_.EstimateRetryAfter(destination) : 0;
     context_.Emit(Reject{request.request_id, retry_after});
   } else {
     context_.Emit(Fail{request.request_id});
@@ -163,11 +163,11 @@
   request.phase = RequestPhase::kInFlight;
   Destination& destination = table_.FindOrAddDestination(request.destination);
   admission_.Release(request, destination);
-  if (request.in_flight > 0) return;
+  if (request.attempts_in_flight > 0) return;
   table_.RemoveIfUnused(destination);
-  const std::string key = request.key;
+  const std::string ordering_key = request.key;
   requests_.Remove(request.request_id);
-  if (!key.empty()) AdvanceKey(key);
+  if (!ordering_key.empty()) AdvanceOrderingKey(ordering_key);
 }
 
 }  // namespace opalroute::decision
--- a/src/decision/request_lifecycle.h
+++ b/src/decision/request_lifecycle.h
@@ -39,7 +39,7 @@
  private:
   Request& Register(const NewRequest& received);
   void QueueInKeyOrder(Request& request);
-  void AdvanceKey(const std::string& key);
+  void AdvanceOrderingKey(const std::string& ordering_key);
   void Enqueue(Request& request);
   void Retry(Request& request, Outcome last);
   void ShedLoad();
--- a/src/decision/request_queue.cpp
+++ b/src/decision/request_queue.cpp
@@ -9,13 +9,13 @@
 
 // Orders the best requests of the buckets; the greatest is sent first.
 struct BucketRank {
-  bool is_safe_for_trial = false;
+  bool is_preferred = false;
   double weight = 0;
   Seconds negated_objective_end = 0;
 
   bool operator<(const BucketRank& other) const {
-    return std::tie(is_safe_for_trial, weight, negated_objective_end) <
-           std::tie(other.is_safe_for_trial, other.weight, other.negated_objective_end);
+    return std::tie(is_preferred, weight, negated_objective_end) <
+           std::tie(other.is_preferred, other.weight, other.negated_objective_end);
   }
 };
 
@@ -79,7 +79,7 @@
 
 std::optional<BucketKey> RequestQueue::BestBucket(const Destination& destination,
                                                   const std::vector<Endpoint*>& endpoints,
-                                                  bool is_trial) const {
+                                                  bool avoid_non_idempotent) const {
   std::optional<BucketKey> best;
   BucketRank best_rank;
   const Seconds latency = latency_.Expected(destination);
@@ -91,7 +91,7 @@
     if (std::none_of(endpoints.begin(), endpoints.end(), is_inside)) continue;
     const RequestClass& request_class = context_.settings.classes[bucket.request_class];
     const Seconds received_at = BestEntry(bucket, requests, latency).time;
-    const BucketRank rank{!is_trial || request_class.idempotency != Idempotency::kNonIdempotent,
+    const BucketRank rank{!avoid_non_idempotent || request_class.idempotency != Idempotency::kNonIdempotent,
                           WeightAt(bucket, context_.now + latency - received_at),
                           -(received_at + request_class.latency_objective)};
     if (best && !(best_rank < rank)) continue;
--- a/src/decision/request_queue.h
+++ b/src/decision/request_queue.h
@@ -25,10 +25,10 @@
   // Destinations with waiting requests.
   const std::map<DestinationId, Destination*>& active_destinations() const { return active_; }
   // The bucket of the request of greatest weight that may go to one of the endpoints; of equal ones, the one
-  // whose latency objective ends first. A recovery trial prefers idempotent requests. Nothing if no request
-  // may go.
+  // whose latency objective ends first. With `avoid_non_idempotent`, as in a recovery trial, a non-idempotent
+  // request comes after all others. Nothing if no request may go.
   std::optional<BucketKey> BestBucket(const Destination& destination, const std::vector<Endpoint*>& endpoints,
-                                      bool is_trial) const;
+                                      bool avoid_non_idempotent) const;
   // The request of a nonempty bucket that is sent next.
   RequestId BestRequest(const Destination& destination, const BucketKey& bucket) const;
   // The request of least weight that may be shed, of the destination with the most such requests. Nothing if
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -1,4 +1,4 @@
-// Connects the parts of the decision module and passes each event to the parts that handle it.
+// Connects the parts of the decision library and passes each event to the parts that handle it.
 #include "opalroute/request_router.h"
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 namespace decision {
 namespace {
 
-// Owns all parts of the decision module and passes events to them.
+// Owns all parts of the decision library and passes events to them.
 class EventDispatcher {
  public:
   explicit EventDispatcher(const Settings& settings) : context_(settings), list_lease_(settings) {}
--- a/src/decision/retry_policy.cpp
+++ b/src/decision/retry_policy.cpp
@@ -37,7 +37,8 @@
 }
 
 bool RetryPolicy::MayAttempt(const Request& request, const std::optional<AttemptBounds>& bounds) const {
-  return bounds && bounds->until > context_.now && request.AttemptsUsed() < context_.settings.max_attempts;
+  return bounds && bounds->send_deadline > context_.now &&
+         request.AttemptsUsed() < context_.settings.max_attempts;
 }
 
 bool RetryPolicy::MayReject(const Request& request) const {
@@ -51,14 +52,14 @@
 }
 
 Seconds RetryPolicy::Expiry(const Request& request) const {
-  if (request.in_flight > 0) return request.deadline;
+  if (request.attempts_in_flight > 0) return request.deadline;
   const Settings& settings = context_.settings;
   const auto bounds = Bounds(request);
   const Seconds expected = latency_.Expected(table_.FindOrAddDestination(request.destination));
   const Seconds longest_service = kMaxServiceTimeShare * settings.classes[request.request_class].deadline;
   const Seconds expiry =
       request.deadline - std::max(kMinServiceTicks * settings.tick, std::min(expected, longest_service));
-  return bounds ? std::min(expiry, bounds->until) : expiry;
+  return bounds ? std::min(expiry, bounds->send_deadline) : expiry;
 }
 
 bool RetryPolicy::MayRetry(const Request& request) const {
--- a/src/decision/retry_policy.h
+++ b/src/decision/retry_policy.h
@@ -13,10 +13,10 @@
 // The zone that the next attempt must go to, and the time before which its first byte must be sent.
 struct AttemptBounds {
   int zone = kAnyZone;
-  Seconds until = kNever;
+  Seconds send_deadline = kNever;
 };
 
-// Stateless: it reads a request, its class and the expected latencies.
+// Has no state of its own: reads a request, its class and the expected latencies.
 class RetryPolicy {
  public:
   RetryPolicy(DecisionContext& context, EndpointTable& table, const LatencyEstimator& latency);
--- a/src/decision/route_gossip.h
+++ b/src/decision/route_gossip.h
@@ -3,7 +3,7 @@
 //
 //   byte 0     'L'
 //   byte 1     kind
-//   bytes 2..  destination: zigzag varint, seven bits a byte, least significant first
+//   bytes 2..  destination: zigzag varint, seven bits per byte, least significant first
 //   last four  hash of the endpoint's name, little-endian; absent for a destination as a whole
 #pragma once
 
--- a/src/decision/route_health.h
+++ b/src/decision/route_health.h
@@ -17,7 +17,7 @@
   // A long Retry-After counts as enough faults to suspect an outage.
   void CountLongRetryAfter();
   // Suspects an outage after enough faults without a success, and ends a slow start that has run its full
-  // time. Returns whether the latest slow start is over. `limit` is the route's limit in calls a second (0:
+  // time. Returns whether the latest slow start is over. `limit` is the route's limit in calls per second (0:
   // unknown), `kind` the kind of its endpoints.
   bool Update(double limit, int kind, DecisionContext& context, RecoveryBudget& budget);
   // A call was served that shows that the route is healthy.
@@ -28,7 +28,7 @@
   void StartSlowStart(double initial_tokens, Seconds now);
   // Puts a route that has been out of use into recovery, so that a slow start limits its calls.
   void RequireSlowStart() { in_recovery_ = true; }
-  // How long until slow start allows the next call, at `rate` calls a second.
+  // How long until slow start allows the next call, at `rate` calls per second.
   Seconds TimeUntilSlowStartCall(double rate, Seconds now);
   void ScheduleTrial(Seconds at) { next_trial_at_ = at; }
   // Takes tokens for `calls`, which may be a fraction, from the slow start.
--- a/src/decision/state_transfer.h
+++ b/src/decision/state_transfer.h
@@ -16,7 +16,7 @@
 std::vector<RouteState> ExportRouteStates(const EndpointTable& table, Seconds now,
                                           std::optional<DestinationId>& from, int max_destinations);
 
-// Applies the state of other relays to endpoints and routes. Stateless.
+// Applies the state of other relays to endpoints and routes. Has no state of its own.
 class StateMerger {
  public:
   StateMerger(DecisionContext& context, EndpointTable& table, EndpointHealth& health, RecoveryBudget& budget,
--- a/src/decision/token_bucket.h
+++ b/src/decision/token_bucket.h
@@ -10,11 +10,11 @@
   double tokens = 0;  // negative if more were taken than the bucket held
   Seconds refilled_at = 0;
 
-  // Adds the tokens of the time since the last refill, at `rate` a second, up to `capacity`.
+  // Adds the tokens of the time since the last refill, at `rate` per second, up to `capacity`.
   void Refill(Seconds now, double rate, double capacity);
   // Takes a token; false if there is none.
   bool TryTake();
-  // How long until a token is available, at `rate` tokens a second; kNever at rate 0.
+  // How long until a token is available, at `rate` tokens per second; kNever at rate 0.
   Seconds TimeUntilToken(double rate) const;
 };
 
--- a/src/decision/upstream.h
+++ b/src/decision/upstream.h
@@ -30,7 +30,7 @@
   UpstreamRoute own_route;
   CircuitBreaker circuit;
   LatencyAverage latency;
-  std::multiset<Seconds> in_flight;  // send times of the calls in flight
+  std::multiset<Seconds> in_flight_send_times;  // of the calls in flight
   Seconds last_served = -kNever;
   Seconds out_of_connections_at = -kNever;
   bool untried = true;
@@ -44,7 +44,7 @@
   // Whether a call to the endpoint would be a recovery trial.
   bool NeedsTrial() const { return circuit.IsOpen() || route->health.IsSuspectedOut(); }
   bool IsOutlier() const { return !circuit.IsClosed() || !latest_within_objective; }
-  bool LooksIdle() const { return in_flight.empty() && (untried || latest_within_objective); }
+  bool LooksIdle() const { return in_flight_send_times.empty() && (untried || latest_within_objective); }
   // Records whether the latest call was served within the latency objective, not late, rejected or failed.
   void RecordOutcome(bool within_objective);
 };
--- a/src/simulator/adapter.h
+++ b/src/simulator/adapter.h
@@ -14,8 +14,8 @@
 // All instances of one process.
 class Adapter {
  public:
-  // Handles a batch and returns the reply, both without the line end. Throws InputError if the batch can't be
-  // read.
+  // Handles a batch and returns the reply, both without the line end. Throws InputError if the batch cannot
+  // be read.
   std::string Reply(const std::string& line);
 
  private:
--- a/tests/decision/circuit_breaker_test.cpp
+++ b/tests/decision/circuit_breaker_test.cpp
@@ -17,23 +17,24 @@
   UpdateList({MakeEndpoint(1, 1, 0, 0, EndpointStatus::kInService, 10)});
   RequestId id = 1;
   std::size_t answered = 0;
-  const Seconds returns = 115;
+  const Seconds outage_end = 115;
   std::vector<Seconds> arrived;
   while (now_ < 130) {
     Receive(id++, kIdempotentClass);
     EndBatch();
     const auto sends = Emitted<Send>();
     for (; answered < sends.size(); ++answered) {
-      if (now_ >= returns) arrived.push_back(now_);
+      if (now_ >= outage_end) arrived.push_back(now_);
       const int attempt = static_cast<int>(SendsFor(sends[answered].request_id).size()) - 1;
       EndAttempt(sends[answered].request_id, attempt, 1,
-                 now_ >= returns ? Outcome::kServed : Outcome::kError);
+                 now_ >= outage_end ? Outcome::kServed : Outcome::kError);
     }
     RunUntil(now_ + 0.1);
     for (const auto all = Emitted<Send>(); answered < all.size(); ++answered) {
-      if (now_ >= returns) arrived.push_back(now_);
+      if (now_ >= outage_end) arrived.push_back(now_);
       const int attempt = static_cast<int>(SendsFor(all[answered].request_id).size()) - 1;
-      EndAttempt(all[answered].request_id, attempt, 1, now_ >= returns ? Outcome::kServed : Outcome::kError);
+      EndAttempt(all[answered].request_id, attempt, 1,
+                 now_ >= outage_end ? Outcome::kServed : Outcome::kError);
     }
   }
   // Capacity is 2 calls per second at the recovery and 4.4 after 3 s; with overload_factor 2, this allows 19
--- a/tests/decision/fleet_test.cpp
+++ b/tests/decision/fleet_test.cpp
@@ -1,4 +1,4 @@
-// Fleets of up to 300 relays on one fake clock: the load of all relays together on an endpoint that each
+// Fleets of up to 300 relays on one simulated clock: the load of all relays together on an endpoint that each
 // relay calls only rarely.
 #include <algorithm>
 #include <deque>
@@ -18,7 +18,7 @@
  public:
   struct Endpoint {
     std::size_t connections = 1000;  // most that may be open, including idle ones
-    double limit = 1e6;              // calls a second, including rejected ones
+    double limit = 1e6;              // calls per second, including rejected ones
     Seconds down_from = 0;           // start of the time in which it refuses connections
     Seconds down_to = 0;             // end of that time
     bool gossip_is_lost = false;     // no gossip datagram arrives
@@ -34,7 +34,7 @@
     }
   }
 
-  // Runs until `end`. Idempotent requests arrive at `rate` a second, each at a random relay.
+  // Runs until `end`. Idempotent requests arrive at `rate` per second, each at a random relay.
   void RunUntil(Seconds end, double rate) {
     std::exponential_distribution<double> gap(rate);
     std::uniform_int_distribution<std::size_t> any_relay(0, relays_.size() - 1);
@@ -48,9 +48,9 @@
       }
       EndDueCalls();
       for (TestRelay& relay : relays_) {
-        const auto wake = relay.TakeDueTimer(now_);
-        if (!wake) continue;
-        Handle(relay, *wake);
+        const auto timer = relay.TakeDueTimer(now_);
+        if (!timer) continue;
+        Handle(relay, *timer);
         Handle(relay, BatchEnd{});
       }
     }
@@ -83,8 +83,8 @@
     std::vector<Action> actions;
     relay.router.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetTimer>(&action)) {
-        relay.OnSetTimer(*wake);
+      if (const auto* timer = std::get_if<SetTimer>(&action)) {
+        relay.OnSetTimer(*timer);
       } else if (const auto* send = std::get_if<Send>(&action)) {
         StartCall(relay, *send);
       } else if (const auto* close = std::get_if<CloseIdleConnections>(&action)) {
@@ -230,7 +230,7 @@
   }
 }
 
-// The endpoint list says 60 calls a second, but the limit is 40. Rejected calls count against the limit, so
+// The endpoint list says 60 calls per second, but the limit is 40. Rejected calls count against the limit, so
 // the fleet has to send less. Without gossip, each relay learns that only from a rejection of its own.
 TEST(FleetTest, OneRejectionNotifiesAllRelaysOfALowerLimit) {
   Settings s = FleetSettings(100);
@@ -245,9 +245,9 @@
   EXPECT_LE(with_gossip.gossip_sent, 30 * 2.5);  // about one in a fifth of the overload window
 }
 
-// The endpoint list says 60 calls a second, but the limit is 30. An even share of 60 among 300 relays is one
-// call in 5 s. If no relay sent less than one call in the overload window, rejected calls would use up the
-// limit.
+// The endpoint list says 60 calls per second, but the limit is 30. An even share of 60 among 300 relays is
+// one call in 5 s. If no relay sent less than one call in the overload window, rejected calls would use up
+// the limit.
 TEST(FleetTest, ALargeFleetAdaptsToALimitBelowOneCallPerWindowAndRelay) {
   Settings s = FleetSettings(300);
   s.may_gossip = true;
@@ -321,12 +321,12 @@
     relay.router.Handle(now, BatchEnd{}, actions);
     for (const Action& action : actions) {
       if (std::holds_alternative<WatchEndpointList>(action)) polls.emplace_back(now, &relay);
-      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*wake);
+      if (const auto* timer = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*timer);
       if (const auto* send = std::get_if<Send>(&action)) sent.emplace_back(now, send->endpoint);
     }
   }
 
-  // Runs until `end`. Requests arrive at `rate` a second, each at a random relay; discovery answers polls
+  // Runs until `end`. Requests arrive at `rate` per second, each at a random relay; discovery answers polls
   // with `changes`.
   void RunUntil(Seconds end, double rate, const std::vector<ListedEndpoint>& changes) {
     std::uniform_int_distribution<std::size_t> any_relay(0, relays.size() - 1);
@@ -336,7 +336,7 @@
         Handle(relay, NewRequest{relay.next_request_id++, kIdempotentClass, {}, "", 20, 1});
       }
       for (TestRelay& relay : relays)
-        if (const auto wake = relay.TakeDueTimer(now)) Handle(relay, *wake);
+        if (const auto timer = relay.TakeDueTimer(now)) Handle(relay, *timer);
       while (!polls.empty() && (polls.front().first + 2 <= now || discovery_free_at <= now)) {
         const auto [since, relay] = polls.front();
         polls.pop_front();
@@ -360,8 +360,8 @@
   std::vector<std::pair<Seconds, EndpointId>> sent;
 };
 
-// Discovery answers six polls a second. If all relays polled at the same times, most polls would be rejected,
-// and discovery would be idle in between.
+// Discovery answers six polls per second. If all relays polled at the same times, most polls would be
+// rejected, and discovery would be idle in between.
 TEST(FleetTest, RelaysStartedTogetherPollTheListSpreadOut) {
   RestartedFleet fleet(FleetSettings(100), 0.16, {{1, 0, 0, 1, EndpointStatus::kInService, 60}});
   fleet.RunUntil(120, 0, {});
--- a/tests/decision/legal_run_test.cpp
+++ b/tests/decision/legal_run_test.cpp
@@ -139,8 +139,8 @@
   std::size_t ended_count = 0;
   for (int step = 0; step < 4000; ++step) {
     now_ += 0.01;
-    for (const SetTimer& wake : Emitted<SetTimer>()) {
-      if (wake.due <= now_ && wake.due > now_ - 0.01) Handle(TimerFired{wake.timer_id});
+    for (const SetTimer& timer : Emitted<SetTimer>()) {
+      if (timer.due <= now_ && timer.due > now_ - 0.01) Handle(TimerFired{timer.timer_id});
     }
     if (step < 3000 && random() % 4 == 0) {
       const int request_class = static_cast<int>(random() % 4);
@@ -160,14 +160,14 @@
     EndBatch();
     CheckActions();
     if (HasFatalFailure()) return;
-    for (const auto& [destination, timeout_at] : new_retry_after_)
-      retry_after_[destination] = std::max(retry_after_[destination], timeout_at);
+    for (const auto& [destination, until] : new_retry_after_)
+      retry_after_[destination] = std::max(retry_after_[destination], until);
     new_retry_after_.clear();
     if (step % 500 == 499) {  // keeps the search for due timers short
       actions_.erase(std::remove_if(actions_.begin(), actions_.end(),
                                     [this](const Action& a) {
-                                      const auto* wake = std::get_if<SetTimer>(&a);
-                                      return wake == nullptr || wake->due < now_;
+                                      const auto* timer = std::get_if<SetTimer>(&a);
+                                      return timer == nullptr || timer->due < now_;
                                     }),
                      actions_.end());
       checked_ = actions_.size();
--- a/tests/decision/rate_limiter_test.cpp
+++ b/tests/decision/rate_limiter_test.cpp
@@ -71,7 +71,7 @@
     EndBatch();
     RunUntil(now_ + 0.05);
   }
-  EXPECT_LT(Emitted<Send>().size(), 45U);  // from half an even share to two: 2.5 to 10 calls a second
+  EXPECT_LT(Emitted<Send>().size(), 45U);  // from half an even share to two: 2.5 to 10 calls per second
   EXPECT_GT(Emitted<Send>().size(), 10U);
 }
 
--- a/tests/decision/recovery_test.cpp
+++ b/tests/decision/recovery_test.cpp
@@ -92,7 +92,7 @@
 }
 
 // While the last endpoint of a destination drains, clients must not be advised to retry immediately.
-TEST_F(RecoveryTest, RetryAfterAdviceIgnoresDrainingEndpoints) {
+TEST_F(RecoveryTest, RetryAfterIgnoresDrainingEndpoints) {
   Settings settings = TestSettings();
   settings.listed_rate_accuracy = ListedRateAccuracy::kExact;
   Start(settings);
--- a/tests/decision/slow_start_test.cpp
+++ b/tests/decision/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Slow start of up to a thousand relays on one fake clock: the calls of all relays to a recovering
+// Slow start of up to a thousand relays on one simulated clock: the calls of all relays to a recovering
 // destination.
 #include <algorithm>
 #include <deque>
@@ -11,7 +11,7 @@
 namespace opalroute::decision {
 namespace {
 
-constexpr double kLimit = 10;        // calls a second, from all relays
+constexpr double kLimit = 10;        // calls per second, from all relays
 constexpr Seconds kOutageEnd = 140;  // the outage lasts from the start of the test, at 100, until then
 constexpr Seconds kTick = 0.01;
 
@@ -48,12 +48,12 @@
     std::vector<Action> actions;
     relay.router.Handle(now_, event, actions);
     for (const Action& action : actions) {
-      if (const auto* wake = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*wake);
+      if (const auto* timer = std::get_if<SetTimer>(&action)) relay.OnSetTimer(*timer);
       if (const auto* send = std::get_if<Send>(&action)) {
         sent_.push_back(now_);
         senders_.push_back(&relay);
         const int attempt = relay.attempts[send->request_id]++;
-        answers_.insert({now_ + 0.05, {&relay, {send->request_id, attempt}}});
+        calls_in_flight_.insert({now_ + 0.05, {&relay, {send->request_id, attempt}}});
       }
     }
   }
@@ -65,9 +65,9 @@
 
   void RunUntil(Seconds time, Outcome outcome) {
     for (; now_ < time; now_ += kTick) {
-      while (!answers_.empty() && answers_.begin()->first <= now_) {
-        const auto [relay, call] = answers_.begin()->second;
-        answers_.erase(answers_.begin());
+      while (!calls_in_flight_.empty() && calls_in_flight_.begin()->first <= now_) {
+        const auto [relay, call] = calls_in_flight_.begin()->second;
+        calls_in_flight_.erase(calls_in_flight_.begin());
         AttemptOutcome outcome_event;
         outcome_event.request_id = call.first;
         outcome_event.attempt = call.second;
@@ -81,9 +81,9 @@
         if (outcome_event.request_ended && refills_requests_) Receive(*relay);
       }
       for (TestRelay& relay : relays_) {
-        const auto wake = relay.TakeDueTimer(now_);
-        if (!wake) continue;
-        Handle(relay, *wake);
+        const auto timer = relay.TakeDueTimer(now_);
+        if (!timer) continue;
+        Handle(relay, *timer);
         Handle(relay, BatchEnd{});
       }
     }
@@ -99,7 +99,7 @@
 
   Seconds now_ = 100;
   std::deque<TestRelay> relays_;
-  std::multimap<Seconds, std::pair<TestRelay*, std::pair<RequestId, int>>> answers_;
+  std::multimap<Seconds, std::pair<TestRelay*, std::pair<RequestId, int>>> calls_in_flight_;
   std::vector<Seconds> sent_;
   std::vector<TestRelay*> senders_;  // of the calls in sent_
   std::set<TestRelay*> informed_;    // relays that saw a call fail or be rejected
--- a/tests/decision/state_transfer_test.cpp
+++ b/tests/decision/state_transfer_test.cpp
@@ -1,5 +1,5 @@
 // State transfer: the state of routes that a relay exports, and the effect of state from other relays, which
-// must only make a relay more careful.
+// must only make a relay more cautious.
 #include <cmath>
 #include <random>
 
@@ -199,8 +199,8 @@
         EndAttempt(in_flight[i].second.request_id, 0, 1, Outcome::kServed, 0, 0.1);
         in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
       }
-      for (const SetTimer& wake : Emitted<SetTimer>())
-        if (wake.due > now_ - 0.01 && wake.due <= now_) Handle(TimerFired{wake.timer_id});
+      for (const SetTimer& timer : Emitted<SetTimer>())
+        if (timer.due > now_ - 0.01 && timer.due <= now_) Handle(TimerFired{timer.timer_id});
       EndBatch();
       const auto sends = Emitted<Send>();
       for (; handled < sends.size(); ++handled) {
--- a/tests/decision/zone_traffic_test.cpp
+++ b/tests/decision/zone_traffic_test.cpp
@@ -18,11 +18,11 @@
   EndBatch();
   ASSERT_EQ(SendsFor(50).size(), 1U);
   EXPECT_EQ(SendsFor(50)[0].endpoint, 3U);
-  RouteState out;
-  out.destination = out.endpoint = 1;
-  out.failure_age = 0;
+  RouteState failing;
+  failing.destination = failing.endpoint = 1;
+  failing.failure_age = 0;
   now_ += 1;
-  Handle(TransferredState{{out}});
+  Handle(TransferredState{{failing}});
   Receive(70, kNonIdempotentClass);
   RunUntil(now_ + 1);
   ASSERT_FALSE(SendsFor(70).empty());
@@ -88,7 +88,7 @@
   Handle(ZoneTrafficShare{1, 0.2, false});
   for (RequestId id = 1; id <= 100; ++id) Receive(id, kIdempotentClass);
   RunUntil(now_ + 3);
-  // This relay's tenth of two thirds of overload_factor times a fifth of 20 calls a second, in 3 s: 1.6
+  // This relay's tenth of two thirds of overload_factor times a fifth of 20 calls per second, in 3 s: 1.6
   // calls, and up to one token saved up.
   EXPECT_LE(Emitted<Send>().size(), 4U);
   EXPECT_GE(Emitted<Send>().size(), 1U);
--- a/tests/simulator/adapter_test.cpp
+++ b/tests/simulator/adapter_test.cpp
@@ -52,7 +52,7 @@
   EXPECT_EQ(adapter.Reply(Batch("1", "")), R"({"decisions":[]})");
 }
 
-TEST(AdapterTest, ARequestIsPlacedUnderItsOwnNames) {
+TEST(AdapterTest, ARequestIsSentUnderTheSimulatorsNames) {
   Adapter adapter;
   adapter.Reply(Batch("1", Attach("courier-3")));
   const auto reply = nlohmann::json::parse(adapter.Reply(Batch("2", Inbound("courier-3", "r-a"))));
