--- a/src/decision/random.h
+++ b/src/decision/random.h
@@ -15,7 +15,7 @@
   std::size_t UniformBelow(std::size_t n);
   // A random number in [0, 1).
   double Uniform();
-  // A random factor around 1 for this relay's waits, so that relays do not retry in step.
+  // A random factor around 1 for this relay's waits, so that relays do not retry at the same time.
   double JitterFactor();
 
  private:
--- a/src/decision/request_router.cpp
+++ b/src/decision/request_router.cpp
@@ -31,9 +31,9 @@
 namespace {
 
 // Owns all parts of the decision library and passes events to them.
-class EventDispatcher {
+class RouterImpl {
  public:
-  explicit EventDispatcher(const Settings& settings) : context_(settings), list_lease_(settings) {}
+  explicit RouterImpl(const Settings& settings) : context_(settings), list_lease_(settings) {}
 
   void Handle(Seconds now, const Event& event, std::vector<Action>& actions) {
     context_.now = now;
@@ -150,9 +150,9 @@
 }  // namespace
 }  // namespace decision
 
-class RequestRouter::Impl : public decision::EventDispatcher {
+class RequestRouter::Impl : public decision::RouterImpl {
  public:
-  using EventDispatcher::EventDispatcher;
+  using RouterImpl::RouterImpl;
 };
 
 RequestRouter::RequestRouter(const Settings& settings) : impl_(std::make_unique<Impl>(settings)) {}
--- a/src/simulator/instance.h
+++ b/src/simulator/instance.h
@@ -17,7 +17,7 @@
 
 namespace opalroute::simulator {
 
-// Its text says in one line what is wrong with the input, and where.
+// Reports invalid input. The message is one line that describes the error and where it is.
 using InputError = config::FieldError;
 
 // An action refers to a request that the instance does not know, or has forgotten.
