--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -42,7 +42,7 @@
   if (request.method == "POST" && command != nullptr) return command->run(request.body);
   const Page* page = FindByPath(pages_, path);
   if (request.method != "GET" || page == nullptr) return net::PlainTextResponse(404, "no such page");
-  return {200, {{"Content-Type", "application/json"}}, page->print() + "\n", 0};
+  return {200, {{"Content-Type", "application/json"}}, page->render() + "\n", 0};
 }
 
 }  // namespace opalroute
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -12,10 +12,10 @@
 
 class AdminServer : private net::HttpServer::Handler {
  public:
-  // GET of `path` is answered with the JSON text that `print` returns.
+  // GET of `path` is answered with the JSON text that `render` returns.
   struct Page {
     std::string path;
-    std::function<std::string()> print;
+    std::function<std::string()> render;
   };
   // POST of `path` is answered with what `run` returns for the request's body.
   struct Command {
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -19,7 +19,7 @@
   std::vector<std::string> errors;  // in the operators' settings
   std::string snapshot_source;      // an address or a state folder
   std::string pool_source;          // an address, or empty
-  ZoneCommand zones;
+  ZonesArguments zones;
   bool as_json = false;
 };
 
--- a/src/cli/pool_command.h
+++ b/src/cli/pool_command.h
@@ -10,7 +10,7 @@
 namespace opalroute::cli {
 
 // `from`: the address of a relay's --admin-listen; if empty, the configuration's `known` list is merged with
-// one answer for each SRV name. Returns the exit status: 0 done, 1 the relay did not answer, 2 the
+// one answer for each SRV name. Returns the exit status: 0 done, 1 the relay did not respond, 2 the
 // arguments or the configuration are invalid; a line on standard error says which.
 int PrintPool(const std::string& from, bool as_json, const OperatorSettings& settings,
               const config::Environment& environment);
--- a/src/cli/zones_command.cpp
+++ b/src/cli/zones_command.cpp
@@ -62,9 +62,9 @@
 }
 
 // Returns the exit status.
-int IssueOverride(const sockaddr_in& relay, const ZoneCommand& command) {
-  nlohmann::json body = {{"zone", command.zone}, {"order", command.override_name}};
-  if (command.duration > 0) body["for_s"] = command.duration;
+int IssueOverride(const sockaddr_in& relay, const ZonesArguments& arguments) {
+  nlohmann::json body = {{"zone", arguments.zone}, {"order", arguments.override_name}};
+  if (arguments.duration > 0) body["for_s"] = arguments.duration;
   const PostResponse response = PostPage(relay, "/zones", body.dump());
   if (response.status == 200) return kOk;
   std::cerr << (response.status == 0 ? "no relay responded (see --admin-listen)\n" : response.text);
@@ -73,19 +73,19 @@
 
 }  // namespace
 
-int Zones(const ZoneCommand& command, bool as_json) {
-  const auto address = net::ParseAddress(command.address);
+int Zones(const ZonesArguments& arguments, bool as_json) {
+  const auto address = net::ParseAddress(arguments.address);
   if (!address) {
-    std::cerr << "'" << command.address << "' is not an address like 127.0.0.1:80\n";
+    std::cerr << "'" << arguments.address << "' is not an address like 127.0.0.1:80\n";
     return kInvalidAddress;
   }
-  if (!command.override_name.empty()) {
-    const int status = IssueOverride(*address, command);
+  if (!arguments.override_name.empty()) {
+    const int status = IssueOverride(*address, arguments);
     if (status != kOk) return status;
   }
   const ordered_json page = FetchPage(*address, "/zones");
   if (!page.is_object()) {
-    std::cerr << "no relay returned its zones at " << command.address
+    std::cerr << "no relay returned its zones at " << arguments.address
               << " (see --admin-listen, --tier-zones)\n";
     return kFailed;
   }
--- a/src/config/limits.h
+++ b/src/config/limits.h
@@ -68,14 +68,14 @@
   double snapshot_save_interval = 0.5;
   int transfer_datagram_peers = 2;       // asked by datagrams at the start ...
   int transfer_datagram_answers = 4;     // ... of which each sends at most this many datagrams
-  double transfer_datagram_timeout = 2;  // answers are accepted for this long after the question
+  double transfer_datagram_timeout = 2;  // answers are accepted for this long after the request
   // DNS
   int dns_attempts = 4;  // of a question, over all servers
   std::size_t dns_concurrent_lookups = 64;
   unsigned short dns_edns_udp_size = 1232;  // the longest datagram that servers are asked to send (EDNS0)
   std::size_t dns_datagram_bytes = 4096;    // the longest datagram that is accepted
   std::size_t dns_tcp_buffer_bytes = std::size_t{128} * 1024;  // of a connection, in each direction
-  double dns_tcp_idle_timeout = 5;                             // of a connection without a pending question
+  double dns_tcp_idle_timeout = 5;                             // of a connection without a pending query
   double dns_min_ttl = 1;                                      // a shorter TTL counts as this ...
   double dns_max_ttl = 3600;                                   // ... and a longer one as this
   double dns_max_negative_ttl = 60;  // the same for 'no such name' and 'no such record'
--- a/src/dns/servers.cpp
+++ b/src/dns/servers.cpp
@@ -8,12 +8,12 @@
 
 namespace {
 
-constexpr double kSmoothingGain = 0.2;                    // weight of the newest answer time
-constexpr Seconds kHalfLife = 60;                         // of a known answer time
+constexpr double kSmoothingGain = 0.2;                    // weight of the newest response time
+constexpr Seconds kHalfLife = 60;                         // of a known response time
 constexpr Seconds kFirstBackoff = 0.5, kMaxBackoff = 30;  // doubled with each consecutive failure
 constexpr Seconds kMinTimeout = 0.2, kMaxTimeout = 2;     // of one attempt
-constexpr Seconds kDefaultTimeout = 0.6;                  // while no answer time is known
-constexpr double kTimeoutFactor = 4;                      // multiple of the smoothed answer time
+constexpr Seconds kDefaultTimeout = 0.6;                  // while no response time is known
+constexpr double kTimeoutFactor = 4;                      // multiple of the smoothed response time
 
 }  // namespace
 
--- a/src/ingress/request_listener.cpp
+++ b/src/ingress/request_listener.cpp
@@ -41,10 +41,10 @@
 }  // namespace
 
 RequestListener::RequestListener(net::EventLoop& loop, const Config& config, Counters& counters,
-                                 RequestHandler& requests)
+                                 RequestHandler& handler)
     : config_(config),
       counters_(counters),
-      requests_(requests),
+      handler_(handler),
       http_(loop,
             config.inherited_fd >= 0 ? net::InheritListener(config.inherited_fd)
                                      : net::OpenListener(config.listen),
@@ -62,15 +62,14 @@
     return request.method == "POST" ? OnRequestPosted(request) : net::PlainTextResponse(405, "POST only");
   if (request.method != "GET") return net::PlainTextResponse(404, "nothing here");
   if (path == "/health/ready")
-    return requests_.Ready() ? net::PlainTextResponse(200, "ready")
-                             : net::PlainTextResponse(503, "not ready");
+    return handler_.Ready() ? net::PlainTextResponse(200, "ready") : net::PlainTextResponse(503, "not ready");
   if (path == "/health/live") return net::PlainTextResponse(200, "alive");
   if (path == "/counters")
     return {200, {{"Content-Type", "application/json"}}, counters_.ToJsonText() + "\n", 0};
   return net::PlainTextResponse(404, "nothing here");
 }
 
-void RequestListener::OnResponseLost(std::uint64_t ticket) { requests_.Abort(ticket); }
+void RequestListener::OnResponseLost(std::uint64_t ticket) { handler_.Abort(ticket); }
 
 net::HttpResponse RequestListener::OnRequestPosted(net::HttpMessage& request) {
   ++counters_.requests;
@@ -83,7 +82,7 @@
   }
   std::uint64_t ticket = 0;
   const int request_class = client_request.request_class;
-  switch (requests_.Accept(std::move(client_request), ticket)) {
+  switch (handler_.Accept(std::move(client_request), ticket)) {
     case AcceptResult::kAccepted:
       return {202, {}, {}, ticket};
     case AcceptResult::kAtCapacity:
@@ -111,9 +110,9 @@
   ++counters_.ForClass(request_class).rejected;
   if (log::IsEnabled(log::Level::debug))
     log::Debug("client_rejected", {{"class", config_.classes[request_class]}, {"why", why}});
-  net::HttpResponse answer = net::PlainTextResponse(503, why);
-  answer.headers.emplace_back("Retry-After", net::FormatSeconds(config_.limits.reject_retry_after));
-  return answer;
+  net::HttpResponse response = net::PlainTextResponse(503, why);
+  response.headers.emplace_back("Retry-After", net::FormatSeconds(config_.limits.reject_retry_after));
+  return response;
 }
 
 std::string RequestListener::ParseRequest(net::HttpMessage& request, ClientRequest& out) const {
--- a/src/ingress/request_listener.h
+++ b/src/ingress/request_listener.h
@@ -38,7 +38,8 @@
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
-  // Sets `ticket` if the request is newly accepted; a repeated request leaves it unchanged.
+  // Sets `ticket`, by which Abort finds the request, if it is newly accepted; a repeated request leaves it
+  // unchanged.
   virtual AcceptResult Accept(ClientRequest&& request, std::uint64_t& ticket) = 0;
   // The client disconnected before the whole response was written to it.
   virtual void Abort(std::uint64_t ticket) = 0;
@@ -48,7 +49,7 @@
 
 class RequestListener : private net::HttpServer::Handler {
  public:
-  RequestListener(net::EventLoop& loop, const Config& config, Counters& counters, RequestHandler& requests);
+  RequestListener(net::EventLoop& loop, const Config& config, Counters& counters, RequestHandler& handler);
 
   net::HttpServer& http() { return http_; }
 
@@ -63,7 +64,7 @@
 
   const Config& config_;
   Counters& counters_;
-  RequestHandler& requests_;
+  RequestHandler& handler_;
   net::HttpServer http_;
 };
 
--- a/src/ingress/server_bounds.h
+++ b/src/ingress/server_bounds.h
@@ -1,5 +1,5 @@
-// The bounds of the HTTP server for clients. The operators' server starts from the same bounds and tightens
-// some of them.
+// The bounds of the HTTP server for clients. The admin server starts from the same bounds and tightens some
+// of them.
 #pragma once
 
 #include "config/limits.h"
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,8 @@
 // Structured logging on top of spdlog: each line has an event name and key-value fields, as text or as JSON.
 //
-// Text:  2026-12-01 12:00:00.000 info  pool_left_out endpoint=e1 zone="first floor"
-// JSON:  {"time":"2026-12-01T12:00:00.000+00:00","level":"info","event":"pool_left_out","endpoint":"e1",...}
+// Text:  2026-12-01 12:00:00.000 info  endpoint_ignored endpoint=e1 zone="first floor"
+// JSON:
+// {"time":"2026-12-01T12:00:00.000+00:00","level":"info","event":"endpoint_ignored","endpoint":"e1",...}
 // Values may hold any bytes: invalid UTF-8 is replaced, and control characters are escaped, so that a value
 // can't forge a log line.
 #pragma once
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -15,7 +15,7 @@
     timer_ = loop_.At(loop_.Now() + notifier_.limits_.notification_attempt_timeout, [this] {
       timer_ = 0;
       notifier_.client_.Abandon(*this);
-      notifier_.OnNoResponse(*this, "no response in time");
+      notifier_.OnAttemptFailed(*this, "no response in time");
     });
   }
   // A retired attempt may be destroyed after its notifier, so the timer is cancelled through the loop itself.
@@ -34,9 +34,9 @@
     for (std::size_t i = 0; i < lines_; ++i) body += notifier_.queue_[i].line + "\n";
     return net::FormatRequest("POST", "/v1/notices", {{"Host", net::FormatAddress(notifier_.to_)}}, body);
   }
-  void OnResponse(net::HttpMessage& answer) override { notifier_.OnAnswer(*this, answer.status); }
+  void OnResponse(net::HttpMessage& response) override { notifier_.OnResponse(*this, response.status); }
   void OnFailure(net::HttpClient::Failure, int) override {
-    notifier_.OnNoResponse(*this, "connection failed");
+    notifier_.OnAttemptFailed(*this, "connection failed");
   }
 
   net::EventLoop& loop_;
@@ -95,14 +95,14 @@
   });
 }
 
-void FailureNotifier::OnAnswer(Attempt& attempt, int status) {
+void FailureNotifier::OnResponse(Attempt& attempt, int status) {
   constexpr int kNoContent = 204;
   constexpr int kBadRequest = 400;
   const std::size_t lines = attempt.lines();
   const bool unreadable = status == kBadRequest;
   if (status != kNoContent && !(unreadable && lines == 1)) {
     one_by_one_ = true;  // until one is acknowledged
-    OnNoResponse(attempt, ("unexpected status " + std::to_string(status)).c_str());
+    OnAttemptFailed(attempt, ("unexpected status " + std::to_string(status)).c_str());
     return;
   }
   // A single line that the platform rejects as malformed is dropped: retrying can't succeed and would block
@@ -120,7 +120,7 @@
   if (attempts_.empty() && next_attempt_ == 0) Send();
 }
 
-void FailureNotifier::OnNoResponse(Attempt& attempt, const char* why) {
+void FailureNotifier::OnAttemptFailed(Attempt& attempt, const char* why) {
   Remove(attempt);
   ScheduleRetry(why);
 }
--- a/src/notification/failure_notifier.h
+++ b/src/notification/failure_notifier.h
@@ -45,8 +45,8 @@
   void Send();
   void SendAfter(net::Seconds delay);
   void AbandonAll();
-  void OnAnswer(Attempt& attempt, int status);
-  void OnNoResponse(Attempt& attempt, const char* why);
+  void OnResponse(Attempt& attempt, int status);
+  void OnAttemptFailed(Attempt& attempt, const char* why);
   void ScheduleRetry(const char* why);
   void Remove(Attempt& attempt);
 
--- a/src/relay/endpoint_table.cpp
+++ b/src/relay/endpoint_table.cpp
@@ -58,7 +58,7 @@
   return it->second;
 }
 
-nlohmann::ordered_json EndpointTable::Print() const {
+nlohmann::ordered_json EndpointTable::ToJson() const {
   std::vector<const Endpoint*> listed;
   for (const auto& [id, endpoint] : endpoints_)
     if (endpoint.listed) listed.push_back(&endpoint);
--- a/src/relay/endpoint_table.h
+++ b/src/relay/endpoint_table.h
@@ -63,9 +63,9 @@
   bool Serves(DestinationId destination) const { return destinations_.count(destination) > 0; }
   const ListVersion& version() const { return version_; }
   bool empty() const { return destinations_.empty(); }
-  // The listed endpoints in the format of MergedEndpointSource::Print, for relays without other endpoint
+  // The listed endpoints in the format of MergedEndpointSource::ToJson, for relays without other endpoint
   // sources.
-  nlohmann::ordered_json Print() const;
+  nlohmann::ordered_json ToJson() const;
 
   // Lists keep naming new endpoints, so unlisted ones are removed to bound the table. The decision module
   // drops a removed endpoint at the end of a batch if no call or health check to it is in flight: Forget
--- a/src/relay/membership_host.cpp
+++ b/src/relay/membership_host.cpp
@@ -169,7 +169,7 @@
   }
 }
 
-nlohmann::ordered_json MembershipHost::Print() const {
+nlohmann::ordered_json MembershipHost::ToJson() const {
   return ZonesPage(loop_.Now(), config_.name, config_.zones, failover_, traffic_);
 }
 
--- a/src/relay/membership_host.h
+++ b/src/relay/membership_host.h
@@ -63,7 +63,7 @@
   bool HasJoined() const { return failover_.HasJoined(loop_.Now()); }
 
   // The content of GET /zones.
-  nlohmann::ordered_json Print() const;
+  nlohmann::ordered_json ToJson() const;
 
  private:
   static zone_failover::FailoverOptions OptionsOf(const Config& config,
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -62,7 +62,7 @@
   if (config.peer_listen) {
     StartUnlessUnsupported("gossip between relays", [this] { peers_.Listen(); });
   }
-  if (settings.admin_listen) StartUnlessUnsupported("operators' pages", [this] { StartAdminServer(); });
+  if (settings.admin_listen) StartUnlessUnsupported("admin pages", [this] { StartAdminServer(); });
   if (IsHotRestart()) {
     retry_after_sharing_ = std::make_unique<RetryAfterSharing>(
         config, clock_, endpoints_, decisions_, process_lock_.own_slot(), process_lock_.other_slot());
@@ -83,9 +83,9 @@
 
 void Relay::StartAdminServer() {
   AdminServer::Pages pages;
-  pages.push_back({"/pool", [this] { return PrintEndpoints(); }});
+  pages.push_back({"/pool", [this] { return EndpointsJson(); }});
   pages.push_back({"/counters", [this] { return counters_.ToJsonText(); }});
-  pages.push_back({"/zones", [this] { return PrintZones(); }});
+  pages.push_back({"/zones", [this] { return ZonesJson(); }});
   AdminServer::Commands commands;
   commands.push_back({"/zones", [this](const std::string& body) { return OnZoneCommand(body); }});
   admin_ = std::make_unique<AdminServer>(loop_, *settings_.admin_listen, config_.limits, std::move(pages),
@@ -231,12 +231,12 @@
   });
 }
 
-std::string Relay::PrintEndpoints() const {
-  return merged_source_ ? merged_source_->ToJson().dump() : endpoints_.Print().dump();
+std::string Relay::EndpointsJson() const {
+  return merged_source_ ? merged_source_->ToJson().dump() : endpoints_.ToJson().dump();
 }
 
-std::string Relay::PrintZones() const {
-  return membership_ ? membership_->Print().dump() : nlohmann::ordered_json().dump();
+std::string Relay::ZonesJson() const {
+  return membership_ ? membership_->ToJson().dump() : nlohmann::ordered_json().dump();
 }
 
 // ---- decisions -----------------------------------------------------------------------------------
--- a/src/relay/relay.h
+++ b/src/relay/relay.h
@@ -109,8 +109,8 @@
   void JoinFleet();
   void ApplyCachedList();
   net::HttpResponse OnZoneCommand(const std::string& body);
-  std::string PrintEndpoints() const;
-  std::string PrintZones() const;
+  std::string EndpointsJson() const;
+  std::string ZonesJson() const;
 
   bool IsReady() const;
   bool IsHotRestart() const { return config_.inherited_fd >= 0; }
--- a/src/relay/request_recovery.cpp
+++ b/src/relay/request_recovery.cpp
@@ -11,14 +11,14 @@
 namespace opalroute {
 namespace {
 
-constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr double kMicrosPerSecond = 1e6;
 
 // An attempt dated in the future was recorded before a reboot, while the wall clock was ahead. Its age is
 // unknown, so its deduplication window must not be taken for open.
 Seconds AgeOf(const JournalAttempt& attempt, std::int64_t now) {
   constexpr Seconds kUnknownAge = 1e9;
   if (attempt.sent_at > now) return kUnknownAge;
-  return static_cast<double>(now - attempt.sent_at) / kMicrosecondsPerSecond;
+  return static_cast<double>(now - attempt.sent_at) / kMicrosPerSecond;
 }
 
 }  // namespace
@@ -104,7 +104,7 @@
   request.destination = entry.destination;
   const int tenant = IndexOf(dependencies_.config.tenants, entry.tenant);
   if (tenant >= 0) request.tenant = tenant;
-  request.remaining_time = std::clamp(static_cast<double>(entry.deadline - now) / kMicrosecondsPerSecond, 0.0,
+  request.remaining_time = std::clamp(static_cast<double>(entry.deadline - now) / kMicrosPerSecond, 0.0,
                                       dependencies_.config.limits.max_remaining_time);
   request.request_id = dependencies_.requests.Recover(entry, request.remaining_time);
   return request;
--- a/src/relay/retry_after_sharing.cpp
+++ b/src/relay/retry_after_sharing.cpp
@@ -8,7 +8,7 @@
 namespace opalroute {
 namespace {
 
-constexpr double kMicrosecondsPerSecond = 1e6;
+constexpr double kMicrosPerSecond = 1e6;
 
 // Identifies an endpoint with limits of its own in both processes, whose endpoint numbers differ.
 struct EndpointKey {
@@ -33,7 +33,7 @@
 void RetryAfterSharing::Publish(EndpointId id, Seconds retry_after) {
   const EndpointTable::Endpoint& endpoint = endpoints_.At(id);
   const bool has_own_limits = config_.settings.kinds[endpoint.kind].limits_per_endpoint;
-  const double duration_us = (retry_after + config_.settings.tick) * kMicrosecondsPerSecond;
+  const double duration_us = (retry_after + config_.settings.tick) * kMicrosPerSecond;
   hot_restart::SharedRetryAfter shared;
   shared.destination = endpoint.destination;
   shared.name_hash = has_own_limits ? endpoint.listed_endpoint.name_hash : 0;
@@ -63,7 +63,7 @@
   for (const hot_restart::SharedRetryAfter& shared : active) {
     RouteState state;
     state.destination = shared.destination;
-    state.retry_after = static_cast<double>(shared.until - now) / kMicrosecondsPerSecond;
+    state.retry_after = static_cast<double>(shared.until - now) / kMicrosPerSecond;
     if (shared.name_hash != 0) {
       const auto endpoint = listed.find({shared.destination, shared.name_hash});
       if (endpoint == listed.end()) continue;
--- a/src/relay/upstream_calls.cpp
+++ b/src/relay/upstream_calls.cpp
@@ -59,21 +59,21 @@
 void UpstreamCalls::Enqueue(const Send& send) {
   AcceptedRequest* request = requests_.Find(send.request_id);
   if (request == nullptr) return;
-  UpstreamCall::Member member;
-  member.request_id = send.request_id;
-  member.attempt = static_cast<int>(request->journal_attempts.size());
-  member.send_deadline = send.send_deadline;
-  member.timeout_at = send.timeout_at > 0 ? std::min(send.timeout_at, request->deadline) : request->deadline;
-  member.id = request->id;
-  member.key = request->key;
-  member.body = request->body;
+  UpstreamCall::Attempt attempt;
+  attempt.request_id = send.request_id;
+  attempt.number = static_cast<int>(request->journal_attempts.size());
+  attempt.send_deadline = send.send_deadline;
+  attempt.timeout_at = send.timeout_at > 0 ? std::min(send.timeout_at, request->deadline) : request->deadline;
+  attempt.id = request->id;
+  attempt.key = request->key;
+  attempt.body = request->body;
   request->journal_attempts.push_back(-1);
   ++request->attempts_in_flight;
   const EndpointKind& kind = config_.settings.kinds[endpoints_.At(send.endpoint).kind];
   std::vector<Batch>& batches = queued_[send.endpoint];
   if (batches.empty() || batches.back().size() >= static_cast<std::size_t>(std::max(1, kind.max_batch)))
     batches.emplace_back();
-  batches.back().push_back(std::move(member));
+  batches.back().push_back(std::move(attempt));
 }
 
 void UpstreamCalls::Start() {
@@ -86,63 +86,62 @@
   if (it != attempts_.end()) it->second->Cancel(cancel.request_id, cancel.attempt);
 }
 
-void UpstreamCalls::StartCall(EndpointId endpoint, Batch members) {
+void UpstreamCalls::StartCall(EndpointId endpoint, Batch batch) {
   ++counters_.calls;
-  counters_.attempts += static_cast<long>(members.size());
+  counters_.attempts += static_cast<long>(batch.size());
   UpstreamCall::Owner& owner = *this;
   EndpointTable::Endpoint& to = endpoints_.At(endpoint);
   ++to.calls_in_flight;
-  auto owned =
-      std::make_unique<UpstreamCall>(loop_, client_, endpoint, to.address, std::move(members), owner);
+  auto owned = std::make_unique<UpstreamCall>(loop_, client_, endpoint, to.address, std::move(batch), owner);
   UpstreamCall* call = owned.get();
   calls_.emplace(call, std::move(owned));
-  for (const UpstreamCall::Member& m : call->members()) attempts_[{m.request_id, m.attempt}] = call;
+  for (const UpstreamCall::Attempt& a : call->attempts()) attempts_[{a.request_id, a.number}] = call;
   call->Start();
 }
 
 // Returns why the attempt must not be sent any more, or null. While the call was waiting for its connection,
 // the endpoint may have started draining, a Retry-After may have arrived, or the deduplication window may
 // have ended.
-const char* UpstreamCalls::ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+const char* UpstreamCalls::ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Attempt& attempt,
                                            const AcceptedRequest& request) const {
   const Seconds now = loop_.Now();
   if (request.ended) return "the request has ended";
-  if (member.timeout_at <= now) return "the attempt has timed out";
-  if (member.send_deadline <= now) return "the deduplication window has ended";
+  if (attempt.timeout_at <= now) return "the attempt has timed out";
+  if (attempt.send_deadline <= now) return "the deduplication window has ended";
   if (!decisions_.router().MaySend(now, call.endpoint()))
     return "the endpoint is draining or removed, or a Retry-After is in force";
   return nullptr;
 }
 
 void UpstreamCalls::LogSendDecision(const char* event, const UpstreamCall& call,
-                                    const UpstreamCall::Member& member, const char* why) const {
+                                    const UpstreamCall::Attempt& attempt, const char* why) const {
   if (!log::IsEnabled(log::Level::debug)) return;
   const EndpointTable::ListVersion& list = endpoints_.version();
-  log::Debug(event, {{"id", member.id},
-                     {"attempt", member.attempt},
+  log::Debug(event, {{"id", attempt.id},
+                     {"attempt", attempt.number},
                      {"endpoint", endpoints_.At(call.endpoint()).id},
                      {"why", why},
                      {"generation", list.generation},
                      {"list_age_ms", std::lround((loop_.Now() - list.updated_at) * kMillisecondsPerSecond)}});
 }
 
-bool UpstreamCalls::MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) {
-  const char* why = ReasonNotToSend(call, member, requests_.At(member.request_id));
+bool UpstreamCalls::MaySend(const UpstreamCall& call, const UpstreamCall::Attempt& attempt) {
+  const char* why = ReasonNotToSend(call, attempt, requests_.At(attempt.request_id));
   if (why == nullptr) return true;
   ++counters_.withheld;
-  LogSendDecision("attempt_not_sent", call, member, why);
+  LogSendDecision("attempt_not_sent", call, attempt, why);
   return false;
 }
 
 // An attempt must be recorded before it is sent: otherwise a restarted relay would not know of it.
-bool UpstreamCalls::RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) {
+bool UpstreamCalls::RecordAttempt(const UpstreamCall& call, const UpstreamCall::Attempt& attempt) {
   const EndpointTable::Endpoint& endpoint = endpoints_.At(call.endpoint());
-  JournalAttempt attempt;
-  attempt.endpoint = endpoint.id;
-  attempt.zone = config_.zones.empty() ? "" : config_.zones[endpoint.zone];
-  attempt.sent_at = clock_.Micros();
-  const bool recorded = requests_.RecordAttempt(requests_.At(member.request_id), member.attempt, attempt);
-  LogSendDecision(recorded ? "attempt_sent" : "attempt_not_sent", call, member,
+  JournalAttempt record;
+  record.endpoint = endpoint.id;
+  record.zone = config_.zones.empty() ? "" : config_.zones[endpoint.zone];
+  record.sent_at = clock_.Micros();
+  const bool recorded = requests_.RecordAttempt(requests_.At(attempt.request_id), attempt.number, record);
+  LogSendDecision(recorded ? "attempt_sent" : "attempt_not_sent", call, attempt,
                   recorded ? "chosen" : "the journal write failed");
   return recorded;
 }
@@ -172,10 +171,10 @@
   return counters_.not_sent;
 }
 
-void UpstreamCalls::OnOutcome(const UpstreamCall&, const UpstreamCall::Member& member,
+void UpstreamCalls::OnOutcome(const UpstreamCall&, const UpstreamCall::Attempt& attempt,
                               const AttemptOutcome& outcome) {
-  AcceptedRequest& request = requests_.At(member.request_id);
-  attempts_.erase({member.request_id, member.attempt});
+  AcceptedRequest& request = requests_.At(attempt.request_id);
+  attempts_.erase({attempt.request_id, attempt.number});
   --request.attempts_in_flight;
   ++CounterOf(outcome.outcome);
   if (outcome.retry_after > 0) on_retry_after_(outcome.endpoint, outcome.retry_after);
@@ -186,10 +185,10 @@
     if (outcome.outcome == Outcome::kServed) counters_.CountDelivered(request.request_class);
     requests_.End(request);
   } else if (!request.ended && decision::ProvesNeverRan(outcome.outcome)) {
-    requests_.RecordNotExecuted(request, member.attempt);
+    requests_.RecordNotExecuted(request, attempt.number);
   }
   decisions_.Post(event);
-  requests_.RemoveIfDone(member.request_id);
+  requests_.RemoveIfDone(attempt.request_id);
 }
 
 void UpstreamCalls::LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const {
--- a/src/relay/upstream_calls.h
+++ b/src/relay/upstream_calls.h
@@ -23,7 +23,7 @@
 
 class UpstreamCalls : private UpstreamCall::Owner {
  public:
-  // `on_call_ended` is called when a call has ended, `on_retry_after` when an endpoint has answered with a
+  // `on_call_ended` is called when a call has ended, `on_retry_after` when an endpoint has sent a
   // Retry-After (in seconds).
   UpstreamCalls(net::EventLoop& loop, const PersistentClock& clock, net::HttpClient& client,
                 const Config& config, Counters& counters, EndpointTable& endpoints, RequestTable& requests,
@@ -43,21 +43,21 @@
   std::size_t in_flight() const { return calls_.size(); }
 
  private:
-  using Batch = std::vector<UpstreamCall::Member>;
+  using Batch = std::vector<UpstreamCall::Attempt>;
 
-  bool MaySend(const UpstreamCall& call, const UpstreamCall::Member& member) override;
-  bool RecordAttempt(const UpstreamCall& call, const UpstreamCall::Member& member) override;
-  void OnOutcome(const UpstreamCall& call, const UpstreamCall::Member& member,
+  bool MaySend(const UpstreamCall& call, const UpstreamCall::Attempt& attempt) override;
+  bool RecordAttempt(const UpstreamCall& call, const UpstreamCall::Attempt& attempt) override;
+  void OnOutcome(const UpstreamCall& call, const UpstreamCall::Attempt& attempt,
                  const AttemptOutcome& outcome) override;
   void OnWritten(int requests) override { counters_.requests_written += requests; }
   void OnServedLate(RequestId request) override;
   void OnCallEnded(UpstreamCall& call) override;
-  void StartCall(EndpointId endpoint, Batch members);
-  const char* ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Member& member,
+  void StartCall(EndpointId endpoint, Batch batch);
+  const char* ReasonNotToSend(const UpstreamCall& call, const UpstreamCall::Attempt& attempt,
                               const AcceptedRequest& request) const;
   long& CounterOf(Outcome outcome);
   void LogOutcome(const AcceptedRequest& request, const AttemptOutcome& outcome) const;
-  void LogSendDecision(const char* event, const UpstreamCall& call, const UpstreamCall::Member& member,
+  void LogSendDecision(const char* event, const UpstreamCall& call, const UpstreamCall::Attempt& attempt,
                        const char* why) const;
 
   net::EventLoop& loop_;
--- a/src/upstream/health_check_call.cpp
+++ b/src/upstream/health_check_call.cpp
@@ -54,8 +54,8 @@
   return endpoint_protocol::FormatHealthCheck(to_);
 }
 
-void HealthCheckCall::OnResponse(net::HttpMessage& answer) {
-  Finish(endpoint_protocol::HealthCheckOutcomeOf(answer), endpoint_protocol::LoadReportOf(answer));
+void HealthCheckCall::OnResponse(net::HttpMessage& response) {
+  Finish(endpoint_protocol::HealthCheckOutcomeOf(response), endpoint_protocol::LoadReportOf(response));
 }
 
 void HealthCheckCall::OnFailure(net::HttpClient::Failure how, int) { Finish(OutcomeOf(how)); }
--- a/src/upstream/health_check_call.h
+++ b/src/upstream/health_check_call.h
@@ -26,7 +26,7 @@
 
  private:
   std::string OnReady() override;
-  void OnResponse(net::HttpMessage& answer) override;
+  void OnResponse(net::HttpMessage& response) override;
   void OnFailure(net::HttpClient::Failure how, int status) override;
   void Finish(Outcome outcome, const LoadReport& report = {});
 
--- a/src/upstream/upstream_call.cpp
+++ b/src/upstream/upstream_call.cpp
@@ -21,117 +21,119 @@
 }  // namespace
 
 UpstreamCall::UpstreamCall(net::EventLoop& loop, HttpClient& client, EndpointId endpoint,
-                           const sockaddr_in& to, std::vector<Member> members, Owner& owner)
+                           const sockaddr_in& to, std::vector<Attempt> attempts, Owner& owner)
     : loop_(loop),
       client_(client),
       endpoint_(endpoint),
       to_(to),
-      members_(std::move(members)),
+      attempts_(std::move(attempts)),
       owner_(owner),
       started_(loop.Now()) {}
 
 UpstreamCall::~UpstreamCall() {
-  for (Member& member : members_) loop_.Cancel(member.timer);
+  for (Attempt& attempt : attempts_) loop_.Cancel(attempt.timer);
   if (!ended_) client_.Abandon(*this);
 }
 
 void UpstreamCall::Start() {
-  for (Member& started : members_) {
-    Member* member = &started;
-    member->timer = loop_.At(member->timeout_at, [this, member] {
-      member->timer = 0;
-      Abandon(*member, Outcome::kTimeout, Outcome::kConnectFailed);
+  for (Attempt& started : attempts_) {
+    Attempt* attempt = &started;
+    attempt->timer = loop_.At(attempt->timeout_at, [this, attempt] {
+      attempt->timer = 0;
+      Abandon(*attempt, Outcome::kTimeout, Outcome::kConnectFailed);
     });
   }
   client_.Start({to_, endpoint_}, *this);
 }
 
 void UpstreamCall::Cancel(RequestId request, int attempt) {
-  const auto member = std::find_if(members_.begin(), members_.end(), [&](const Member& candidate) {
-    return candidate.request_id == request && candidate.attempt == attempt;
+  const auto found = std::find_if(attempts_.begin(), attempts_.end(), [&](const Attempt& candidate) {
+    return candidate.request_id == request && candidate.number == attempt;
   });
-  if (member != members_.end()) Abandon(*member, Outcome::kCancelled, Outcome::kNotSent);
+  if (found != attempts_.end()) Abandon(*found, Outcome::kCancelled, Outcome::kNotSent);
 }
 
-// Gives up one member. The connection is given up only with the last pending member; a call that had not been
-// written completely by then has not run.
-void UpstreamCall::Abandon(Member& member, Outcome if_written, Outcome if_not_written) {
-  if (ended_ || !member.pending) return;
-  const bool last = PendingMembers().size() == 1;
+// Gives up one attempt. The connection is given up only with the last pending attempt; a call that had not
+// been written completely by then has not run.
+void UpstreamCall::Abandon(Attempt& attempt, Outcome if_written, Outcome if_not_written) {
+  if (ended_ || !attempt.pending) return;
+  const bool last = PendingAttempts().size() == 1;
   const auto state = last ? client_.Abandon(*this) : HttpClient::CallProgress{send_started_, 0};
   const bool served = state.status == kHttpOk && !is_batch_;
   const Outcome outcome = state.written ? if_written : if_not_written;
-  Complete(member, {served ? Outcome::kServed : outcome});
+  Complete(attempt, {served ? Outcome::kServed : outcome});
   EndIfAllComplete();
 }
 
 std::string UpstreamCall::OnReady() {
-  WithholdUnsendableMembers();
-  std::vector<const Member*> members = PendingMembers();
-  if (members.empty()) {
+  WithholdUnsendableAttempts();
+  std::vector<const Attempt*> attempts = PendingAttempts();
+  if (attempts.empty()) {
     EndIfAllComplete();
     return {};
   }
   send_started_ = true;
-  requests_sent_ = static_cast<int>(members.size());
-  is_batch_ = members.size() > 1;
+  requests_sent_ = static_cast<int>(attempts.size());
+  is_batch_ = attempts.size() > 1;
   // The platform ends a call at the timeout of its first request, and a response after that is late for all
   // of them. So the request with the latest timeout goes first, and the call states that timeout.
-  std::stable_sort(members.begin(), members.end(),
-                   [](const Member* a, const Member* b) { return a->timeout_at > b->timeout_at; });
-  const long remaining_ms = WholeMilliseconds(members.front()->timeout_at - loop_.Now());
+  std::stable_sort(attempts.begin(), attempts.end(),
+                   [](const Attempt* a, const Attempt* b) { return a->timeout_at > b->timeout_at; });
+  const long remaining_ms = WholeMilliseconds(attempts.front()->timeout_at - loop_.Now());
   stated_timeout_at_ = loop_.Now() + static_cast<double>(remaining_ms) / kMillisecondsPerSecond;
-  return FormatRequests(members, remaining_ms);
+  return FormatRequests(attempts, remaining_ms);
 }
 
-void UpstreamCall::WithholdUnsendableMembers() {
-  for (Member& member : members_) {
-    if (member.pending && !owner_.MaySend(*this, member)) Complete(member, {Outcome::kNotSent});
+void UpstreamCall::WithholdUnsendableAttempts() {
+  for (Attempt& attempt : attempts_) {
+    if (attempt.pending && !owner_.MaySend(*this, attempt)) Complete(attempt, {Outcome::kNotSent});
   }
-  for (Member& member : members_) {
-    if (member.pending && !owner_.RecordAttempt(*this, member)) Complete(member, {Outcome::kLocalShortage});
+  for (Attempt& attempt : attempts_) {
+    if (attempt.pending && !owner_.RecordAttempt(*this, attempt))
+      Complete(attempt, {Outcome::kLocalShortage});
   }
 }
 
-std::vector<const UpstreamCall::Member*> UpstreamCall::PendingMembers() const {
-  std::vector<const Member*> pending;
-  for (const Member& member : members_) {
-    if (member.pending) pending.push_back(&member);
+std::vector<const UpstreamCall::Attempt*> UpstreamCall::PendingAttempts() const {
+  std::vector<const Attempt*> pending;
+  for (const Attempt& attempt : attempts_) {
+    if (attempt.pending) pending.push_back(&attempt);
   }
   return pending;
 }
 
-std::string UpstreamCall::FormatRequests(const std::vector<const Member*>& members, long remaining_ms) const {
-  if (!is_batch_) return endpoint_protocol::FormatCall(to_, *members.front(), remaining_ms);
-  const std::vector<const endpoint_protocol::OutgoingRequest*> requests(members.begin(), members.end());
+std::string UpstreamCall::FormatRequests(const std::vector<const Attempt*>& attempts,
+                                         long remaining_ms) const {
+  if (!is_batch_) return endpoint_protocol::FormatCall(to_, *attempts.front(), remaining_ms);
+  const std::vector<const endpoint_protocol::OutgoingRequest*> requests(attempts.begin(), attempts.end());
   return endpoint_protocol::FormatBatchCall(to_, requests, remaining_ms);
 }
 
 bool UpstreamCall::StatusSuffices(int status) {
   if (status != kHttpOk || is_batch_) return false;
-  answered_at_ = loop_.Now();
+  responded_at_ = loop_.Now();
   return true;
 }
 
-void UpstreamCall::OnResponse(net::HttpMessage& answer) {
-  const Seconds retry_after = endpoint_protocol::RetryAfterOf(answer);
-  report_ = endpoint_protocol::LoadReportOf(answer);
-  if (answered_at_ < 0) answered_at_ = loop_.Now();
-  if (answer.status == kHttpOk && is_batch_) {
-    OnBatchResponse(answer, retry_after);
+void UpstreamCall::OnResponse(net::HttpMessage& response) {
+  const Seconds retry_after = endpoint_protocol::RetryAfterOf(response);
+  report_ = endpoint_protocol::LoadReportOf(response);
+  if (responded_at_ < 0) responded_at_ = loop_.Now();
+  if (response.status == kHttpOk && is_batch_) {
+    OnBatchResponse(response, retry_after);
   } else {
-    CompleteAll(endpoint_protocol::ResultOf(to_, answer), retry_after);
+    CompleteAll(endpoint_protocol::ResultOf(to_, response), retry_after);
   }
 }
 
 void UpstreamCall::OnBatchResponse(const net::HttpMessage& response, Seconds retry_after) {
   endpoint_protocol::BatchStates states = endpoint_protocol::ParseBatchStates(to_, response);
-  for (Member& member : members_) {
-    const AttemptResult result = endpoint_protocol::ResultOfBatchState(states[member.id]);
-    if (member.pending) {
-      Complete(member, result, retry_after);
+  for (Attempt& attempt : attempts_) {
+    const AttemptResult result = endpoint_protocol::ResultOfBatchState(states[attempt.id]);
+    if (attempt.pending) {
+      Complete(attempt, result, retry_after);
     } else if (result.outcome == Outcome::kServed) {
-      owner_.OnServedLate(member.request_id);
+      owner_.OnServedLate(attempt.request_id);
     }
   }
   EndIfAllComplete();
@@ -147,34 +149,34 @@
 }
 
 void UpstreamCall::CompleteAll(AttemptResult result, Seconds retry_after) {
-  for (Member& member : members_) Complete(member, result, retry_after);
+  for (Attempt& attempt : attempts_) Complete(attempt, result, retry_after);
   EndIfAllComplete();
 }
 
-void UpstreamCall::Complete(Member& member, AttemptResult result, Seconds retry_after) {
-  if (!member.pending) return;
+void UpstreamCall::Complete(Attempt& attempt, AttemptResult result, Seconds retry_after) {
+  if (!attempt.pending) return;
   // The event loop reads sockets before it runs timers, so a response may be read in the iteration in which
   // its timeout expired. The platform treats that response as late and goes on waiting for an outcome, so it
   // must not count as served.
-  const bool late = answered_at_ >= std::min(member.timeout_at, stated_timeout_at_);
+  const bool late = responded_at_ >= std::min(attempt.timeout_at, stated_timeout_at_);
   if (result.outcome == Outcome::kServed && late) result = {Outcome::kTimeout};
-  member.pending = false;
-  loop_.Cancel(member.timer);
+  attempt.pending = false;
+  loop_.Cancel(attempt.timer);
   AttemptOutcome outcome;
-  outcome.request_id = member.request_id;
-  outcome.attempt = member.attempt;
+  outcome.request_id = attempt.request_id;
+  outcome.attempt = attempt.number;
   outcome.endpoint = endpoint_;
   outcome.outcome = result.outcome;
   outcome.duration = loop_.Now() - started_;
   outcome.retry_after = result.outcome == Outcome::kRejected ? retry_after : 0;
   outcome.request_ended = result.request_ended || result.outcome == Outcome::kServed;
   outcome.load_report = report_;
-  owner_.OnOutcome(*this, member, outcome);
+  owner_.OnOutcome(*this, attempt, outcome);
 }
 
 void UpstreamCall::EndIfAllComplete() {
   const bool pending =
-      std::any_of(members_.begin(), members_.end(), [](const Member& member) { return member.pending; });
+      std::any_of(attempts_.begin(), attempts_.end(), [](const Attempt& attempt) { return attempt.pending; });
   if (ended_ || pending) return;
   ended_ = true;
   owner_.OnCallEnded(*this);
--- a/src/upstream/upstream_call.h
+++ b/src/upstream/upstream_call.h
@@ -15,10 +15,10 @@
 
 class UpstreamCall : private net::HttpClient::Call {
  public:
-  // One request of the call.
-  struct Member : endpoint_protocol::OutgoingRequest {
+  // An attempt of one request, with what is sent of the request.
+  struct Attempt : endpoint_protocol::OutgoingRequest {
     RequestId request_id = 0;
-    int attempt = 0;
+    int number = 0;  // among the attempts of the request, from 0
     Seconds timeout_at = 0;
     Seconds send_deadline = 0;  // must not be sent at or after this time
     bool pending = true;        // no outcome yet
@@ -29,54 +29,56 @@
    public:
     virtual ~Owner() = default;
     // Called just before the first byte is sent. Returns false if the attempt must no longer be sent.
-    virtual bool MaySend(const UpstreamCall& call, const Member& member) = 0;
+    virtual bool MaySend(const UpstreamCall& call, const Attempt& attempt) = 0;
     // Called after MaySend. Returns false if the attempt could not be recorded; it is then not sent.
-    virtual bool RecordAttempt(const UpstreamCall& call, const Member& member) = 0;
+    virtual bool RecordAttempt(const UpstreamCall& call, const Attempt& attempt) = 0;
     // All bytes of the call have been written to the connection; it carries this many requests.
     virtual void OnWritten(int requests) = 0;
-    // Called once for each member.
-    virtual void OnOutcome(const UpstreamCall& call, const Member& member, const AttemptOutcome& outcome) = 0;
+    // Called once for each attempt.
+    virtual void OnOutcome(const UpstreamCall& call, const Attempt& attempt,
+                           const AttemptOutcome& outcome) = 0;
     // The endpoint has served a request whose outcome had already been reported.
     virtual void OnServedLate(RequestId request) = 0;
-    // All members have their outcomes. The owner may destroy the call only after returning to the event loop.
+    // All attempts have their outcomes. The owner may destroy the call only after returning to the event
+    // loop.
     virtual void OnCallEnded(UpstreamCall& call) = 0;
   };
 
   UpstreamCall(net::EventLoop& loop, net::HttpClient& client, EndpointId endpoint, const sockaddr_in& to,
-               std::vector<Member> members, Owner& owner);
+               std::vector<Attempt> attempts, Owner& owner);
   ~UpstreamCall() override;
 
   EndpointId endpoint() const { return endpoint_; }
-  const std::vector<Member>& members() const { return members_; }
+  const std::vector<Attempt>& attempts() const { return attempts_; }
   void Start();
   void Cancel(RequestId request, int attempt);
 
  private:
   std::string OnReady() override;
   void OnWritten() override { owner_.OnWritten(requests_sent_); }
-  void OnResponse(net::HttpMessage& answer) override;
+  void OnResponse(net::HttpMessage& response) override;
   void OnFailure(net::HttpClient::Failure how, int status) override;
   bool StatusSuffices(int status) override;
 
-  void WithholdUnsendableMembers();
-  std::vector<const Member*> PendingMembers() const;
-  std::string FormatRequests(const std::vector<const Member*>& members, long remaining_ms) const;
+  void WithholdUnsendableAttempts();
+  std::vector<const Attempt*> PendingAttempts() const;
+  std::string FormatRequests(const std::vector<const Attempt*>& attempts, long remaining_ms) const;
   void OnBatchResponse(const net::HttpMessage& response, Seconds retry_after);
-  void Complete(Member& member, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
+  void Complete(Attempt& attempt, endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
   void CompleteAll(endpoint_protocol::AttemptResult result, Seconds retry_after = 0);
-  void Abandon(Member& member, Outcome if_written, Outcome if_not_written);
+  void Abandon(Attempt& attempt, Outcome if_written, Outcome if_not_written);
   void EndIfAllComplete();
 
   net::EventLoop& loop_;
   net::HttpClient& client_;
   const EndpointId endpoint_;
   const sockaddr_in to_;
-  std::vector<Member> members_;
+  std::vector<Attempt> attempts_;
   Owner& owner_;
   const Seconds started_;
   LoadReport report_;
   Seconds stated_timeout_at_ = 0;  // timeout as sent to the endpoint, rounded down to whole milliseconds
-  Seconds answered_at_ = -1;  // when the response or a sufficient status line was read; negative: not yet
+  Seconds responded_at_ = -1;  // when the response or a sufficient status line was read; negative: not yet
   int requests_sent_ = 0;
   bool send_started_ = false;  // the call has been handed to the connection
   bool is_batch_ = false;      // the call carries several requests
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -1,4 +1,4 @@
-// Tests FailureNotifier with a platform that refuses connections, or accepts them and never answers.
+// Tests FailureNotifier with a platform that refuses connections, or accepts them and never responds.
 #include "notification/failure_notifier.h"
 
 #include <doctest/doctest.h>
@@ -109,8 +109,8 @@
   n.CheckAllArrivedInOrder();
 }
 
-// Guards against attempts that accumulate on connections that never bring an answer.
-TEST_CASE("notifications: the number of open attempts is bounded while the platform does not answer") {
+// Guards against attempts that accumulate on connections that never get a response.
+TEST_CASE("notifications: the number of open attempts is bounded while the platform does not respond") {
   NotifierFixture n;
   REQUIRE(listen(n.fd, kBacklog) == 0);  // the kernel accepts connections, but nothing reads from them
   n.AddAll();
--- a/tests/support/server_bounds.h
+++ b/tests/support/server_bounds.h
@@ -5,7 +5,7 @@
 
 namespace opalroute::net {
 
-// `connections`: how many are served at the same time; as many more get a rejection. `timeout`: in seconds,
+// `connections`: how many are served at the same time; as many more are rejected. `timeout`: in seconds,
 // for the first request, each later one, idle connections and lingering.
 inline ServerBounds TestServerBounds(int connections, Seconds timeout) {
   constexpr std::size_t kBytes = 4096;
--- a/tests/upstream/upstream_call_test.cpp
+++ b/tests/upstream/upstream_call_test.cpp
@@ -15,12 +15,13 @@
 
 class RecordingOwner : public UpstreamCall::Owner {
  public:
-  bool MaySend(const UpstreamCall&, const UpstreamCall::Member& member) override {
-    return member.id == sendable_id;
+  bool MaySend(const UpstreamCall&, const UpstreamCall::Attempt& attempt) override {
+    return attempt.id == sendable_id;
   }
-  bool RecordAttempt(const UpstreamCall&, const UpstreamCall::Member&) override { return records; }
-  void OnOutcome(const UpstreamCall&, const UpstreamCall::Member& member, const AttemptOutcome& o) override {
-    outcomes.emplace_back(member.id, o.outcome);
+  bool RecordAttempt(const UpstreamCall&, const UpstreamCall::Attempt&) override { return records; }
+  void OnOutcome(const UpstreamCall&, const UpstreamCall::Attempt& attempt,
+                 const AttemptOutcome& o) override {
+    outcomes.emplace_back(attempt.id, o.outcome);
   }
   void OnWritten(int requests) override { written += requests; }
   void OnServedLate(RequestId) override {}
@@ -56,7 +57,7 @@
   for (const std::string sendable_id : {"", "m2"}) {
     RecordingOwner owner;
     owner.sendable_id = sendable_id;
-    UpstreamCall::Member one, two;
+    UpstreamCall::Attempt one, two;
     one.request_id = 1;
     one.id = "m1";
     two.request_id = 2;
@@ -95,11 +96,11 @@
     RecordingOwner owner;
     owner.sendable_id = "m1";
     owner.records = false;
-    UpstreamCall::Member member;
-    member.request_id = 1;
-    member.id = "m1";
-    member.timeout_at = loop.Now() + 60;
-    UpstreamCall call(loop, client, 1, listener.address(), {member}, owner);
+    UpstreamCall::Attempt attempt;
+    attempt.request_id = 1;
+    attempt.id = "m1";
+    attempt.timeout_at = loop.Now() + 60;
+    UpstreamCall call(loop, client, 1, listener.address(), {attempt}, owner);
     call.Start();
     for (int i = 0; i < 2000 && owner.outcomes.empty(); ++i) loop.RunOnce(0.01);
     REQUIRE(owner.outcomes.size() == 1);
