--- a/src/discovery/srv_source.cpp
+++ b/src/discovery/srv_source.cpp
@@ -46,9 +46,9 @@
 }
 
 void SrvSource::QuerySrvRecords(Lookup& lookup, bool bypass_cache) {
-  lookup.ticket = resolver_.Ask(lookup.question, bypass_cache, [this, &lookup](const dns::Outcome& outcome) {
-    OnSrvRecords(lookup, outcome);
-  });
+  lookup.ticket =
+      resolver_.Ask(lookup.question, bypass_cache,
+                    [this, &lookup](const dns::LookupResult& outcome) { OnSrvRecords(lookup, outcome); });
 }
 
 void SrvSource::ScheduleQuery(Lookup& lookup, net::Seconds at) {
@@ -87,7 +87,7 @@
 }
 
 // "No such name" counts as no answer: the loss of a zone looks the same.
-void SrvSource::OnSrvRecords(Lookup& lookup, const dns::Outcome& outcome) {
+void SrvSource::OnSrvRecords(Lookup& lookup, const dns::LookupResult& outcome) {
   if (!outcome.answer || outcome.stale) return ReportNoAnswer(lookup, outcome.error, outcome.refresh_at);
   const Answer& answer = *outcome.answer;
   if (answer.kind == Answer::Kind::kNoName) {
@@ -119,15 +119,15 @@
 void SrvSource::QueryAddress(Lookup& lookup, const dns::Name& host) {
   // The callback needs the ticket that Ask returns. Ask never calls it before returning.
   const auto ticket = std::make_shared<dns::Resolver::Ticket>(0);
-  *ticket =
-      resolver_.Ask({host, dns::Type::kA}, false, [this, &lookup, host, ticket](const dns::Outcome& outcome) {
-        lookup.address_tickets.erase(*ticket);
-        OnAddresses(lookup, host, outcome);
-      });
+  *ticket = resolver_.Ask({host, dns::Type::kA}, false,
+                          [this, &lookup, host, ticket](const dns::LookupResult& outcome) {
+                            lookup.address_tickets.erase(*ticket);
+                            OnAddresses(lookup, host, outcome);
+                          });
   lookup.address_tickets.insert(*ticket);
 }
 
-void SrvSource::OnAddresses(Lookup& lookup, const dns::Name& host, const dns::Outcome& outcome) {
+void SrvSource::OnAddresses(Lookup& lookup, const dns::Name& host, const dns::LookupResult& outcome) {
   if (!outcome.answer || outcome.stale) lookup.complete = false;
   if (outcome.answer) {
     for (const in_addr& address : outcome.answer->addresses) lookup.addresses[host].insert(address.s_addr);
--- a/src/discovery/srv_source.h
+++ b/src/discovery/srv_source.h
@@ -71,10 +71,10 @@
   };
 
   void QuerySrvRecords(Lookup& lookup, bool bypass_cache);
-  void OnSrvRecords(Lookup& lookup, const dns::Outcome& outcome);
+  void OnSrvRecords(Lookup& lookup, const dns::LookupResult& outcome);
   void QueryAddresses(Lookup& lookup);
   void QueryAddress(Lookup& lookup, const dns::Name& host);
-  void OnAddresses(Lookup& lookup, const dns::Name& host, const dns::Outcome& outcome);
+  void OnAddresses(Lookup& lookup, const dns::Name& host, const dns::LookupResult& outcome);
   void Publish(Lookup& lookup);
   void ReportNotOffered(Lookup& lookup);
   void ReportNoAnswer(Lookup& lookup, const char* reason, net::Seconds retry_at);
--- a/src/dns/resolver.cpp
+++ b/src/dns/resolver.cpp
@@ -71,8 +71,8 @@
   if (!bypass_cache && found && loop_.Now() < found->refresh_at) {
     loop_.At(loop_.Now(),
              [this, alive = std::weak_ptr<bool>(alive_), ticket,
-              outcome = Outcome{*found->answer, false, "", found->refresh_at}, done = std::move(done)] {
-               if (!alive.expired() && tickets_.erase(ticket) > 0) done(outcome);
+              result = LookupResult{*found->answer, false, "", found->refresh_at}, done = std::move(done)] {
+               if (!alive.expired() && tickets_.erase(ticket) > 0) done(result);
              });
     return ticket;
   }
@@ -250,13 +250,13 @@
   StartAttempt(question);
 }
 
-void Resolver::Finish(const Question& question, const Outcome& outcome) {
+void Resolver::Finish(const Question& question, const LookupResult& result) {
   const auto it = lookups_.find(question);
   EndQuery(it->second);
   auto requests = std::move(it->second.requests);
   lookups_.erase(it);
   --active_lookups_;
-  Outcome reported = outcome;
+  LookupResult reported = result;
   if (!reported.answer) {
     reported.refresh_at = retries_.NextRetry(loop_.Now(), NextRandom());
     if (const auto found = cache_.Find(question, loop_.Now())) {
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -24,7 +24,7 @@
 
 namespace opalroute::dns {
 
-struct Outcome {
+struct LookupResult {
   std::optional<Answer> answer;  // never an alias: aliases have been followed
   bool stale = false;            // the lookup failed, and `answer` is an earlier one from the cache
   const char* error = "";        // why the lookup failed
@@ -43,7 +43,7 @@
 class Resolver {
  public:
   using Ticket = std::uint64_t;
-  using Done = std::function<void(const Outcome&)>;
+  using Done = std::function<void(const LookupResult&)>;
 
   // The loop and `limits` must outlive the resolver. `seed`: for query ids and jitter.
   Resolver(net::EventLoop& loop, std::vector<sockaddr_in> servers, const Limits& limits, std::uint64_t seed);
@@ -85,7 +85,7 @@
   void OnAnswer(const Question& question, Lookup& lookup, Answer answer);
   void FailAttempt(const Question& question, const char* error);
   void EndQuery(Lookup& lookup);
-  void Finish(const Question& question, const Outcome& outcome);
+  void Finish(const Question& question, const LookupResult& result);
   double NextRandom();  // uniform in [0, 1)
 
   net::EventLoop& loop_;
--- a/src/dns/tcp_channel.h
+++ b/src/dns/tcp_channel.h
@@ -18,8 +18,8 @@
 
 class TcpChannel : private net::Connection::Owner {
  public:
-  // Receives a whole message, or null if the connection could not be opened, ended, or had no room for the
-  // query.
+  // Receives a whole message, or null if the connection could not be opened or has ended, or if its output
+  // buffer had no space for the query.
   using Done = std::function<void(const std::string* message)>;
 
   TcpChannel(net::EventLoop& loop, const sockaddr_in& server, const Limits& limits);
--- a/src/notification/failure_notifier.cpp
+++ b/src/notification/failure_notifier.cpp
@@ -57,7 +57,7 @@
 }
 
 // The old address may have received the attempts in flight already; repeating a notification is harmless.
-void FailureNotifier::MoveTo(const sockaddr_in& to) {
+void FailureNotifier::SetAddress(const sockaddr_in& to) {
   AbandonAll();
   client_.CloseIdle({to_});
   to_ = to;
--- a/src/notification/failure_notifier.h
+++ b/src/notification/failure_notifier.h
@@ -31,7 +31,7 @@
   // `line`: the notification in the platform's wire format, without the newline.
   void Add(const std::string& request, const std::string& line);
   // Changes the platform's address and immediately sends all unacknowledged notifications there.
-  void MoveTo(const sockaddr_in& to);
+  void SetAddress(const sockaddr_in& to);
   bool empty() const { return queue_.empty(); }
 
  private:
--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -191,7 +191,7 @@
   discovery_address_ = discovery;
   discovery_.SetAddress(discovery);
   decisions_.Post(DiscoveryMoved{});
-  notifier_.MoveTo(discovery);
+  notifier_.SetAddress(discovery);
 }
 
 // ---- other relays --------------------------------------------------------------------------------
--- a/src/relay/request_recovery.cpp
+++ b/src/relay/request_recovery.cpp
@@ -14,7 +14,7 @@
 constexpr double kMicrosPerSecond = 1e6;
 
 // An attempt dated in the future was recorded before a reboot, while the wall clock was ahead. Its age is
-// unknown, so its deduplication window must not be taken for open.
+// unknown, so its deduplication window must count as over.
 Seconds AgeOf(const JournalAttempt& attempt, std::int64_t now) {
   constexpr Seconds kUnknownAge = 1e9;
   if (attempt.sent_at > now) return kUnknownAge;
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -343,13 +343,13 @@
     if (servers > 1) addresses.push_back(second.address());
     resolver = std::make_unique<Resolver>(loop, addresses, limits, 5);
   }
-  Outcome Ask(const Question& question, bool bypass_cache = false) {
+  LookupResult Ask(const Question& question, bool bypass_cache = false) {
     if (!resolver) Start();
-    std::optional<Outcome> outcome;
-    resolver->Ask(question, bypass_cache, [&](const Outcome& o) { outcome = o; });
-    for (int i = 0; i < 300 && !outcome; ++i) lab::PlayUntil(loop, clock, clock.Now() + 0.1);
-    REQUIRE(outcome);
-    return *outcome;
+    std::optional<LookupResult> result;
+    resolver->Ask(question, bypass_cache, [&](const LookupResult& o) { result = o; });
+    for (int i = 0; i < 300 && !result; ++i) lab::PlayUntil(loop, clock, clock.Now() + 0.1);
+    REQUIRE(result);
+    return *result;
   }
   lab::NameServer::Entry Entry(int targets = 1) const {
     lab::NameServer::Entry entry;
@@ -374,8 +374,8 @@
   f.Start();
   int answered = 0;
   for (int i = 0; i < 5; ++i)
-    f.resolver->Ask(f.q, false, [&](const Outcome& o) { answered += o.answer.has_value(); });
-  f.resolver->Cancel(f.resolver->Ask(f.q, false, [&](const Outcome&) { answered += 100; }));
+    f.resolver->Ask(f.q, false, [&](const LookupResult& o) { answered += o.answer.has_value(); });
+  f.resolver->Cancel(f.resolver->Ask(f.q, false, [&](const LookupResult&) { answered += 100; }));
   CHECK(answered == 0);  // never before Ask returns
   lab::PlayUntil(f.loop, f.clock, f.clock.Now() + 0.1);
   CHECK(answered == 5);
@@ -444,9 +444,9 @@
     entry.tcp = tcp;
     if (tcp == Tcp::kRefuses) f.server.SetTcp(false);
     f.server.Set(f.q, entry);
-    const Outcome outcome = f.Ask(f.q, true);
-    CHECK(outcome.stale);
-    CHECK(outcome.answer->services.size() == 3);
+    const LookupResult result = f.Ask(f.q, true);
+    CHECK(result.stale);
+    CHECK(result.answer->services.size() == 3);
     ResolverFixture empty;  // with an empty cache there is no answer
     if (tcp == Tcp::kRefuses) empty.server.SetTcp(false);
     empty.server.Set(empty.q, entry);
@@ -462,10 +462,10 @@
   for (const Rcode rcode : {Rcode::kServFail, Rcode::kRefused}) {
     entry.rcode = rcode;
     f.server.Set(f.q, entry);
-    const Outcome outcome = f.Ask(f.q, true);
-    CHECK(outcome.stale);
-    CHECK(outcome.answer);
-    CHECK(std::string(outcome.error) == "no server has answered");
+    const LookupResult result = f.Ask(f.q, true);
+    CHECK(result.stale);
+    CHECK(result.answer);
+    CHECK(std::string(result.error) == "no server has answered");
   }
   f.server.SetSilent(true);
   f.clock.Advance(600);
@@ -482,7 +482,7 @@
   auto entry = f.Entry();
   entry.delay = 1;  // longer than the timeout of the first attempt, shorter than that of a later one
   f.server.Set(f.q, entry);
-  const Outcome slow = f.Ask(f.q);
+  const LookupResult slow = f.Ask(f.q);
   CHECK(slow.answer);
   CHECK(f.server.datagrams() >= 2);
   entry.delay = 30;  // longer than the TTL of 10 s
@@ -499,9 +499,9 @@
   for (const std::uint32_t ttl : {0U, 0x80000000U}) {
     entry.answers[0].ttl = ttl;
     f.server.Set(f.q, entry);
-    const Outcome outcome = f.Ask(f.q, true);
-    CHECK(outcome.answer->ttl == 0);
-    CHECK(outcome.refresh_at <= f.clock.Now() + f.limits.dns_min_ttl);
+    const LookupResult result = f.Ask(f.q, true);
+    CHECK(result.answer->ttl == 0);
+    CHECK(result.refresh_at <= f.clock.Now() + f.limits.dns_min_ttl);
   }
   auto many = f.Entry(20);  // more than 512 bytes
   many.fault = Fault::kNoEdns;
@@ -530,12 +530,12 @@
   auto entry = f.Entry();
   entry.answers = {MakeSrvRecord("t.example", 60, "h.example")};
   f.server.Set({ParseName("t.example"), Type::kSrv}, entry);
-  const Outcome outcome = f.Ask(f.q);
-  CHECK(outcome.answer->services.size() == 1);
-  CHECK(outcome.refresh_at < f.clock.Now() + 5);  // the TTL of the alias, which is shorter
+  const LookupResult result = f.Ask(f.q);
+  CHECK(result.answer->services.size() == 1);
+  CHECK(result.refresh_at < f.clock.Now() + 5);  // the TTL of the alias, which is shorter
   alias.answers = {MakeRecord("t.example", Type::kCname, 5, ParseName("s.example"))};
   f.server.Set({ParseName("t.example"), Type::kSrv}, alias);
-  const Outcome loop = f.Ask(f.q, true);
+  const LookupResult loop = f.Ask(f.q, true);
   CHECK(std::string(loop.error) == "too many aliases in a row");
   CHECK(loop.stale);
 }
@@ -547,7 +547,7 @@
   int finished = 0;
   for (int i = 0; i < 5000; ++i)
     f.resolver->Ask({ParseName("n" + std::to_string(i) + ".example"), Type::kSrv}, false,
-                    [&](const Outcome& o) {
+                    [&](const LookupResult& o) {
                       CHECK(o.answer.has_value());
                       ++finished;
                     });
