--- a/src/relay/relay.cpp
+++ b/src/relay/relay.cpp
@@ -83,9 +83,9 @@
 
 void Relay::StartAdminServer() {
   AdminServer::Pages pages;
-  pages.push_back({"/pool", [this] { return PrintEndpoints(); }});
+  pages.push_back({"/pool", [this] { return EndpointsJson(); }});
   pages.push_back({"/counters", [this] { return counters_.ToJsonText(); }});
-  pages.push_back({"/zones", [this] { return PrintZones(); }});
+  pages.push_back({"/zones", [this] { return ZonesJson(); }});
   AdminServer::Commands commands;
   commands.push_back({"/zones", [this](const std::string& body) { return OnZoneCommand(body); }});
   admin_ = std::make_unique<AdminServer>(loop_, *settings_.admin_listen, config_.limits, std::move(pages),
@@ -191,7 +191,7 @@
   discovery_address_ = discovery;
   discovery_.SetAddress(discovery);
   decisions_.Post(DiscoveryMoved{});
-  notifier_.MoveTo(discovery);
+  notifier_.SetAddress(discovery);
 }
 
 // ---- other relays --------------------------------------------------------------------------------
@@ -231,12 +231,12 @@
   });
 }
 
-std::string Relay::PrintEndpoints() const {
-  return merged_source_ ? merged_source_->ToJson().dump() : endpoints_.Print().dump();
+std::string Relay::EndpointsJson() const {
+  return merged_source_ ? merged_source_->ToJson().dump() : endpoints_.ToJson().dump();
 }
 
-std::string Relay::PrintZones() const {
-  return membership_ ? membership_->Print().dump() : nlohmann::ordered_json().dump();
+std::string Relay::ZonesJson() const {
+  return membership_ ? membership_->ToJson().dump() : nlohmann::ordered_json().dump();
 }
 
 // ---- decisions -----------------------------------------------------------------------------------
