--- a/lab/capacity/capacity.cpp
+++ b/lab/capacity/capacity.cpp
@@ -14,11 +14,11 @@
 #include <utility>
 
 #include "journal/journal.h"
-#include "lab/capacity/players.h"
-#include "lab/capacity/raw.h"
+#include "lab/capacity/load.h"
+#include "lab/capacity/minimal_http.h"
 #include "lab/sockets/loopback.h"
+#include "lab/sockets/platform_server.h"
 #include "lab/sockets/process.h"
-#include "lab/sockets/registry.h"
 #include "lab/sockets/relay_config.h"
 #include "lab/sockets/relay_process.h"
 #include "net/address.h"
--- a/lab/capacity/players.cpp
+++ b/lab/capacity/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/capacity/players.h"
+#include "lab/capacity/load.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "lab/capacity/raw.h"
+#include "lab/capacity/minimal_http.h"
 
 namespace opalroute::lab {
 
--- a/lab/capacity/raw.cpp
+++ b/lab/capacity/minimal_http.cpp
@@ -1,4 +1,4 @@
-#include "lab/capacity/raw.h"
+#include "lab/capacity/minimal_http.h"
 
 #include <fcntl.h>
 #include <netinet/tcp.h>
--- a/lab/dns/name_server.cpp
+++ b/lab/dns/fake_name_server.cpp
@@ -1,4 +1,4 @@
-#include "lab/dns/name_server.h"
+#include "lab/dns/fake_name_server.h"
 
 #include <algorithm>
 #include <cctype>
--- a/lab/experiments/experiments.h
+++ b/lab/experiments/experiments.h
@@ -18,7 +18,7 @@
 // measures the cost of many SRV names and of a large answer.
 int RunSrvExperiment(int changes);
 
-// Runs `count` random fault scripts (lab/script.h) with consecutive seeds, `jobs` in parallel.
+// Runs `count` random fault scripts (lab/fault_script.h) with consecutive seeds, `jobs` in parallel.
 int RunScripts(std::uint64_t first_seed, int count, int jobs);
 
 struct SoakBatch {
--- a/lab/experiments/script_table.cpp
+++ b/lab/experiments/script_table.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/experiments/experiments.h"
-#include "lab/script.h"
+#include "lab/fault_script.h"
 #include "lab/simulation.h"
 
 namespace opalroute::lab {
--- a/lab/experiments/srv_table.cpp
+++ b/lab/experiments/srv_table.cpp
@@ -13,10 +13,10 @@
 #include <vector>
 
 #include "discovery/merged_endpoint_source.h"
-#include "lab/clock.h"
-#include "lab/dns/name_server.h"
+#include "lab/dns/fake_name_server.h"
 #include "lab/draw.h"
 #include "lab/experiments/experiments.h"
+#include "lab/simulated_clock.h"
 #include "lab/statistics.h"
 #include "net/address.h"
 
--- a/lab/experiments/learning_experiment.cpp
+++ b/lab/experiments/state_transfer_experiment.cpp
@@ -1,4 +1,4 @@
-#include "lab/experiments/learning_experiment.h"
+#include "lab/experiments/state_transfer_experiment.h"
 
 #include <algorithm>
 #include <filesystem>
@@ -6,10 +6,10 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "lab/clock.h"
-#include "lab/load.h"
-#include "lab/partner.h"
-#include "lab/platform.h"
+#include "lab/fake_partner.h"
+#include "lab/fake_platform.h"
+#include "lab/simulated_clock.h"
+#include "lab/single_relay_load.h"
 #include "relay/relay.h"
 
 namespace opalroute::lab {
--- a/lab/experiments/learning_table.cpp
+++ b/lab/experiments/state_transfer_table.cpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "lab/experiments/experiments.h"
-#include "lab/experiments/learning_experiment.h"
+#include "lab/experiments/state_transfer_experiment.h"
 
 namespace {
 
--- a/lab/partner.cpp
+++ b/lab/fake_partner.cpp
@@ -1,4 +1,4 @@
-#include "lab/partner.h"
+#include "lab/fake_partner.h"
 
 #include <cmath>
 #include <utility>
--- a/lab/script.cpp
+++ b/lab/fault_script.cpp
@@ -1,8 +1,8 @@
-#include "lab/script.h"
+#include "lab/fault_script.h"
 
 #include <string>
 
-#include "lab/drawer.h"
+#include "lab/random_source.h"
 
 namespace opalroute::lab {
 
--- a/lab/faults/preload.cpp
+++ b/lab/faults/preload.cpp
@@ -27,7 +27,7 @@
 
 #include "lab/faults/descriptors.h"
 #include "lab/faults/plan.h"
-#include "lab/faults/requests_read.h"
+#include "lab/faults/request_recorder.h"
 
 namespace {
 
--- a/lab/faults/requests_read.cpp
+++ b/lab/faults/request_recorder.cpp
@@ -1,4 +1,4 @@
-#include "lab/faults/requests_read.h"
+#include "lab/faults/request_recorder.h"
 
 #include <fcntl.h>
 #include <sys/syscall.h>
--- a/lab/tier_play.cpp
+++ b/lab/fleet_simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/tier_play.h"
+#include "lab/fleet_simulation.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/tier_play.h
+++ b/lab/fleet_simulation.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/auditor.h"
-#include "lab/links.h"
+#include "lab/link_model.h"
 #include "lab/result.h"
 #include "lab/scenario.h"
 #include "zone_failover/zone_failover.h"
--- a/lab/links.cpp
+++ b/lab/link_model.cpp
@@ -1,4 +1,4 @@
-#include "lab/links.h"
+#include "lab/link_model.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -16,11 +16,11 @@
 #include "lab/capacity/capacity.h"
 #include "lab/experiments/compare.h"
 #include "lab/experiments/experiments.h"
+#include "lab/fault_script.h"
 #include "lab/report/report.h"
-#include "lab/script.h"
 #include "lab/simulation.h"
 #include "lab/soak/soak.h"
-#include "lab/sockets/play.h"
+#include "lab/sockets/socket_run.h"
 #include "lab/statistics.h"
 
 namespace {
--- a/lab/partner_model.h
+++ b/lab/partner_model.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/lane_model.h"
+#include "lab/route_model.h"
 
 namespace opalroute::lab {
 
--- a/lab/lane_model.cpp
+++ b/lab/route_model.cpp
@@ -1,4 +1,4 @@
-#include "lab/lane_model.h"
+#include "lab/route_model.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/scenario.h
+++ b/lab/scenario.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "lab/draw.h"
-#include "lab/lane_model.h"
-#include "lab/links.h"
+#include "lab/link_model.h"
+#include "lab/route_model.h"
 #include "opalroute/request_router.h"
 #include "zone_failover/operator_override.h"
 
--- a/lab/simulation.cpp
+++ b/lab/simulation.cpp
@@ -6,7 +6,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "lab/call.h"
+#include "lab/serve_call.h"
 
 namespace opalroute::lab {
 
--- a/lab/simulation.h
+++ b/lab/simulation.h
@@ -12,8 +12,8 @@
 
 #include "lab/auditor.h"
 #include "lab/event_queue.h"
+#include "lab/fleet_simulation.h"
 #include "lab/tally.h"
-#include "lab/tier_play.h"
 #include "lab/traffic.h"
 #include "lab/world.h"
 #include "opalroute/request_router.h"
--- a/lab/load.cpp
+++ b/lab/single_relay_load.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "lab/single_relay_load.h"
 
 #include <utility>
 
--- a/lab/soak/soak.cpp
+++ b/lab/soak/soak.cpp
@@ -7,10 +7,10 @@
 #include <utility>
 #include <vector>
 
-#include "lab/drawer.h"
+#include "lab/random_source.h"
 #include "lab/scenario.h"
-#include "lab/sockets/play.h"
 #include "lab/sockets/relay_process.h"
+#include "lab/sockets/socket_run.h"
 
 namespace opalroute::lab {
 
--- a/lab/sockets/post.cpp
+++ b/lab/sockets/datagram_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/post.h"
+#include "lab/sockets/datagram_forwarder.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/lab/sockets/post.h
+++ b/lab/sockets/datagram_forwarder.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/links.h"
+#include "lab/link_model.h"
 #include "net/datagram.h"
 
 namespace opalroute::lab {
--- a/lab/sockets/post_thread.cpp
+++ b/lab/sockets/datagram_forwarder_thread.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/post_thread.h"
+#include "lab/sockets/datagram_forwarder_thread.h"
 
 #include <algorithm>
 
--- a/lab/sockets/post_thread.h
+++ b/lab/sockets/datagram_forwarder_thread.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "lab/result.h"
-#include "lab/sockets/post.h"
+#include "lab/sockets/datagram_forwarder.h"
 #include "net/clock.h"
 #include "net/event_loop.h"
 
--- a/lab/sockets/endpoints.cpp
+++ b/lab/sockets/endpoints.cpp
@@ -9,7 +9,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-#include "lab/call.h"
+#include "lab/serve_call.h"
 #include "net/address.h"
 #include "net/connection.h"
 #include "net/http.h"
--- a/lab/sockets/endpoints.h
+++ b/lab/sockets/endpoints.h
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "lab/auditor.h"
-#include "lab/links.h"
+#include "lab/link_model.h"
 #include "lab/sessions.h"
-#include "lab/sockets/ledger.h"
 #include "lab/sockets/loopback.h"
+#include "lab/sockets/message_tracker.h"
 #include "lab/sockets/reserved_address.h"
 #include "lab/world.h"
 #include "net/listener.h"
--- a/lab/sockets/front.cpp
+++ b/lab/sockets/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/front.h"
+#include "lab/sockets/load_generator.h"
 
 #include <algorithm>
 #include <cstdlib>
--- a/lab/sockets/front.h
+++ b/lab/sockets/load_generator.h
@@ -12,7 +12,7 @@
 #include <pcg_random.hpp>
 #include <vector>
 
-#include "lab/sockets/ledger.h"
+#include "lab/sockets/message_tracker.h"
 #include "lab/sockets/unwatched_connection.h"
 #include "lab/traffic.h"
 #include "net/http_client.h"
--- a/lab/sockets/ledger.cpp
+++ b/lab/sockets/message_tracker.cpp
@@ -1,8 +1,8 @@
-#include "lab/sockets/ledger.h"
+#include "lab/sockets/message_tracker.h"
 
 #include <utility>
 
-#include "lab/call.h"
+#include "lab/serve_call.h"
 
 namespace opalroute::lab {
 
--- a/lab/sockets/registry.cpp
+++ b/lab/sockets/platform_server.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/registry.h"
+#include "lab/sockets/platform_server.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/lab/sockets/registry.h
+++ b/lab/sockets/platform_server.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/links.h"
+#include "lab/link_model.h"
 #include "lab/sessions.h"
 #include "lab/sockets/reserved_address.h"
 #include "lab/world.h"
--- a/lab/sockets/play.cpp
+++ b/lab/sockets/socket_run.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/play.h"
+#include "lab/sockets/socket_run.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -9,14 +9,14 @@
 #include <utility>
 
 #include "config/fields.h"
+#include "lab/sockets/datagram_forwarder_thread.h"
 #include "lab/sockets/endpoints.h"
-#include "lab/sockets/front.h"
-#include "lab/sockets/ledger.h"
-#include "lab/sockets/post_thread.h"
-#include "lab/sockets/registry.h"
+#include "lab/sockets/load_generator.h"
+#include "lab/sockets/message_tracker.h"
+#include "lab/sockets/platform_server.h"
 #include "lab/sockets/relay_config.h"
 #include "lab/sockets/relay_process.h"
-#include "lab/sockets/rude_clients.h"
+#include "lab/sockets/stalling_clients.h"
 #include "lab/tally.h"
 #include "lab/traffic.h"
 #include "net/address.h"
--- a/lab/sockets/rude_clients.cpp
+++ b/lab/sockets/stalling_clients.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets/rude_clients.h"
+#include "lab/sockets/stalling_clients.h"
 
 #include <algorithm>
 #include <utility>
--- a/lab/world.h
+++ b/lab/world.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "lab/lane_model.h"
+#include "lab/route_model.h"
 #include "lab/scenario.h"
 
 namespace opalroute::lab {
--- a/src/cli/command_line.h
+++ b/src/cli/command_line.h
@@ -6,7 +6,7 @@
 
 #include "cli/zones_command.h"
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 
 namespace opalroute::cli {
 
--- a/src/cli/operator_options.h
+++ b/src/cli/operator_options.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 
 namespace opalroute::config {
 
--- a/src/cli/pool_command.h
+++ b/src/cli/pool_command.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 
 namespace opalroute::cli {
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -1,4 +1,4 @@
-#include "discovery/discovery.h"
+#include "discovery/discovery_client.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/discovery/merged_destination.h
+++ b/src/discovery/merged_destination.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "discovery/endpoint_source.h"
-#include "discovery/endpoint_verdict.h"
 #include "discovery/srv_target.h"
+#include "discovery/status_reason.h"
 
 namespace opalroute {
 
--- a/src/discovery/merged_endpoint_source.h
+++ b/src/discovery/merged_endpoint_source.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "discovery/endpoint_merge.h"
 #include "discovery/endpoint_source.h"
 #include "discovery/srv_source.h"
--- a/src/discovery/endpoint_verdict.cpp
+++ b/src/discovery/status_reason.cpp
@@ -1,4 +1,4 @@
-#include "discovery/endpoint_verdict.h"
+#include "discovery/status_reason.h"
 
 namespace opalroute {
 
--- a/src/dns/resolver.h
+++ b/src/dns/resolver.h
@@ -17,7 +17,7 @@
 #include "config/limits.h"
 #include "dns/cache.h"
 #include "dns/retry_pacer.h"
-#include "dns/servers.h"
+#include "dns/server_selector.h"
 #include "dns/tcp_channel.h"
 #include "net/datagram.h"
 #include "net/event_loop.h"
--- a/src/dns/servers.cpp
+++ b/src/dns/server_selector.cpp
@@ -1,4 +1,4 @@
-#include "dns/servers.h"
+#include "dns/server_selector.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/relay/membership_host.h
+++ b/src/relay/membership_host.h
@@ -9,7 +9,7 @@
 #include <string_view>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "journal/persistent_clock.h"
 #include "net/event_loop.h"
 #include "relay/endpoint_table.h"
--- a/src/relay/request_recovery.h
+++ b/src/relay/request_recovery.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "hot_restart/process_lock.h"
 #include "journal/journal.h"
 #include "journal/persistent_clock.h"
--- a/src/state_transfer/state_transfer.h
+++ b/src/state_transfer/state_transfer.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "config/config.h"
-#include "config/operator.h"
+#include "config/operator_settings.h"
 #include "journal/persistent_clock.h"
 #include "net/timer.h"
 #include "state_transfer/datagram_exchange.h"
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "lab/sockets/relay_process.h"
-#include "tests/support/discovery_stand_in.h"
+#include "tests/support/fake_discovery.h"
 
 namespace opalroute {
 namespace {
--- a/tests/discovery/srv_records.h
+++ b/tests/discovery/srv_records.h
@@ -8,7 +8,7 @@
 #include <utility>
 #include <vector>
 
-#include "lab/dns/name_server.h"
+#include "lab/dns/fake_name_server.h"
 
 namespace opalroute {
 
--- a/tests/discovery/srv_relay_test.cpp
+++ b/tests/discovery/srv_relay_test.cpp
@@ -7,12 +7,12 @@
 #include <fstream>
 
 #include "cli/operator_options.h"
-#include "lab/clock.h"
-#include "lab/dns/name_server.h"
-#include "lab/load.h"
-#include "lab/partner.h"
-#include "lab/platform.h"
+#include "lab/dns/fake_name_server.h"
+#include "lab/fake_partner.h"
+#include "lab/fake_platform.h"
 #include "lab/scenario.h"
+#include "lab/simulated_clock.h"
+#include "lab/single_relay_load.h"
 #include "lab/sockets/process.h"
 #include "lab/sockets/relay_config.h"
 #include "relay/relay.h"
--- a/tests/discovery/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -9,8 +9,8 @@
 #include <utility>
 
 #include "discovery/merged_endpoint_source.h"
-#include "lab/clock.h"
-#include "lab/dns/name_server.h"
+#include "lab/dns/fake_name_server.h"
+#include "lab/simulated_clock.h"
 #include "net/address.h"
 #include "tests/discovery/srv_records.h"
 
--- a/tests/dns/dns_test.cpp
+++ b/tests/dns/dns_test.cpp
@@ -11,9 +11,9 @@
 #include "dns/cache.h"
 #include "dns/resolver.h"
 #include "dns/retry_pacer.h"
-#include "dns/servers.h"
-#include "lab/clock.h"
-#include "lab/dns/name_server.h"
+#include "dns/server_selector.h"
+#include "lab/dns/fake_name_server.h"
+#include "lab/simulated_clock.h"
 
 namespace opalroute::dns {
 namespace {
--- a/tests/lab/endpoints_test.cpp
+++ b/tests/lab/endpoints_test.cpp
@@ -11,11 +11,11 @@
 #include <functional>
 #include <string>
 
-#include "lab/capacity/raw.h"
+#include "lab/capacity/minimal_http.h"
 #include "lab/sockets/process.h"
 #include "net/address.h"
 #include "net/http.h"
-#include "tests/support/somebody_listens.h"
+#include "tests/support/accepts_connections.h"
 
 namespace opalroute::lab {
 namespace {
--- a/tests/lab/lab_sockets_test.cpp
+++ b/tests/lab/lab_sockets_test.cpp
@@ -10,17 +10,17 @@
 
 #include "config/fields.h"
 #include "lab/faults/plan.h"
-#include "lab/faults/requests_read.h"
+#include "lab/faults/request_recorder.h"
 #include "lab/report/report.h"
 #include "lab/simulation.h"
 #include "lab/soak/soak.h"
-#include "lab/sockets/play.h"
 #include "lab/sockets/process.h"
 #include "lab/sockets/relay_process.h"
+#include "lab/sockets/socket_run.h"
 #include "net/address.h"
 #include "net/http.h"
-#include "tests/support/program.h"
-#include "tests/support/somebody_listens.h"
+#include "tests/support/accepts_connections.h"
+#include "tests/support/child_process.h"
 
 namespace opalroute::lab {
 namespace {
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -9,7 +9,7 @@
 #include "lab/auditor.h"
 #include "lab/evenness.h"
 #include "lab/event_queue.h"
-#include "lab/script.h"
+#include "lab/fault_script.h"
 #include "lab/simulation.h"
 #include "lab/statistics.h"
 
--- a/tests/lab/ledger_test.cpp
+++ b/tests/lab/message_tracker_test.cpp
@@ -1,5 +1,5 @@
 // Tests of MessageTracker and of the auditor's checks of restarts.
-#include "lab/sockets/ledger.h"
+#include "lab/sockets/message_tracker.h"
 
 #include <doctest/doctest.h>
 
--- a/tests/lab/registry_test.cpp
+++ b/tests/lab/platform_server_test.cpp
@@ -1,12 +1,12 @@
 // Tests of the emulated platform.
-#include "lab/sockets/registry.h"
+#include "lab/sockets/platform_server.h"
 
 #include <doctest/doctest.h>
 #include <unistd.h>
 
 #include <string>
 
-#include "lab/capacity/raw.h"
+#include "lab/capacity/minimal_http.h"
 #include "lab/scenario.h"
 #include "lab/world.h"
 #include "net/http.h"
--- a/tests/lab/unwatched_connection_test.cpp
+++ b/tests/lab/unwatched_connection_test.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 
 #include "net/address.h"
-#include "tests/support/hand_clock.h"
+#include "tests/support/manual_clock.h"
 #include "tests/support/server_bounds.h"
 
 namespace opalroute::lab {
--- a/tests/membership/simulated_fleet.h
+++ b/tests/membership/simulated_fleet.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/links.h"
+#include "lab/link_model.h"
 #include "zone_failover/zone_failover.h"
 
 namespace opalroute {
--- a/tests/net/net_test.cpp
+++ b/tests/net/net_test.cpp
@@ -12,7 +12,7 @@
 #include "net/connection.h"
 #include "net/http_client.h"
 #include "net/http_server.h"
-#include "tests/support/hand_clock.h"
+#include "tests/support/manual_clock.h"
 #include "tests/support/server_bounds.h"
 
 namespace opalroute::net {
--- a/tests/notification/failure_notifier_test.cpp
+++ b/tests/notification/failure_notifier_test.cpp
@@ -14,7 +14,7 @@
 #include "net/address.h"
 #include "net/http_server.h"
 #include "relay/client_bounds.h"
-#include "tests/support/hand_clock.h"
+#include "tests/support/manual_clock.h"
 #include "tests/support/server_bounds.h"
 
 namespace opalroute {
--- a/tests/relay/deduplication_window_test.cpp
+++ b/tests/relay/deduplication_window_test.cpp
@@ -9,9 +9,9 @@
 #include <filesystem>
 
 #include "config/config.h"
-#include "lab/capacity/raw.h"
-#include "lab/clock.h"
+#include "lab/capacity/minimal_http.h"
 #include "lab/scenario.h"
+#include "lab/simulated_clock.h"
 #include "lab/sockets/relay_config.h"
 #include "net/address.h"
 #include "net/listener.h"
--- a/tests/relay/program_test.cpp
+++ b/tests/relay/program_test.cpp
@@ -1,6 +1,4 @@
 // The relay program as the platform runs it: signals, configuration reload, and system calls that are denied.
-#include "tests/support/program.h"
-
 #include <doctest/doctest.h>
 #include <linux/filter.h>
 #include <linux/seccomp.h>
@@ -18,6 +16,8 @@
 #include <string>
 #include <vector>
 
+#include "tests/support/child_process.h"
+
 namespace opalroute {
 namespace {
 
--- a/tests/state_transfer/scripted_loop.h
+++ b/tests/state_transfer/scripted_loop.h
@@ -4,7 +4,7 @@
 #include <functional>
 
 #include "config/limits.h"
-#include "lab/clock.h"
+#include "lab/simulated_clock.h"
 #include "net/address.h"
 #include "net/event_loop.h"
 
--- a/tests/state_transfer/state_transfer_test.cpp
+++ b/tests/state_transfer/state_transfer_test.cpp
@@ -11,12 +11,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/experiments/learning_experiment.h"
+#include "lab/experiments/state_transfer_experiment.h"
 #include "lab/sockets/reserved_address.h"
 #include "net/address.h"
 #include "relay/relay.h"
 #include "tests/state_transfer/scripted_loop.h"
-#include "tests/support/program.h"
+#include "tests/support/child_process.h"
 
 namespace opalroute::state_transfer {
 namespace {
--- a/tests/support/somebody_listens.h
+++ b/tests/support/accepts_connections.h
@@ -6,7 +6,7 @@
 #include <exception>
 #include <string>
 
-#include "lab/capacity/raw.h"
+#include "lab/capacity/minimal_http.h"
 #include "net/address.h"
 
 namespace opalroute::lab {
--- a/tests/zone_failover/zone_processes_test.cpp
+++ b/tests/zone_failover/zone_processes_test.cpp
@@ -8,8 +8,8 @@
 #include <map>
 #include <numeric>
 
-#include "lab/sockets/play.h"
-#include "lab/sockets/post.h"
+#include "lab/sockets/datagram_forwarder.h"
+#include "lab/sockets/socket_run.h"
 
 namespace opalroute::lab {
 namespace {
