--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -67,10 +67,10 @@
                                     {"newest_generation", newest_generation_.value_or(0)}});
 }
 
-// Ignores changes to a generation older than the published one: they come from a lagging replica or a
-// repeated response and were published before. The next attempt then requests the complete list. An older
-// complete list is published, as discovery may have restarted its generation numbers; until that is assumed
-// it is marked as stale, and the listener decides what a stale list must not undo.
+// Ignores changes that result in a generation older than the published one: they come from a lagging replica
+// or a repeated response and were published before. The next attempt then requests the complete list. An
+// older complete list is published, as discovery may have restarted its generation numbers; until that is
+// assumed it is marked as stale, and the listener decides what a stale list must not undo.
 void DiscoveryClient::OnWatchUpdate(ListWatch& watch, const EndpointListUpdate& update) {
   const bool older = generation_ && update.generation < *generation_;
   EndpointListUpdate published = update;
--- a/src/discovery/list_watch.h
+++ b/src/discovery/list_watch.h
@@ -60,7 +60,7 @@
   void ReadCompleteLine(const nlohmann::json* list);
   void CheckUnfinishedObject();
   void DeliverLines();
-  void StartLineTimeout(net::Seconds within);
+  void StartLineTimeout(net::Seconds timeout);
   void End(WatchEndReason reason);
 
   // An update, or nullopt for a heartbeat.
--- a/src/journal/journal.cpp
+++ b/src/journal/journal.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t kOtherFilesBytes = 4 * kDiskBlockBytes;  // for small files beside the journal
 // Reserved per request for records still to come: the next attempt, the end, a notification.
 constexpr std::size_t kFutureBytesPerRequest = 512;
-// Shares of the disk budget. A compaction holds the old and the new file at once, so the records that it
+// Shares of the disk limit. A compaction holds the old and the new file at once, so the records that it
 // keeps must fit twice, with space for end records.
 constexpr double kMaxShareToAccept = 0.4;    // limit on reserved bytes for accepting a request
 constexpr double kMaxShareToAttempt = 0.43;  // limit on reserved bytes for recording an attempt
@@ -35,7 +35,7 @@
   lost_bytes_ = file_.Recover([this](std::string_view record) { return ApplyBytes(record); });
 }
 
-// ---- budget --------------------------------------------------------------------------------------------
+// ---- disk limit ----------------------------------------------------------------------------------------
 
 // The size of the entry's records in a compacted file, plus the reserve for those still to come. Computed
 // without encoding the records, since it runs for every request.
--- a/src/journal/journal.h
+++ b/src/journal/journal.h
@@ -3,7 +3,7 @@
 // The file is append-only, and a record is written before the action that it announces: `accepted` before the
 // 202 response, `attempt` before the first byte of the call. When the file has grown too large it is
 // compacted: the records of unfinished requests are written to a new file that replaces the old one. Both
-// files exist meanwhile, so the disk budget leaves space for both. journal_record.h describes the records.
+// files exist meanwhile, so the disk limit leaves space for both. journal_record.h describes the records.
 #pragma once
 
 #include <cstddef>
@@ -32,13 +32,13 @@
   std::size_t lost_bytes() const { return lost_bytes_; }  // truncated when the file was read
 
   // Each returns whether its record was written. RecordAccepted and RecordAttempt also fail if the disk
-  // budget is used up, RecordAccepted also if the id is in use. Space for the end of each request is
+  // limit is reached, RecordAccepted also if the id is in use. Space for the end of each request is
   // reserved. An end whose write fails still takes effect in memory at once, and is written before the next
   // record.
   bool RecordAccepted(const JournalEntry& entry);
   bool RecordAttempt(const std::string& id, const JournalAttempt& attempt);
-  bool RecordNotExecuted(const std::string& id,
-                         std::size_t attempt);  // index among the request's recorded attempts
+  // `attempt` is the index among the request's recorded attempts.
+  bool RecordNotExecuted(const std::string& id, std::size_t attempt);
   bool RecordEnd(const std::string& id);
   // The request has ended, but its entry stays until RecordEnd is called after the notification's delivery.
   bool RecordEndWithNotification(const std::string& id, const std::string& notification);
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -104,7 +104,7 @@
   }
 }
 
-void Membership::Leave(std::vector<OutgoingMessage>& out) {
+void Membership::AnnounceLeave(std::vector<OutgoingMessage>& out) {
   for (Peer peer = 0; peer < options_.fleet_size; ++peer) {
     if (IsOtherPeer(peer)) out.push_back({peer, NewMessage(MessageKind::kLeave)});
   }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -63,7 +63,7 @@
   void OnUnreachable(Seconds now, Peer peer);
 
   // Appends the messages that announce the end of this process.
-  void Leave(std::vector<OutgoingMessage>& out);
+  void AnnounceLeave(std::vector<OutgoingMessage>& out);
 
   // Returns a message of this incarnation with the next sequence number.
   Message NewMessage(MessageKind kind);
--- a/src/state_transfer/state_transfer.h
+++ b/src/state_transfer/state_transfer.h
@@ -1,6 +1,6 @@
 // State transfer: a relay that starts takes over the state of upstream routes from running relays and from
-// its own earlier process. Connects a relay with the carriers (TCP, datagrams, the state folder) and the
-// merger. Disabled unless the operator settings enable it.
+// its own earlier process. Connects a relay with the merger and with the carriers of state: TCP,
+// datagrams and the state folder. Disabled unless the operator settings enable it.
 #pragma once
 
 #include <deque>
--- a/src/zone_failover/directive_publisher.h
+++ b/src/zone_failover/directive_publisher.h
@@ -1,5 +1,5 @@
 // Publishes the outcome of membership and zone failover to the request router: the share count that quotas
-// are divided by, and the traffic share of each zone. Only changes are published. Without I/O.
+// are divided by, and the traffic share of each zone. Only changes are published. Does no I/O.
 #pragma once
 
 #include <vector>
--- a/src/zone_failover/gossip_composer.h
+++ b/src/zone_failover/gossip_composer.h
@@ -1,4 +1,4 @@
-// Composes the zone part of a relay's gossip, and encodes it with membership messages into datagrams. Without
+// Composes the zone part of a relay's gossip, and encodes it with membership messages into datagrams. Does no
 // I/O.
 #pragma once
 
--- a/src/zone_failover/operator_override.h
+++ b/src/zone_failover/operator_override.h
@@ -1,6 +1,6 @@
 // Operators' overrides of zone failover. Each applies to one zone and expires. Relays gossip them and persist
 // them across restarts. An override has a version (sequence, issuer) and the latest version wins, so messages
-// may be lost, duplicated or reordered. Without I/O.
+// may be lost, duplicated or reordered. Does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/zone_failover/report_scheduler.cpp
+++ b/src/zone_failover/report_scheduler.cpp
@@ -108,9 +108,9 @@
          observation.success_at > std::max(entry.suspected_at, entry.reported_at);
 }
 
-// For every zone of which this relay has unreported calls, other relays have reported enough for a verdict.
-// Where destinations are at their limits some relays report failures all the time, so a few reports of either
-// kind must suffice.
+// Whether other relays have reported enough for a verdict on every zone of which this relay has unreported
+// calls. Where destinations are at their limits some relays report failures all the time, so a few reports of
+// either kind must suffice.
 bool ReportScheduler::IsRedundant(Seconds now) const {
   for (int zone = 0; zone < options_.zones; ++zone) {
     if (!HasUnreportedCalls(now, zone)) continue;
@@ -128,7 +128,7 @@
 
 int ReportScheduler::Quorum() const { return consensus_.QuorumOf(options_.membership.fleet_size); }
 
-// The fleet is deciding on a zone, or is about to.
+// Whether the fleet is deciding on a zone, or is about to.
 bool ReportScheduler::IsUrgent(Seconds now) const {
   if (HasStateToGossip()) return true;
   for (int zone = 0; zone < options_.zones; ++zone) {
--- a/src/zone_failover/report_scheduler.h
+++ b/src/zone_failover/report_scheduler.h
@@ -1,6 +1,6 @@
 // Decides when a relay broadcasts a report of its zones, in addition to those that membership messages carry.
 // A report is due a random delay after the relay has something new to report, unless other relays have
-// reported enough by then (as in the Trickle algorithm, RFC 6206) or the rate limit holds it back. Without
+// reported enough by then (as in the Trickle algorithm, RFC 6206) or the rate limit holds it back. Does no
 // I/O.
 #pragma once
 
@@ -34,8 +34,8 @@
   // Gossip from another relay has the same state of the zone as this relay.
   void OnConfirmedState(int zone);
 
-  // Every zone is in service and neither this relay nor any other reports failures, so gossip needs no
-  // report.
+  // Whether every zone is in service and neither this relay nor any other reports failures, so that gossip
+  // needs no report.
   bool AreAllZonesHealthy(Seconds now) const;
 
   // Returns whether to send a report now. If so, it is counted as sent.
--- a/src/zone_failover/zone_consensus.cpp
+++ b/src/zone_failover/zone_consensus.cpp
@@ -88,21 +88,22 @@
          view.success_reporters <= options_.contradiction_share * view.failure_reporters;
 }
 
-bool ZoneConsensus::HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const {
+bool ZoneConsensus::HasEnoughFailedDestinations(const ZoneView& view,
+                                                bool is_another_zone_out_of_service) const {
   if (view.failed_destinations < options_.min_failed_destinations) return false;
   if (view.failure_reports < options_.min_failure_reports) return false;
   // Most destinations of a healthy zone may be above their limits and reject everything for a while. So
   // rejections count as the zone's failure only if none of its destinations serves.
   const bool is_rejecting = view.fault == FaultKind::kRejected;
   if (is_rejecting && view.succeeded_destinations > 0) return false;
-  const double min_share = is_rejecting && is_another_zone_evacuated ? 1 : options_.min_failed_share;
+  const double min_share = is_rejecting && is_another_zone_out_of_service ? 1 : options_.min_failed_share;
   return view.failed_destinations >= min_share * view.destinations;
 }
 
 bool ZoneConsensus::IsFailing(Seconds now, int zone, const ZoneView& view, const FleetState& fleet) const {
   if (view.fault == FaultKind::kSlow) return false;  // a slow zone still serves
   return HasFailureQuorum(view, fleet.share_count) &&
-         HasEnoughFailedDestinations(view, fleet.is_another_zone_evacuated) &&
+         HasEnoughFailedDestinations(view, fleet.is_another_zone_out_of_service) &&
          IsAnotherZoneServing(now, zone, fleet);
 }
 
--- a/src/zone_failover/zone_consensus.h
+++ b/src/zone_failover/zone_consensus.h
@@ -80,8 +80,9 @@
   // The state of the fleet that a verdict depends on, besides the reports.
   struct FleetState {
     double share_count = 1;
-    Seconds control_since = kLongAgo;        // only calls into the control zone sent since then count
-    bool is_another_zone_evacuated = false;  // if so, the remaining zones carry its load
+    Seconds control_since = kLongAgo;  // only calls into the control zone sent since then count
+    // Another zone is in a phase other than kInService, so the remaining zones carry some or all of its load.
+    bool is_another_zone_out_of_service = false;
   };
 
   // Whether the zone as a whole fails while another zone, the control, serves. `view` is the zone's as of
@@ -103,7 +104,7 @@
   // Counts reports received at or after `since`, and success reporters by `success_lifetime`.
   ZoneView ViewOf(Seconds now, int zone, Seconds success_lifetime, Seconds since) const;
   bool HasFailureQuorum(const ZoneView& view, double share_count) const;
-  bool HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_evacuated) const;
+  bool HasEnoughFailedDestinations(const ZoneView& view, bool is_another_zone_out_of_service) const;
   bool IsAnotherZoneServing(Seconds now, int zone, const FleetState& fleet) const;
 
   const Options options_;
--- a/src/zone_failover/zone_evacuation.h
+++ b/src/zone_failover/zone_evacuation.h
@@ -1,4 +1,4 @@
-// The evacuation of each zone, as a state machine that all relays share by gossip. Without I/O. States are
+// The evacuation of each zone, as a state machine that all relays share by gossip. Does no I/O. States are
 // ordered by round and, within a round, by phase. A relay adopts any later state, so messages may be lost,
 // duplicated or reordered.
 //
--- a/src/zone_failover/zone_failover.cpp
+++ b/src/zone_failover/zone_failover.cpp
@@ -128,7 +128,7 @@
 
 void ZoneFailover::AnnounceLeave(Actions& out) {
   std::vector<membership::OutgoingMessage> messages;
-  membership_.Leave(messages);
+  membership_.AnnounceLeave(messages);
   AppendDatagrams(messages, "", options_.membership.max_message_bytes, out.datagrams);
 }
 
@@ -197,11 +197,11 @@
   fleet.share_count = share_count;
   const EvacuationState& state = evacuation_.StateOf(zone);
   if (state.phase == EvacuationPhase::kEvacuating) fleet.control_since = state.since - kControlMargin;
-  fleet.is_another_zone_evacuated = IsAnotherZoneEvacuated(zone);
+  fleet.is_another_zone_out_of_service = IsAnotherZoneOutOfService(zone);
   return fleet;
 }
 
-bool ZoneFailover::IsAnotherZoneEvacuated(int zone) const {
+bool ZoneFailover::IsAnotherZoneOutOfService(int zone) const {
   for (int other = 0; other < options_.zones; ++other) {
     if (other != zone && evacuation_.StateOf(other).phase != EvacuationPhase::kInService) return true;
   }
--- a/src/zone_failover/zone_failover.h
+++ b/src/zone_failover/zone_failover.h
@@ -1,6 +1,6 @@
 // Zone failover of one relay: combines membership, the relay's own observations, the fleet's consensus, the
 // evacuation of zones and operators' overrides. The caller passes in the time, received datagrams and the
-// calls of this relay, and gets datagrams to send and events for the request router. Without I/O, so the
+// calls of this relay, and gets datagrams to send and events for the request router. Does no I/O, so the
 // laboratory can simulate hundreds of relays. See docs/membership.md and docs/zone-failover.md.
 #pragma once
 
@@ -108,7 +108,7 @@
                 Actions& out);
   std::vector<membership::Peer> AliveMembersIfNeeded(Seconds now) const;
   ZoneConsensus::FleetState FleetStateFor(int zone, double share_count) const;
-  bool IsAnotherZoneEvacuated(int zone) const;
+  bool IsAnotherZoneOutOfService(int zone) const;
   void Send(Seconds now, const std::vector<membership::OutgoingMessage>& messages, Actions& out);
   void Broadcast(Seconds now, Actions& out);
   void PublishDirectives(Seconds now, Actions& out);
--- a/src/zone_failover/zone_gossip.h
+++ b/src/zone_failover/zone_gossip.h
@@ -1,6 +1,6 @@
-// The zone payload of a membership message: the evacuation state of each zone, and optionally the sender's
-// report and operators' overrides. Without I/O. Numbers are varints (membership/varint.h); ages and remaining
-// times are in tenths of a second.
+// Encodes and decodes the zone payload of a membership message: the evacuation state of each zone, and
+// optionally the sender's report and operators' overrides. Does no I/O. Numbers are varints
+// (membership/varint.h); ages and remaining times are in tenths of a second.
 //
 //   number of zones; for each: round, phase | relapses << 2, age of the phase
 //   bits of the sections that follow: 1 a report, 2 overrides. 4 to 64 are reserved for later versions, which
--- a/src/zone_failover/zone_health_observer.cpp
+++ b/src/zone_failover/zone_health_observer.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Between the time at which OnSent was called and the one that OnEnded computes from the duration.
+// Largest difference between the time of a call's OnSent and the one that OnEnded computes from its duration.
 constexpr Seconds kSameCallTolerance = 0.05;
 constexpr double kLatencyGain = 0.2;          // weight of the latest call in the moving average
 constexpr std::size_t kMaxInFlight = 64;      // calls per endpoint that are watched for a timeout
--- a/src/zone_failover/zone_health_observer.h
+++ b/src/zone_failover/zone_health_observer.h
@@ -1,6 +1,6 @@
 // The health of each zone as seen by one relay's own calls: which of its destinations served the latest call,
 // and which failed it. Destinations are counted, not calls, so that a busy destination that fails counts
-// once. Without I/O.
+// once. Does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -91,7 +91,7 @@
   const Options options_;
   std::vector<Zone> zones_;
   std::unordered_map<EndpointId, Endpoint> endpoints_;
-  Seconds mean_latency_ = 0;  // the same, over all endpoints
+  Seconds mean_latency_ = 0;  // as Endpoint::mean_latency, over all endpoints
 };
 
 }  // namespace opalroute::zone_failover
--- a/tests/discovery/endpoint_list_processes_test.cpp
+++ b/tests/discovery/endpoint_list_processes_test.cpp
@@ -44,7 +44,7 @@
         other_endpoint_(loop),
         discovery_(loop, draining_endpoint_.address(), other_endpoint_.address(),
                    [this] { return CurrentReply(); }),
-        relay_(loop, number, PlanFor(folder / std::to_string(number)), *this) {
+        relay_(loop, number, ProcessOptions(folder / std::to_string(number)), *this) {
     relay_.Start();
   }
 
@@ -61,8 +61,8 @@
         for (const Seconds at : {1.0, 1.3, 1.7, kLastAddressChange}) At(at, [this] { ChangeAddress(); });
         At(2.4, [this] { discovery_.DrainFirstEndpoint(); });
         notification_due_ = kLastAddressChange + kNotifiedAfterReload;
-        notified_by_ =
-            notification_due_ + kGracePeriod;  // discovery is overloaded almost until `notification_due_`
+        // Discovery is overloaded until shortly before `notification_due_`.
+        notified_by_ = notification_due_ + kGracePeriod;
         break;
       case Fault::kOutage:
         At(1.0, [this] { discovery_.StartOutage(); });
@@ -100,11 +100,11 @@
   static constexpr Seconds kLastAddressChange = 2.6, kOverloadedUntil = kLastAddressChange + 3.5;
   static constexpr Seconds kOutageEnd = 11;
 
-  lab::RelayProcess::Options PlanFor(const fs::path& folder) {
-    lab::RelayProcess::Options plan;
-    plan.program = RELAY_PROGRAM;
-    plan.folder = folder.string();
-    plan.config = [this](const std::string& listen) {
+  lab::RelayProcess::Options ProcessOptions(const fs::path& folder) {
+    lab::RelayProcess::Options options;
+    options.program = RELAY_PROGRAM;
+    options.folder = folder.string();
+    options.config = [this](const std::string& listen) {
       json config;
       std::ifstream(fs::path(EXCHANGES) / "base.json") >> config;
       config["listen"] = listen;
@@ -113,7 +113,7 @@
       config["settings"]["balancers"] = 6;
       return config;
     };
-    return plan;
+    return options;
   }
   void At(Seconds after, std::function<void()> action) { loop_.At(start_ + after, std::move(action)); }
   void ChangeAddress() {
--- a/tests/discovery/endpoint_merge_test.cpp
+++ b/tests/discovery/endpoint_merge_test.cpp
@@ -220,7 +220,7 @@
     REQUIRE(after.count(letter) == 1);
     if (status == Status::kDraining) CHECK(!after[letter]);
   }
-  // An endpoint stays in service, unless SRV says that the service is not offered.
+  // At least one endpoint stays in service, unless SRV says that the service is not offered.
   if (listed_in_service > 0 && !model.not_offered) CHECK(in_service > 0);
   eligible = listed_in_service + static_cast<int>(before.count('x'));
   for (const auto& [letter, served] : before) {
--- a/tests/discovery/srv_test.cpp
+++ b/tests/discovery/srv_test.cpp
@@ -147,8 +147,8 @@
   scenario.Advance(600);
   CHECK(scenario.InService("a"));
   CHECK(!scenario.InService("b"));  // the last answer is still in effect
-  CHECK(scenario.server.datagrams() - before <
-        600 / 5 * 2 * 5);  // a few attempts every few seconds, for two names
+  // At most five datagrams every 5 s for each of two names.
+  CHECK(scenario.server.datagrams() - before < 600 / 5 * 2 * 5);
   scenario.server.SetSilent(false);
   int serving_a = 0, changes = 0;
   bool last = scenario.InService("b");
--- a/tests/journal/journal_faults_test.cpp
+++ b/tests/journal/journal_faults_test.cpp
@@ -1,6 +1,6 @@
 // The journal and other files of the state folder while system calls fail for a time or write only a part
 // of their bytes. Guards against lost requests, ended requests that come back after a restart, lost
-// Retry-After times, and records written after a fault that can't be read.
+// Retry-After times, and records that can't be read because they were written after a fault.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <sys/syscall.h>
--- a/tests/journal/journal_test.cpp
+++ b/tests/journal/journal_test.cpp
@@ -1,4 +1,4 @@
-// The journal alone: recovery after torn writes, compaction and the disk budget.
+// The journal alone: recovery after torn writes, compaction and the disk limit.
 #include "journal/journal.h"
 
 #include <doctest/doctest.h>
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -14,7 +14,7 @@
 
 using membership::MemberState;
 
-zone_failover::FailoverOptions OptionsFor(int size) {
+zone_failover::FailoverOptions OptionsWithoutEvacuation(int size) {
   zone_failover::FailoverOptions options;
   options.membership.fleet_size = size;
   options.zones = 2;
@@ -63,7 +63,7 @@
     "their shares") {
   for (const int size : {3, 12, 60, 300}) {
     CAPTURE(size);
-    SimulatedFleet fleet(OptionsFor(size), {}, 1);
+    SimulatedFleet fleet(OptionsWithoutEvacuation(size), {}, 1);
     fleet.StartAll();
     fleet.RunUntil(fleet.now + 2);
     CHECK(fleet.TotalShare() == doctest::Approx(1));
@@ -82,7 +82,7 @@
 }
 
 TEST_CASE("membership: a relay behind a network partition is never dead, however long the partition lasts") {
-  SimulatedFleet fleet(OptionsFor(10), {}, 2);
+  SimulatedFleet fleet(OptionsWithoutEvacuation(10), {}, 2);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
   fleet.cut = [](int from, int to) { return (from < 4) != (to < 4); };
@@ -95,7 +95,7 @@
 TEST_CASE(
     "membership: in a partition, proofs of death expire before a relay that restarted behind it takes its "
     "share") {
-  SimulatedFleet fleet(OptionsFor(10), {}, 3);
+  SimulatedFleet fleet(OptionsWithoutEvacuation(10), {}, 3);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
   for (int relay = 5; relay < 10; ++relay) fleet.Kill(relay);
@@ -115,7 +115,7 @@
 TEST_CASE(
     "membership: a one-way partition and a freeze leave the share count unchanged, and a relay that leaves "
     "is dead") {
-  SimulatedFleet fleet(OptionsFor(8), {}, 4);
+  SimulatedFleet fleet(OptionsWithoutEvacuation(8), {}, 4);
   fleet.StartAll();
   fleet.RunUntil(fleet.now + 2);
   fleet.cut = [](int from, int) { return from == 7; };  // relay 7 receives, but nothing it sends arrives
@@ -143,8 +143,8 @@
   for (double now = 0; now < 0.5; now += 0.05) member.Tick(now, out);
   REQUIRE(!out.empty());
   CHECK(!member.HandleMessage(0.5, 9, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}}, out));
-  CHECK(!member.HandleMessage(0.5, 0, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}},
-                              out));  // from its own index
+  // From its own index.
+  CHECK(!member.HandleMessage(0.5, 0, {membership::MessageKind::kGossip, 1, 1, 0, 0, {}, {}}, out));
   CHECK(member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
   CHECK(!member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 5, 3, 0, 0, {}, {}}, out));
   CHECK(!member.HandleMessage(0.5, 1, {membership::MessageKind::kGossip, 4, 9, 0, 0, {}, {}}, out));
@@ -238,7 +238,7 @@
       if (random(3) == 0) cut.on = 0.5 + random(3), cut.off = 0.5 + random(3);
       links.cuts.push_back(cut);
     }
-    SimulatedFleet fleet(OptionsFor(size), links, seed);
+    SimulatedFleet fleet(OptionsWithoutEvacuation(size), links, seed);
     fleet.StartAll();
     fleet.RunUntil(fleet.now + 40, [&] {
       if (fleet.UniformBelow(20) != 0) return;
@@ -260,7 +260,7 @@
 
 TEST_CASE("membership: message rate and size stay within their limits for 3, 30 and 300 relays") {
   for (const int size : {3, 30, 300}) {
-    SimulatedFleet fleet(OptionsFor(size), {}, 6);
+    SimulatedFleet fleet(OptionsWithoutEvacuation(size), {}, 6);
     fleet.StartAll();
     fleet.RunUntil(fleet.now + 3);
     const long datagrams = fleet.datagrams_sent;
--- a/tests/membership/wire_format_test.cpp
+++ b/tests/membership/wire_format_test.cpp
@@ -81,14 +81,14 @@
     "across builds") {
   lab::LinkPlan links;
   links.loss = 0.2;
-  SimulatedFleet fleet(OptionsFor(12), links, 31);
+  SimulatedFleet fleet(FailoverOptionsFor(12), links, 31);
   Digest digest;
   fleet.rewrite = [&](int from, const std::string& bytes) {
     digest.Add(std::to_string(std::lround(fleet.now * 1000)) + ' ' + std::to_string(from) + ' ' + bytes);
     return bytes;
   };
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 104 && fleet.now < 109 ? Failing(Outcome::kReset) : CallResult{};
+    return zone == 1 && fleet.now >= 104 && fleet.now < 109 ? FailedCall(Outcome::kReset) : CallResult{};
   });
   fleet.StartAll();
   calls.RunUntil(105);
--- a/tests/relay/zones_page_test.cpp
+++ b/tests/relay/zones_page_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 TEST_CASE("zone failover: the /zones page has the documented keys in the documented order") {
-  SimulatedFleet fleet(OptionsFor(6), {}, 41);
+  SimulatedFleet fleet(FailoverOptionsFor(6), {}, 41);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 103 ? Failing(Outcome::kReset) : CallResult{};
+    return zone == 1 && fleet.now >= 103 ? FailedCall(Outcome::kReset) : CallResult{};
   });
   fleet.StartAll();
   calls.RunUntil(106);
--- a/tests/state_transfer/codec_test.cpp
+++ b/tests/state_transfer/codec_test.cpp
@@ -62,7 +62,7 @@
     CHECK(!decoded.routes[0].state.rejection_age);
     CHECK(decoded.out_of_range == 1);
   }
-  NamedRouteState long_id = Failing(1, 1);
+  NamedRouteState long_id = FailingRoute(1, 1);
   long_id.endpoint = std::string(300, 'x');
   CHECK(round_trip(long_id).routes.empty());
 }
--- a/tests/state_transfer/datagram_exchange_test.cpp
+++ b/tests/state_transfer/datagram_exchange_test.cpp
@@ -14,7 +14,8 @@
 
 TEST_CASE(
     "state transfer: datagrams hold the most urgent states that fit, and only requested answers count") {
-  std::vector<NamedRouteState> routes = {Failing(1, 3), RetryAfter(2, 1), Failing(3, 1), RetryAfter(4, 9)};
+  std::vector<NamedRouteState> routes = {FailingRoute(1, 3), RouteWithRetryAfter(2, 1), FailingRoute(3, 1),
+                                         RouteWithRetryAfter(4, 9)};
   NamedRouteState recovering;
   recovering.state.destination = 5;
   recovering.state.recovery_age = 1;
@@ -45,15 +46,15 @@
   const auto answer = requester.Receive(10.1, requests[0].first, sent[0].second);
   CHECK(answer.kind == DatagramExchange::Kind::kAnswer);
   CHECK(answer.datagram.routes.size() > 5);
-  CHECK(requester.Receive(10.1, 3, sent[0].second).kind ==
-        DatagramExchange::Kind::kIgnored);  // no request was sent to this peer
-  CHECK(requester.Receive(12.1, requests[0].first, sent[0].second).kind ==
-        DatagramExchange::Kind::kIgnored);  // too late
+  // No request was sent to this peer.
+  CHECK(requester.Receive(10.1, 3, sent[0].second).kind == DatagramExchange::Kind::kIgnored);
+  // Too late.
+  CHECK(requester.Receive(12.1, requests[0].first, sent[0].second).kind == DatagramExchange::Kind::kIgnored);
   CHECK(requester.Receive(10.1, requests[0].first, "else").kind == DatagramExchange::Kind::kOtherProtocol);
   sent.clear();
-  NamedRouteState too_long = RetryAfter(1, 1);  // for a datagram
+  NamedRouteState too_long = RouteWithRetryAfter(1, 1);  // for a datagram
   too_long.endpoint = std::string(250, 'x');
-  responder.Answer(3, 1, {too_long, RetryAfter(2, 1)});
+  responder.Answer(3, 1, {too_long, RouteWithRetryAfter(2, 1)});
   REQUIRE(sent.size() == 1);
   CHECK(DecodeDatagram(sent[0].second)->routes[0].state.destination == 2);
 }
--- a/tests/state_transfer/route_states.h
+++ b/tests/state_transfer/route_states.h
@@ -8,14 +8,14 @@
 
 namespace opalroute::state_transfer {
 
-inline NamedRouteState Failing(DestinationId destination, Seconds age) {
+inline NamedRouteState FailingRoute(DestinationId destination, Seconds age) {
   NamedRouteState route;
   route.state.destination = destination;
   route.state.failure_age = age;
   return route;
 }
 
-inline NamedRouteState RetryAfter(DestinationId destination, Seconds remaining) {
+inline NamedRouteState RouteWithRetryAfter(DestinationId destination, Seconds remaining) {
   NamedRouteState route;
   route.state.destination = destination;
   route.state.retry_after = remaining;
@@ -25,7 +25,7 @@
 inline std::vector<NamedRouteState> SomeRoutes(int count) {
   std::vector<NamedRouteState> routes;
   for (int i = 0; i < count; ++i) {
-    NamedRouteState route = Failing(i, i % 7);
+    NamedRouteState route = FailingRoute(i, i % 7);
     if (i % 3 == 0) route.endpoint = "s-" + std::to_string(i);
     route.state.retry_after = i % 5;
     route.state.success_age = i;
--- a/tests/state_transfer/snapshot_merger_test.cpp
+++ b/tests/state_transfer/snapshot_merger_test.cpp
@@ -23,34 +23,34 @@
 }
 
 TEST_CASE("state transfer: a Retry-After holds in full to its end and is never prolonged") {
-  CHECK(Merged({RetryAfter(1, 4)})->retry_after == doctest::Approx(4));
-  CHECK(Merged({RetryAfter(1, 4)}, 3)->retry_after == doctest::Approx(1));
-  CHECK(!Merged({RetryAfter(1, 4)}, 4));
-  CHECK(Merged({RetryAfter(1, 4), RetryAfter(1, 2)})->retry_after == doctest::Approx(4));
+  CHECK(Merged({RouteWithRetryAfter(1, 4)})->retry_after == doctest::Approx(4));
+  CHECK(Merged({RouteWithRetryAfter(1, 4)}, 3)->retry_after == doctest::Approx(1));
+  CHECK(!Merged({RouteWithRetryAfter(1, 4)}, 4));
+  CHECK(Merged({RouteWithRetryAfter(1, 4), RouteWithRetryAfter(1, 2)})->retry_after == doctest::Approx(4));
 }
 
 TEST_CASE(
     "state transfer: a Retry-After that is too long is reduced to the maximum, counted from its "
     "observation") {
   MergeTally tally;
-  CHECK(Merged({RetryAfter(1, 3000)}, 0, &tally)->retry_after == doctest::Approx(30));
+  CHECK(Merged({RouteWithRetryAfter(1, 3000)}, 0, &tally)->retry_after == doctest::Approx(30));
   CHECK(tally.retry_afters_shortened == 1);
-  CHECK(Merged({RetryAfter(1, 3000)}, 29)->retry_after == doctest::Approx(1));
-  CHECK(!Merged({RetryAfter(1, 3000)}, 30));
+  CHECK(Merged({RouteWithRetryAfter(1, 3000)}, 29)->retry_after == doctest::Approx(1));
+  CHECK(!Merged({RouteWithRetryAfter(1, 3000)}, 30));
 }
 
 TEST_CASE("state transfer: each kind of observation is valid up to a maximum age") {
   CHECK(HealthWeight(0) == 1);
   CHECK(HealthWeight(8.1) == doctest::Approx(0.5));
   CHECK(HealthWeight(60) < 0.01);
-  CHECK(*Merged({Failing(1, 2)})->failure_age == 2);
-  CHECK(*Merged({Failing(1, 2)}, 5)->failure_age == 7);
+  CHECK(*Merged({FailingRoute(1, 2)})->failure_age == 2);
+  CHECK(*Merged({FailingRoute(1, 2)}, 5)->failure_age == 7);
   // The outage may have ended only now, so it is still suspected, and no slow start has begun.
-  const auto old = Merged({Failing(1, 26)});
+  const auto old = Merged({FailingRoute(1, 26)});
   CHECK(*old->failure_age == 26);
   CHECK(!old->recovery_age);
   MergeTally tally;
-  CHECK(!Merged({Failing(1, 28)}, 0, &tally));
+  CHECK(!Merged({FailingRoute(1, 28)}, 0, &tally));
   CHECK(tally.stale == 1);
   NamedRouteState recovering;
   recovering.state.destination = 1;
@@ -77,16 +77,16 @@
   served.state.destination = 1;
   served.state.success_age = 1;
   MergeTally tally;
-  const auto later = Merged({Failing(1, 3), served}, 0, &tally);
+  const auto later = Merged({FailingRoute(1, 3), served}, 0, &tally);
   CHECK(!later->failure_age);
   CHECK(*later->recovery_age == 1);
   CHECK(tally.contradicted == 1);
   served.state.success_age = 4;  // before the failure
-  CHECK(*Merged({Failing(1, 3), served})->failure_age == 3);
+  CHECK(*Merged({FailingRoute(1, 3), served})->failure_age == 3);
 }
 
 TEST_CASE("state transfer: states that are almost an hour old are all stale") {
-  NamedRouteState old = Failing(1, 3599);
+  NamedRouteState old = FailingRoute(1, 3599);
   old.state.recovery_age = old.state.rejection_age = old.state.latency_age = old.state.hedging_disabled_age =
       old.state.success_age = 3599;
   old.state.send_rate = old.state.latency = 1;
@@ -97,7 +97,7 @@
 
 TEST_CASE("state transfer: the merger keeps no more routes than allowed and counts the others") {
   SnapshotMerger merger({}, 3);
-  for (int i = 0; i < 10; ++i) merger.Add(0, RetryAfter(i, 1), 0);
+  for (int i = 0; i < 10; ++i) merger.Add(0, RouteWithRetryAfter(i, 1), 0);
   CHECK(merger.Merge(0).size() == 3);
   CHECK(merger.tally().too_many == 7);
 }
--- a/tests/state_transfer/snapshot_transfer_test.cpp
+++ b/tests/state_transfer/snapshot_transfer_test.cpp
@@ -143,7 +143,7 @@
   ScriptedLoop scripted;
   SnapshotChunk chunk;
   chunk.since_header = 0;
-  chunk.routes = {RetryAfter(1, 2)};
+  chunk.routes = {RouteWithRetryAfter(1, 2)};
   const std::string header = EncodeFrame(SnapshotHeader{kVersion, "server", 5, 0});
   const std::string rest = EncodeFrame(chunk) + EncodeFrame(SnapshotEnd{1});
   int fd = -1;
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -27,7 +27,7 @@
     CAPTURE(loss);
     lab::LinkPlan links;
     links.loss = loss;
-    SimulatedFleet fleet(OptionsFor(40), links, 3);
+    SimulatedFleet fleet(FailoverOptionsFor(40), links, 3);
     SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
     fleet.StartAll();
     calls.RunUntil(104);
@@ -51,10 +51,10 @@
 
 TEST_CASE(
     "zone failover: keep-in-service keeps a failing zone in service, and lets an evacuated one recover") {
-  SimulatedFleet fleet(OptionsFor(24), {}, 4);
+  SimulatedFleet fleet(FailoverOptionsFor(24), {}, 4);
   const Seconds fails_at = 104;
   SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= fails_at ? Failing(Outcome::kConnectFailed) : CallResult{};
+    return zone == 1 && fleet.now >= fails_at ? FailedCall(Outcome::kConnectFailed) : CallResult{};
   });
   fleet.StartAll();
   calls.RunUntil(103);
@@ -79,7 +79,7 @@
   cut.from = 106;
   cut.lasts = 8;
   links.cuts.push_back(cut);
-  SimulatedFleet fleet(OptionsFor(20), links, 5);
+  SimulatedFleet fleet(FailoverOptionsFor(20), links, 5);
   SimulatedCalls calls(fleet, 4, [](int, int, int) { return CallResult{}; });
   fleet.StartAll();
   calls.RunUntil(103);
@@ -107,7 +107,7 @@
 
 TEST_CASE(
     "zone failover: an override survives the restart of all relays if one of them keeps its state folder") {
-  SimulatedFleet fleet(OptionsFor(9), {}, 6);
+  SimulatedFleet fleet(FailoverOptionsFor(9), {}, 6);
   fleet.StartAll();
   fleet.RunUntil(103);
   fleet.IssueOverride(1, 1, OverrideKind::kEvacuate, 30);
@@ -222,7 +222,7 @@
 
 // Relays 0 to 3 run an earlier version without overrides, and 4 to 7 a later one with an unknown section.
 TEST_CASE("zone failover: a fleet of three versions evacuates a zone together, and the zone recovers") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 23);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 23);
   fleet.rewrite = [](int from, const std::string& bytes) {
     auto message = membership::DecodeMessage(bytes);
     const auto gossip = message ? zone_failover::DecodeZoneGossip(message->zone_payload) : std::nullopt;
@@ -234,7 +234,7 @@
     return membership::EncodeMessage(*message, 256);
   };
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? Failing(Outcome::kReset) : CallResult{};
+    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? FailedCall(Outcome::kReset) : CallResult{};
   });
   fleet.StartAll();
   calls.RunUntil(108);
--- a/tests/zone_failover/simulated_calls.cpp
+++ b/tests/zone_failover/simulated_calls.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-zone_failover::FailoverOptions OptionsFor(int fleet_size) {
+zone_failover::FailoverOptions FailoverOptionsFor(int fleet_size) {
   zone_failover::FailoverOptions options;
   options.membership.fleet_size = fleet_size;
   options.zones = kZones;
@@ -21,7 +21,7 @@
   return options;
 }
 
-CallResult Failing(Outcome outcome) { return {outcome, outcome == Outcome::kTimeout ? 3 : 0.02}; }
+CallResult FailedCall(Outcome outcome) { return {outcome, outcome == Outcome::kTimeout ? 3 : 0.02}; }
 
 SimulatedCalls::SimulatedCalls(SimulatedFleet& fleet, double rate, Response response)
     : fleet_(fleet), rate_(rate), response_(std::move(response)) {}
--- a/tests/zone_failover/simulated_calls.h
+++ b/tests/zone_failover/simulated_calls.h
@@ -13,7 +13,7 @@
 constexpr int kDestinations = 12;  // each has an endpoint in every zone
 
 // Options of a fleet of `fleet_size` relays and kZones zones.
-zone_failover::FailoverOptions OptionsFor(int fleet_size);
+zone_failover::FailoverOptions FailoverOptionsFor(int fleet_size);
 
 struct CallResult {
   Outcome outcome = Outcome::kServed;
@@ -21,7 +21,7 @@
 };
 
 // A call that ends in `outcome`: a timeout after 3 s, anything else after 20 ms.
-CallResult Failing(Outcome outcome);
+CallResult FailedCall(Outcome outcome);
 
 // Each relay calls random endpoints, as often as its traffic shares allow.
 class SimulatedCalls {
--- a/tests/zone_failover/zone_failover_test.cpp
+++ b/tests/zone_failover/zone_failover_test.cpp
@@ -20,11 +20,11 @@
     for (const int size : {3, 12, 60}) {
       CAPTURE(size);
       CAPTURE(static_cast<int>(outcome));
-      SimulatedFleet fleet(OptionsFor(size), {}, 5);
+      SimulatedFleet fleet(FailoverOptionsFor(size), {}, 5);
       const Seconds fails_at = 105;
       const Seconds recovers_at = 115;
       SimulatedCalls calls(fleet, std::max(4.0, 60.0 / size), [&](int, int, int zone) {
-        return zone == 1 && fleet.now >= fails_at && fleet.now < recovers_at ? Failing(outcome)
+        return zone == 1 && fleet.now >= fails_at && fleet.now < recovers_at ? FailedCall(outcome)
                                                                              : CallResult{};
       });
       fleet.StartAll();
@@ -54,9 +54,9 @@
     lab::LinkPlan links;
     links.loss = loss;
     links.duplicate = links.reorder = 0.1;
-    SimulatedFleet fleet(OptionsFor(40), links, 6);
+    SimulatedFleet fleet(FailoverOptionsFor(40), links, 6);
     SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
-      return zone == 0 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+      return zone == 0 && fleet.now >= 105 ? FailedCall(Outcome::kReset) : CallResult{};
     });
     fleet.StartAll();
     calls.RunUntil(105);
@@ -67,9 +67,9 @@
 
 TEST_CASE(
     "zone failover: all relays choose the same three health-check relays, and others in the next round") {
-  SimulatedFleet fleet(OptionsFor(30), {}, 7);
+  SimulatedFleet fleet(FailoverOptionsFor(30), {}, 7);
   SimulatedCalls calls(fleet, 4, [&](int, int, int zone) {
-    return zone == 2 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+    return zone == 2 && fleet.now >= 105 ? FailedCall(Outcome::kReset) : CallResult{};
   });
   fleet.StartAll();
   calls.RunUntil(110);
@@ -92,10 +92,10 @@
 }
 
 TEST_CASE("zone failover: a zone that serves for 300 ms every 3 s does not recover") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 8);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 8);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     const bool serves = std::fmod(fleet.now - 105, 3) >= 2.7;
-    return zone == 1 && fleet.now >= 105 && !serves ? Failing(Outcome::kConnectFailed)
+    return zone == 1 && fleet.now >= 105 && !serves ? FailedCall(Outcome::kConnectFailed)
                                                     : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -107,12 +107,12 @@
 }
 
 TEST_CASE("zone failover: a zone that relapses is evacuated again, each time for longer up to a bound") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 9);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 9);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
     // The zone serves health-check relays but fails under the load of all relays.
     const bool is_evacuated = CountInPhase(fleet, 1, EvacuationPhase::kEvacuated) > 6;
     return zone == 1 && fleet.now >= 105 && (!is_evacuated || fleet.now < 107)
-               ? Failing(Outcome::kReset)
+               ? FailedCall(Outcome::kReset)
                : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -141,9 +141,9 @@
 TEST_CASE(
     "zone failover: a relay that starts, restarts or is unfrozen learns a zone's phase before it sends "
     "there") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 10);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 10);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kReset) : CallResult{};
+    return zone == 1 && fleet.now >= 105 ? FailedCall(Outcome::kReset) : CallResult{};
   });
   fleet.StartAll();
   fleet.RunUntil(104);
@@ -169,9 +169,9 @@
 
 TEST_CASE(
     "zone failover: the outdated state of a relay that is unfrozen does not change the state of others") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 11);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 11);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 && fleet.now < 108 ? Failing(Outcome::kReset)
+    return zone == 1 && fleet.now >= 105 && fleet.now < 108 ? FailedCall(Outcome::kReset)
                                                             : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -189,9 +189,9 @@
 TEST_CASE(
     "zone failover: a relay that was frozen and cut off while the others agreed does not cancel the "
     "evacuation") {
-  SimulatedFleet fleet(OptionsFor(12), {}, 17);
+  SimulatedFleet fleet(FailoverOptionsFor(12), {}, 17);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 ? Failing(Outcome::kConnectFailed)
+    return zone == 1 && fleet.now >= 105 ? FailedCall(Outcome::kConnectFailed)
                                          : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -214,9 +214,9 @@
 }
 
 TEST_CASE("zone failover: both sides of a partition reach the same decision, and agree once it heals") {
-  SimulatedFleet fleet(OptionsFor(16), {}, 12);
+  SimulatedFleet fleet(FailoverOptionsFor(16), {}, 12);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? Failing(Outcome::kTimeout)
+    return zone == 1 && fleet.now >= 105 && fleet.now < 112 ? FailedCall(Outcome::kTimeout)
                                                             : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -232,9 +232,9 @@
 
 TEST_CASE(
     "zone failover: if seven in ten relays are killed during the outage, the others recover without them") {
-  SimulatedFleet fleet(OptionsFor(20), {}, 13);
+  SimulatedFleet fleet(FailoverOptionsFor(20), {}, 13);
   SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-    return zone == 1 && fleet.now >= 105 && fleet.now < 114 ? Failing(Outcome::kReset)
+    return zone == 1 && fleet.now >= 105 && fleet.now < 114 ? FailedCall(Outcome::kReset)
                                                             : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -252,9 +252,9 @@
 TEST_CASE("zone failover: a relay that is killed at any time restarts in the phase of the others") {
   for (int step = 0; step < 60; ++step) {
     CAPTURE(step);
-    SimulatedFleet fleet(OptionsFor(8), {}, 16);
+    SimulatedFleet fleet(FailoverOptionsFor(8), {}, 16);
     SimulatedCalls calls(fleet, 8, [&](int, int, int zone) {
-      return zone == 1 && fleet.now >= 105 && fleet.now < 110 ? Failing(Outcome::kReset)
+      return zone == 1 && fleet.now >= 105 && fleet.now < 110 ? FailedCall(Outcome::kReset)
                                                               : CallResult{Outcome::kServed, 0.05};
     });
     fleet.StartAll();
@@ -284,33 +284,33 @@
                                                  Outcome::kError}[random(4)];
     lab::LinkPlan links;
     links.loss = random(3) * 0.3;
-    SimulatedFleet fleet(OptionsFor(size), links, seed);
+    SimulatedFleet fleet(FailoverOptionsFor(size), links, seed);
     pcg32 call_random(seed, 33);
     const auto one_in = [&](std::uint32_t n) { return call_random(n) == 0; };
     SimulatedCalls calls(fleet, 2 + random(8), [&](int relay, int destination, int zone) -> CallResult {
       if (fleet.now < 102) return {};
       switch (kind) {
         case 0:  // one destination in one zone
-          return zone == 1 && destination == failing_destination ? Failing(outcome) : CallResult{};
+          return zone == 1 && destination == failing_destination ? FailedCall(outcome) : CallResult{};
         case 1:  // three destinations in all zones, and one call in three of another destination in zone 1
           return (destination + 12 - failing_destination) % 12 < 3 ||
                          (zone == 1 && destination == 5 && one_in(3))
-                     ? Failing(outcome)
+                     ? FailedCall(outcome)
                      : CallResult{};
         case 2:  // fewer than a quarter of the relays (none if there are four or fewer) cannot reach zone 1
-          return zone == 1 && relay < affected_relays && size > 4 * affected_relays ? Failing(outcome)
+          return zone == 1 && relay < affected_relays && size > 4 * affected_relays ? FailedCall(outcome)
                                                                                     : CallResult{};
         case 3:  // all zones fail at once
-          return Failing(outcome);
+          return FailedCall(outcome);
         case 4:  // all zones become slow at once
           return {Outcome::kServed, 0.2 + 0.25 * std::min(8.0, fleet.now - 102)};
         case 5:  // the endpoint list is wrong about a third of a zone's endpoints
-          return zone == 2 && destination % 3 == 0 ? Failing(Outcome::kConnectFailed) : CallResult{};
+          return zone == 2 && destination % 3 == 0 ? FailedCall(Outcome::kConnectFailed) : CallResult{};
         case 6:  // half of the destinations of a zone are above their limits: two calls in three are rejected
-          return zone == 1 && destination % 2 == 0 && !one_in(3) ? Failing(Outcome::kRejected)
+          return zone == 1 && destination % 2 == 0 && !one_in(3) ? FailedCall(Outcome::kRejected)
                                                                  : CallResult{Outcome::kServed, 0.05};
         default:  // one call in four fails at random, in all zones
-          return one_in(4) ? Failing(outcome) : CallResult{};
+          return one_in(4) ? FailedCall(outcome) : CallResult{};
       }
     });
     fleet.StartAll();
@@ -324,9 +324,9 @@
 }
 
 TEST_CASE("zone failover: a zone that serves half of the fleet is not evacuated") {
-  SimulatedFleet fleet(OptionsFor(20), {}, 14);
+  SimulatedFleet fleet(FailoverOptionsFor(20), {}, 14);
   SimulatedCalls calls(fleet, 8, [&](int relay, int, int zone) {
-    return zone == 1 && relay < 10 && fleet.now >= 103 ? Failing(Outcome::kReset)
+    return zone == 1 && relay < 10 && fleet.now >= 103 ? FailedCall(Outcome::kReset)
                                                        : CallResult{Outcome::kServed, 0.05};
   });
   fleet.StartAll();
@@ -335,9 +335,9 @@
 }
 
 TEST_CASE("zone failover: one relay that falsely reports failures does not change the state of any zone") {
-  SimulatedFleet fleet(OptionsFor(8), {}, 15);
+  SimulatedFleet fleet(FailoverOptionsFor(8), {}, 15);
   SimulatedCalls calls(
-      fleet, 6, [&](int relay, int, int) { return relay == 3 ? Failing(Outcome::kReset) : CallResult{}; });
+      fleet, 6, [&](int relay, int, int) { return relay == 3 ? FailedCall(Outcome::kReset) : CallResult{}; });
   fleet.StartAll();
   calls.RunUntil(120);
   CHECK(fleet.changes.empty());
