--- a/src/hot_restart/process_lock.cpp
+++ b/src/hot_restart/process_lock.cpp
@@ -10,7 +10,7 @@
 namespace opalroute::hot_restart {
 
 NoFreeSlotError::NoFreeSlotError(const std::string& folder)
-    : std::runtime_error("state folder " + folder + " is in use by other processes of this relay") {}
+    : std::runtime_error("other processes of this relay run on the state folder " + folder) {}
 
 ProcessLock::ProcessLock(const std::string& folder, bool allow_two_processes) {
   for (int slot = 0; slot < kProcessSlots; ++slot)
--- a/src/net/listener.cpp
+++ b/src/net/listener.cpp
@@ -30,8 +30,8 @@
   };
   int listens = 0;
   socklen_t size = sizeof(listens);
-  if (getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) < 0) fail(errno, " is not a socket");
-  if (listens == 0) fail(EINVAL, " is not a listening socket");
+  if (getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) < 0) fail(errno, " is no socket");
+  if (listens == 0) fail(EINVAL, " does not listen");
   const int flags = fcntl(fd, F_GETFL);
   if (flags < 0 || fcntl(fd, F_SETFL, flags | O_NONBLOCK) < 0 || fcntl(fd, F_SETFD, FD_CLOEXEC) < 0)
     fail(errno, " can't be made non-blocking and close-on-exec");
